--- a/router/fleet_test.go
+++ b/router/coldbudget_test.go
@@ -11,15 +11,15 @@
 
 // crowd is many gateways of one location, each with a router that knows of the others only how many there are, before caches of which
 // one has just started.
-type crowd struct {
-	gateways, caches int
-	weight           float64 // of a cache, in transfers at once
-	rate             float64 // downloads a second of one gateway
-	parent           bool    // the cold one is a parent, which fills reach
-	restart          float64 // ms after which a tenth of the gateways start anew; 0: none does
+type gatewayGroup struct {
+	gateways, caches   int
+	cacheWeight        float64 // of a cache, in transfers at once
+	downloadsPerSecond float64 // downloads a second of one gateway
+	coldParent         bool    // the cold one is a parent, which fills reach
+	restartAfter       float64 // ms after which a tenth of the gateways start anew; 0: none does
 }
 
-var mix3 = []struct {
+var contentMix = []struct {
 	typ   string
 	share float64
 	took  float64
@@ -27,10 +27,10 @@
 
 // play tells how much of what it bears the cold one got at the most in one window, and how much of it on average: 1 is what the settings
 // allow it at the window's end. The load doubles 3 s after its start.
-func (c crowd) play(seed int64) (worst, used float64) {
+func (c gatewayGroup) run(seed int64) (worst, used float64) {
 	chance := rand.New(rand.NewSource(seed))
 	const window, from, multiple, booted, length = 3000.0, 0.1, 3.0, 10_000.0, 12_000.0
-	f := foot()
+	f := testSettings()
 	f["types"], f["repeat"], f["target"], f["fresh"] = []any{"video", "pages", "sale"}, []any{"retriable", "retriable", "non-retriable"},
 		[]any{600.0, 300.0, 800.0}, []any{0.0, 0.0, 0.0}
 	f["writes"], f["flow"] = []any{false, false, true}, 0.0
@@ -39,12 +39,12 @@
 	f["cold share"], f["cold time"], f["parent cold share"], f["parent cold time"] = from, 15_000.0, from, 15_000.0
 	list := Listed{Scope: Restored}
 	for i := range c.caches {
-		list.Entries = append(list.Entries, Entry{Node: fmt.Sprint("e", i), Kind: "box", Zone: "club", Weight: c.weight},
-			Entry{Node: fmt.Sprint("p", i), Kind: "parent", Zone: "hub", Weight: c.weight})
+		list.Entries = append(list.Entries, Entry{Node: fmt.Sprint("e", i), Kind: "box", Zone: "club", Weight: c.cacheWeight},
+			Entry{Node: fmt.Sprint("p", i), Kind: "parent", Zone: "hub", Weight: c.cacheWeight})
 	}
 	list.Entries = append(list.Entries, Entry{Node: "o", Kind: "origin", Zone: "hub", Weight: 5})
-	cold := Entry{Node: "cold", Kind: "box", Zone: "club", Weight: c.weight, Booted: booted}
-	if c.parent {
+	cold := Entry{Node: "cold", Kind: "box", Zone: "club", Weight: c.cacheWeight, Booted: booted}
+	if c.coldParent {
 		cold.Kind, cold.Zone = "parent", "hub"
 	}
 	type charge struct{ at, work float64 }
@@ -59,8 +59,8 @@
 		}
 		start(0, list)
 		told, again := booted+300+600*chance.Float64(), math.Inf(1)
-		if c.restart > 0 && n%10 == 0 {
-			again = booted + c.restart
+		if c.restartAfter > 0 && n%10 == 0 {
+			again = booted + c.restartAfter
 		}
 		type end struct {
 			at float64
@@ -76,16 +76,16 @@
 					bells = append(bells, a)
 				case Pull:
 					took := 0.0
-					for _, k := range mix3 {
+					for _, k := range contentMix {
 						if a.ID[0] == k.typ[0] {
 							took = k.took
 						}
 					}
 					note := Held
-					if c.parent {
+					if c.coldParent {
 						note = FilledBySource
 					}
-					if a.Node == "cold" || a.Source == "cold" && c.parent {
+					if a.Node == "cold" || a.Source == "cold" && c.coldParent {
 						got = append(got, charge{at, took})
 					}
 					out = append(out, end{at + took, Ended{ID: a.ID, Pull: pulls[a.ID], Status: Fulfilled, Note: note, Took: took, Closed: true}})
@@ -116,18 +116,18 @@
 				r.Handle(at, x.e)
 				return true
 			})
-			rate := c.rate
+			rate := c.downloadsPerSecond
 			if at > booted+3000 {
 				rate *= 2
 			}
 			for ; next <= at; next += chance.ExpFloat64() * 1000 / rate {
 				u, k := chance.Float64(), 0
-				for ; u > mix3[k].share; k++ {
-					u -= mix3[k].share
+				for ; u > contentMix[k].share; k++ {
+					u -= contentMix[k].share
 				}
 				i++
-				serve(at, Arrived{ID: fmt.Sprint(mix3[k].typ, n, "-", i), Type: mix3[k].typ, Object: fmt.Sprint("o", chance.Intn(5000)),
-					Expiry: at + 6000, Write: mix3[k].typ == "sale"})
+				serve(at, Arrived{ID: fmt.Sprint(contentMix[k].typ, n, "-", i), Type: contentMix[k].typ, Object: fmt.Sprint("o", chance.Intn(5000)),
+					Expiry: at + 6000, Write: contentMix[k].typ == "sale"})
 			}
 			slices.SortStableFunc(bells, func(a, b Alarm) int { return int(a.At - b.At) })
 		}
@@ -140,11 +140,11 @@
 			sum -= got[first].work
 			first++
 		}
-		worst = max(worst, sum/(multiple*(from+(1-from)*(g.at-booted)/15_000)*c.weight*window))
+		worst = max(worst, sum/(multiple*(from+(1-from)*(g.at-booted)/15_000)*c.cacheWeight*window))
 		total += g.work
 	}
 	for at := booted; at < booted+length; at += 10 {
-		allowed += multiple * (from + (1-from)*(at-booted)/15_000) * c.weight * 10
+		allowed += multiple * (from + (1-from)*(at-booted)/15_000) * c.cacheWeight * 10
 	}
 	return worst, total / allowed
 }
@@ -152,14 +152,14 @@
 // Many gateways that each know only how many they are send a cold cache, or a cold parent, no more together than the settings allow it
 // in any window: without the 2 x root of N + 2 that the rule leaves to chance. First pulls, fills, a burst, gateways that start anew
 // amid the ramp, more gateways than caches and the other way round.
-func TestCrowd(t *testing.T) {
-	for _, c := range []crowd{
-		{gateways: 30, caches: 5, weight: 3, rate: 10},
-		{gateways: 30, caches: 5, weight: 10, rate: 10, parent: true},
-		{gateways: 40, caches: 10, weight: 10, rate: 20, restart: 2000},
-		{gateways: 3, caches: 20, weight: 4, rate: 60},
+func TestGatewayGroupKeepsColdBudget(t *testing.T) {
+	for _, c := range []gatewayGroup{
+		{gateways: 30, caches: 5, cacheWeight: 3, downloadsPerSecond: 10},
+		{gateways: 30, caches: 5, cacheWeight: 10, downloadsPerSecond: 10, coldParent: true},
+		{gateways: 40, caches: 10, cacheWeight: 10, downloadsPerSecond: 20, restartAfter: 2000},
+		{gateways: 3, caches: 20, cacheWeight: 4, downloadsPerSecond: 60},
 	} {
-		worst, used := c.play(1)
+		worst, used := c.run(1)
 		t.Logf("%+v: at the worst %.2f of what it bears, %.2f on average", c, worst, used)
 		if worst > 1 || used < 0.1 {
 			t.Errorf("%+v: %.2f of what it bears in one window, %.2f on average", c, worst, used)
--- a/router/helpers_test.go
+++ b/router/helpers_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-func foot() Footprint {
+func testSettings() Footprint {
 	return Footprint{
 		"zones": []any{"hub", "club"}, "zone": "club", "kinds": []any{"box", "parent", "origin"},
 		"parent kind": 1.0, "origin kind": 2.0, "gateways": 1.0, "gateways by zone": []any{0.0, 1.0},
@@ -14,7 +14,7 @@
 	}
 }
 
-func fleet() Listed {
+func testFleet() Listed {
 	return Listed{Scope: Restored, Entries: []Entry{
 		{Node: "e1", Kind: "box", Zone: "club", Weight: 10}, {Node: "e2", Kind: "box", Zone: "club", Weight: 10},
 		{Node: "p1", Kind: "parent", Zone: "hub", Weight: 20}, {Node: "p2", Kind: "parent", Zone: "hub", Weight: 20},
@@ -23,15 +23,15 @@
 }
 
 // started is a router at time 0 with the list above.
-func started(f Footprint) *Router {
+func startedRouter(f Footprint) *Router {
 	r := New()
 	r.Handle(0, Started{Seed: 7, Footprint: f})
-	r.Handle(0, fleet())
+	r.Handle(0, testFleet())
 	return r
 }
 
 // find returns the actions of one type.
-func find[A any](actions []Action) []A {
+func actionsOf[A any](actions []Action) []A {
 	var found []A
 	for _, a := range actions {
 		if a, ok := a.(A); ok {
@@ -41,27 +41,27 @@
 	return found
 }
 
-func video(id string) Arrived {
+func videoRequest(id string) Arrived {
 	return Arrived{ID: id, Type: "video", Object: "match", Expiry: 1e6, Part: 3, Group: 4}
 }
 
-type answer struct {
+type finalAnswer struct {
 	at     float64
 	action Action
 }
 
 // answers hands an event over, then rings every alarm, and returns the final answers.
-func answers(r *Router, now float64, e Event) []answer {
-	var end []answer
+func runToAnswer(r *Router, now float64, e Event) []finalAnswer {
+	var end []finalAnswer
 	var bells []Alarm
 	for {
 		actions := r.Handle(now, e)
-		bells = append(bells, find[Alarm](actions)...)
-		for _, a := range find[Throttle](actions) {
-			end = append(end, answer{now, a})
+		bells = append(bells, actionsOf[Alarm](actions)...)
+		for _, a := range actionsOf[Throttle](actions) {
+			end = append(end, finalAnswer{now, a})
 		}
-		for _, a := range find[Abandon](actions) {
-			end = append(end, answer{now, a})
+		for _, a := range actionsOf[Abandon](actions) {
+			end = append(end, finalAnswer{now, a})
 		}
 		if len(bells) == 0 {
 			return end
@@ -72,32 +72,34 @@
 }
 
 // rig plays videos against a router, one every 5 ms, and carries out what it asks for.
-type rig struct {
-	r     *Router
-	now   float64
-	out   []reply
-	bells []Alarm
-	pulls map[string]int
+type harness struct {
+	r       *Router
+	now     float64
+	pending []pendingEvent
+	alarms  []Alarm
+	pulls   map[string]int
 }
 
-type reply struct {
-	due   float64
+type pendingEvent struct {
+	at    float64
 	event Event
 }
 
-func newRig() *rig { return &rig{r: started(foot()), pulls: map[string]int{}} }
+func newHarness() *harness {
+	return &harness{r: startedRouter(testSettings()), pulls: map[string]int{}}
+}
 
 // life plays some seconds and answers each pull as how says, after the time it gives; a negative time means never
 // before the expiry. It returns how many pulls each node got as target and as source.
-func (g *rig) life(seconds int, how func(Pull) (Status, Note, float64)) (at, by map[string]int) {
+func (g *harness) play(seconds int, how func(Pull) (Status, Note, float64)) (at, by map[string]int) {
 	at, by = map[string]int{}, map[string]int{}
 	run := func(e Event) {
 		for _, a := range g.r.Handle(g.now, e) {
 			switch a := a.(type) {
 			case Alarm:
-				g.bells = append(g.bells, a)
+				g.alarms = append(g.alarms, a)
 			case Probe:
-				g.out = append(g.out, reply{g.now + 1, Probed{Node: a.Node}})
+				g.pending = append(g.pending, pendingEvent{g.now + 1, Probed{Node: a.Node}})
 			case Pull:
 				at[a.Node]++
 				by[a.Source]++
@@ -105,7 +107,7 @@
 				if took < 0 || took > a.Timeout {
 					status, took = TimedOut, a.Timeout
 				}
-				g.out = append(g.out, reply{g.now + took, Ended{ID: a.ID, Pull: g.pulls[a.ID], Status: status,
+				g.pending = append(g.pending, pendingEvent{g.now + took, Ended{ID: a.ID, Pull: g.pulls[a.ID], Status: status,
 					Note: note, Took: took, Closed: status == Fulfilled}})
 				g.pulls[a.ID]++
 			}
@@ -113,21 +115,21 @@
 	}
 	for end := g.now + 1000*float64(seconds); g.now < end; {
 		g.now += 5
-		for j := 0; j < len(g.bells); j++ {
-			if b := g.bells[j]; b.At <= g.now {
-				g.bells = append(g.bells[:j:j], g.bells[j+1:]...)
+		for j := 0; j < len(g.alarms); j++ {
+			if b := g.alarms[j]; b.At <= g.now {
+				g.alarms = append(g.alarms[:j:j], g.alarms[j+1:]...)
 				j--
 				run(Rang{Token: b.Token})
 			}
 		}
-		for j := 0; j < len(g.out); j++ {
-			if o := g.out[j]; o.due <= g.now {
-				g.out = append(g.out[:j:j], g.out[j+1:]...)
+		for j := 0; j < len(g.pending); j++ {
+			if o := g.pending[j]; o.at <= g.now {
+				g.pending = append(g.pending[:j:j], g.pending[j+1:]...)
 				j--
 				run(o.event)
 			}
 		}
-		a := video(fmt.Sprint(g.now))
+		a := videoRequest(fmt.Sprint(g.now))
 		a.Object, a.Expiry, a.Size = fmt.Sprint("o", int(g.now/5)%300), g.now+3000, 200
 		run(a)
 	}
--- a/router/model_test.go
+++ b/router/model_test.go
@@ -8,110 +8,110 @@
 )
 
 // model is the rules, plain and slow: it remembers all that was sent and looks through it again each time.
-type model struct {
-	foot   Footprint
-	now    float64
-	states map[string]State
-	booted map[string]float64
-	told   map[string]float64 // when this gateway heard of a node's start
-	zones  map[string]string
-	owed   map[string]*owing
-	pulls  []*sent
-	purged map[int64]float64
-	broken string
+type ruleModel struct {
+	settings       Footprint
+	now            float64
+	nodeStates     map[string]State
+	nodeBooted     map[string]float64
+	startLearnedAt map[string]float64 // when this gateway heard of a node's start
+	nodeZones      map[string]string
+	downloads      map[string]*modelDownload
+	pulls          []*modelPull
+	purgedAt       map[int64]float64
+	violation      string
 }
 
-type owing struct {
+type modelDownload struct {
 	Arrived
-	repeat string
-	done   bool
-	sent   []*sent
+	effectClass string
+	answered    bool
+	pulls       []*modelPull
 }
 
-type sent struct {
+type modelPull struct {
 	Pull
-	at           float64
-	out, may     bool
-	held         bool // answered without its source
-	cost, expiry float64
+	sentAt               float64
+	inFlight, mayHaveRun bool
+	answeredFromCopy     bool // answered without its source
+	cost, expiresAt      float64
 }
 
-func (m *model) fail(format string, args ...any) {
-	if m.broken == "" {
-		m.broken = fmt.Sprintf("at %.1f: ", m.now) + fmt.Sprintf(format, args...)
+func (m *ruleModel) fail(format string, args ...any) {
+	if m.violation == "" {
+		m.violation = fmt.Sprintf("at %.1f: ", m.now) + fmt.Sprintf(format, args...)
 	}
 }
 
 // act takes one action and says whether the rules allow it.
-func (m *model) act(a Action, alarms *[]Alarm) {
+func (m *ruleModel) checkAction(a Action, alarms *[]Alarm) {
 	switch a := a.(type) {
 	case Alarm:
 		*alarms = append(*alarms, a)
 	case Throttle:
-		if o := m.owed[a.ID]; m.final(o, a.ID) && o.repeat != "retriable" {
-			for _, s := range o.sent {
-				if s.may || s.out {
+		if o := m.downloads[a.ID]; m.checkFinalAnswer(o, a.ID) && o.effectClass != "retriable" {
+			for _, s := range o.pulls {
+				if s.mayHaveRun || s.inFlight {
 					m.fail("throttled %s, a pull of which may have run", a.ID)
 				}
 			}
 		}
 	case Abandon:
-		m.final(m.owed[a.ID], a.ID)
+		m.checkFinalAnswer(m.downloads[a.ID], a.ID)
 	case Pull:
-		m.pull(a)
+		m.checkPull(a)
 	}
 }
 
-func (m *model) final(o *owing, id string) bool {
-	if o == nil || o.done || m.now > o.Expiry+20 {
+func (m *ruleModel) checkFinalAnswer(o *modelDownload, id string) bool {
+	if o == nil || o.answered || m.now > o.Expiry+20 {
 		m.fail("answered %s, which owes nothing or is overdue", id)
 		return false
 	}
-	o.done = true
+	o.answered = true
 	return true
 }
 
-func (m *model) pull(a Pull) {
-	o := m.owed[a.ID]
-	if o == nil || o.done || m.now >= o.Expiry || a.Timeout > o.Expiry-m.now+0.001 {
+func (m *ruleModel) checkPull(a Pull) {
+	o := m.downloads[a.ID]
+	if o == nil || o.answered || m.now >= o.Expiry || a.Timeout > o.Expiry-m.now+0.001 {
 		m.fail("pulled %s, which has ended or goes on too long", a.ID)
 		return
 	}
-	for _, s := range o.sent {
-		if s.out || s.may && o.repeat == "non-retriable" {
+	for _, s := range o.pulls {
+		if s.inFlight || s.mayHaveRun && o.effectClass == "non-retriable" {
 			m.fail("pulled %s again", a.ID)
 		}
-		if s.may && o.repeat == "deduped" && (m.zones[s.Node] != m.zones[a.Node] || m.now >= s.at+5000) {
+		if s.mayHaveRun && o.effectClass == "deduped" && (m.nodeZones[s.Node] != m.nodeZones[a.Node] || m.now >= s.sentAt+5000) {
 			m.fail("pulled %s again out of its group or window", a.ID)
 		}
 	}
-	s := &sent{Pull: a, at: m.now, out: true, expiry: m.now + a.Timeout, cost: 1000 * o.Size / m.foot.num("flow")}
-	o.sent = append(o.sent, s)
+	s := &modelPull{Pull: a, sentAt: m.now, inFlight: true, expiresAt: m.now + a.Timeout, cost: 1000 * o.Size / m.settings.num("flow")}
+	o.pulls = append(o.pulls, s)
 	m.pulls = append(m.pulls, s)
-	if at, ok := m.purged[o.Group]; ok && !o.Write && m.now < at+6000 && (a.MaxAge <= 0 || a.MaxAge > m.now-at) {
+	if at, ok := m.purgedAt[o.Group]; ok && !o.Write && m.now < at+6000 && (a.MaxAge <= 0 || a.MaxAge > m.now-at) {
 		m.fail("pull of %s takes copies of age %v, purged %v ago", a.ID, a.MaxAge, m.now-at)
 	}
 	for _, id := range []string{a.Node, a.Source} {
-		if m.states[id] != Running {
+		if m.nodeStates[id] != Running {
 			m.fail("pull of %s names %s, which drains or is gone", a.ID, id)
 		}
-		m.cold(id)
+		m.checkColdBudget(id)
 	}
 }
 
 // cold adds up what a node that started lately was asked for in the last window.
-func (m *model) cold(id string) {
+func (m *ruleModel) checkColdBudget(id string) {
 	from, time, multiple, weight := 0.2, 10_000.0, 2.0, 10.0
 	if id[0] == 'p' {
 		from, weight = 0.1, 20
 	}
-	age := m.now - m.booted[id]
-	if m.booted[id] == 0 || age >= time || id == "o" { // the origin is no cache
+	age := m.now - m.nodeBooted[id]
+	if m.nodeBooted[id] == 0 || age >= time || id == "o" { // the origin is no cache
 		return
 	}
 	asked := 0.0
 	for _, s := range m.pulls {
-		if s.at > m.now-1000 && s.at >= m.told[id] && (s.Node == id || s.Source == id && !s.held) {
+		if s.sentAt > m.now-1000 && s.sentAt >= m.startLearnedAt[id] && (s.Node == id || s.Source == id && !s.answeredFromCopy) {
 			asked += s.cost
 		}
 	}
@@ -123,7 +123,7 @@
 // TestRulesAgainstModel plays random days and has the model look at every action.
 func TestRulesAgainstModel(t *testing.T) {
 	day := func(seed int64) bool {
-		if broken := play(seed); broken != "" {
+		if broken := playRandomDay(seed); broken != "" {
 			t.Logf("seed %d: %s", seed, broken)
 			return false
 		}
@@ -134,40 +134,40 @@
 	}
 }
 
-func play(seed int64) string {
+func playRandomDay(seed int64) string {
 	dice := rand.New(rand.NewSource(seed))
-	f := foot()
+	f := testSettings()
 	f["direct"], f["notes"] = dice.Intn(2) == 0, []string{"hit", "none"}[dice.Intn(2)]
 	f["gateways by zone"] = []any{0.0, []any{1.0, 12.0}[dice.Intn(2)]} // of several, each asks what the parent holds
 	f["types"], f["target"] = []any{"video", "sale", "order"}, []any{600.0, 800.0, 700.0}
 	f["repeat"] = []any{"retriable", "non-retriable", "deduped"}
 	f["dedupe group"], f["dedupe window"] = []any{"all", "all", "zone"}, []any{0.0, 0.0, 5000.0}
-	m := &model{foot: f, now: 50_000, states: map[string]State{}, booted: map[string]float64{},
-		told: map[string]float64{}, zones: map[string]string{}}
+	m := &ruleModel{settings: f, now: 50_000, nodeStates: map[string]State{}, nodeBooted: map[string]float64{},
+		startLearnedAt: map[string]float64{}, nodeZones: map[string]string{}}
 	var r *Router
 	var alarms []Alarm
 	tell := func(e Event) {
 		for _, a := range r.Handle(m.now, e) {
-			m.act(a, &alarms)
+			m.checkAction(a, &alarms)
 		}
 	}
-	list := fleet()
+	list := testFleet()
 	list.Entries = append(list.Entries, Entry{Node: "x1", Kind: "box", Zone: "other", Weight: 10})
 	f["siblings"] = []string{"none", "any"}[dice.Intn(2)]
 	start := func() {
-		r, alarms, m.owed, m.purged = New(), nil, map[string]*owing{}, map[int64]float64{}
+		r, alarms, m.downloads, m.purgedAt = New(), nil, map[string]*modelDownload{}, map[int64]float64{}
 		for _, s := range m.pulls {
-			s.out = false
+			s.inFlight = false
 		}
 		tell(Started{Seed: uint64(seed), Footprint: f})
 		list.Scope = Restored
 		for _, e := range list.Entries {
-			m.states[e.Node], m.zones[e.Node] = e.State, e.Zone
+			m.nodeStates[e.Node], m.nodeZones[e.Node] = e.State, e.Zone
 		}
 		tell(list)
 	}
 	start()
-	for step := 0; step < 1500 && m.broken == ""; step++ {
+	for step := 0; step < 1500 && m.violation == ""; step++ {
 		m.now += float64(dice.Intn(200)) / 10
 		for due := true; due; { // what is due comes before anything else
 			due = false
@@ -180,8 +180,8 @@
 			}
 		}
 		for _, s := range m.pulls {
-			if s.out && m.owed[s.ID] != nil && (m.now >= s.expiry || dice.Intn(25) == 0) {
-				end(m, s, tell, dice)
+			if s.inFlight && m.downloads[s.ID] != nil && (m.now >= s.expiresAt || dice.Intn(25) == 0) {
+				endPull(m, s, tell, dice)
 			}
 		}
 		switch dice.Intn(40) {
@@ -190,13 +190,13 @@
 			e := list.Entries[i]
 			if e.State = State(dice.Intn(3)); e.State == Running && dice.Intn(2) == 0 {
 				e.Booted = m.now - float64(dice.Intn(2000))
-				m.booted[e.Node], m.told[e.Node] = e.Booted, m.now
+				m.nodeBooted[e.Node], m.startLearnedAt[e.Node] = e.Booted, m.now
 			}
-			list.Entries[i], m.states[e.Node] = e, e.State
+			list.Entries[i], m.nodeStates[e.Node] = e, e.State
 			tell(Listed{Scope: Changes, Entries: []Entry{e}})
 		case 1:
 			group, age := int64(dice.Intn(3)), float64(dice.Intn(300))
-			m.purged[group] = max(m.purged[group], m.now-age)
+			m.purgedAt[group] = max(m.purgedAt[group], m.now-age)
 			tell(Purged{Group: group, Age: age})
 		case 2:
 			if dice.Intn(6) == 0 {
@@ -207,23 +207,23 @@
 			a := Arrived{ID: fmt.Sprint(step, "-", seed), Type: f.textAt("types", k), Object: fmt.Sprint(dice.Intn(60)),
 				Expiry: m.now + float64(dice.Intn(2500)), Size: 500 * float64(k+1), Write: k == 1}
 			a.Group = int64(len(a.Object)) // any that is the object's own
-			m.owed[a.ID] = &owing{Arrived: a, repeat: f.textAt("repeat", k)}
+			m.downloads[a.ID] = &modelDownload{Arrived: a, effectClass: f.textAt("repeat", k)}
 			tell(a)
 		}
-		for _, o := range m.owed {
-			if !o.done && m.now > o.Expiry+25 {
+		for _, o := range m.downloads {
+			if !o.answered && m.now > o.Expiry+25 {
 				m.fail("%s never got an answer", o.ID)
 			}
 		}
 	}
-	return m.broken
+	return m.violation
 }
 
 // end makes up how a pull ended.
-func end(m *model, s *sent, tell func(Event), dice *rand.Rand) {
-	o := m.owed[s.ID]
-	e := Ended{ID: s.ID, Status: Status(dice.Intn(9)), Took: m.now - s.at}
-	for i, p := range o.sent {
+func endPull(m *ruleModel, s *modelPull, tell func(Event), dice *rand.Rand) {
+	o := m.downloads[s.ID]
+	e := Ended{ID: s.ID, Status: Status(dice.Intn(9)), Took: m.now - s.sentAt}
+	for i, p := range o.pulls {
 		if p == s {
 			e.Pull = i
 		}
@@ -231,18 +231,18 @@
 	if dice.Intn(3) > 0 {
 		e.Status = Fulfilled
 	}
-	if m.now >= s.expiry {
+	if m.now >= s.expiresAt {
 		e.Status = TimedOut
 	}
 	if e.Status == Fulfilled {
-		o.done = true
-		if m.foot.text("notes") == "hit" {
+		o.answered = true
+		if m.settings.text("notes") == "hit" {
 			e.Note = Note(1 + dice.Intn(2))
-			s.held = e.Note == Held
+			s.answeredFromCopy = e.Note == Held
 		}
 	}
-	s.out, e.Closed = false, o.done
-	s.may = e.Status != TurnedAway && e.Status != NotConnected && e.Status != NeverSent && e.Status != Missed
+	s.inFlight, e.Closed = false, o.answered
+	s.mayHaveRun = e.Status != TurnedAway && e.Status != NotConnected && e.Status != NeverSent && e.Status != Missed
 	tell(e)
 }
 
@@ -251,13 +251,13 @@
 func TestManyGatewaysShareAColdParent(t *testing.T) {
 	day := func(seed int64) bool {
 		dice := rand.New(rand.NewSource(seed))
-		m := &model{foot: foot(), now: 100_000, states: map[string]State{}, booted: map[string]float64{"p1": 100_000},
-			told: map[string]float64{}}
-		list := fleet()
+		m := &ruleModel{settings: testSettings(), now: 100_000, nodeStates: map[string]State{}, nodeBooted: map[string]float64{"p1": 100_000},
+			startLearnedAt: map[string]float64{}}
+		list := testFleet()
 		list.Entries[2].Booted = 100_000
 		many := make([]*Router, 50+dice.Intn(150))
 		for i := range many {
-			f := foot()
+			f := testSettings()
 			f["gateways"], f["number"] = float64(len(many)), float64(i)
 			f["gateways by zone"] = []any{0.0, float64(len(many) / 5)}
 			many[i] = New()
@@ -265,19 +265,19 @@
 			many[i].Handle(100_000, list)
 		}
 		asked := 0
-		for step := 0; step < 6000 && m.broken == ""; step++ {
+		for step := 0; step < 6000 && m.violation == ""; step++ {
 			m.now += 1
-			r, a := many[dice.Intn(len(many))], video(fmt.Sprint(step))
+			r, a := many[dice.Intn(len(many))], videoRequest(fmt.Sprint(step))
 			a.Object, a.Expiry, a.Size = fmt.Sprint(dice.Intn(5000)), m.now+3000, 3000
 			for n, e := 0, Event(a); e != nil; n++ {
-				pulls := find[Pull](r.Handle(m.now, e))
+				pulls := actionsOf[Pull](r.Handle(m.now, e))
 				if e = nil; len(pulls) == 0 {
 					break
 				}
 				if p := pulls[0]; p.Source == "p1" {
 					asked++
-					m.pulls = append(m.pulls, &sent{Pull: p, at: m.now, cost: 300})
-					m.cold("p1")
+					m.pulls = append(m.pulls, &modelPull{Pull: p, sentAt: m.now, cost: 300})
+					m.checkColdBudget("p1")
 				}
 				e = Ended{ID: a.ID, Pull: n, Status: Fulfilled, Closed: true, Note: FilledBySource}
 				if pulls[0].How&OnlyHeld != 0 {
@@ -285,10 +285,10 @@
 				}
 			}
 		}
-		if m.broken != "" || asked < 10 {
-			t.Logf("%d gateways: %d asked; %s", len(many), asked, m.broken)
+		if m.violation != "" || asked < 10 {
+			t.Logf("%d gateways: %d asked; %s", len(many), asked, m.violation)
 		}
-		return m.broken == "" && asked >= 10
+		return m.violation == "" && asked >= 10
 	}
 	if err := quick.Check(day, &quick.Config{MaxCount: 5, Rand: rand.New(rand.NewSource(5))}); err != nil {
 		t.Error(err)
--- a/router/ahead_test.go
+++ b/router/prefetch_test.go
@@ -7,11 +7,11 @@
 
 // What fills a cache ahead goes to that cache alone, with the mechanism deciding what is kept; it is given up at once where what is asked
 // for leaves it no room, where the node is cold and its part is spent, and where there is no such cache. It is no sign of what is asked for.
-func TestFillsAhead(t *testing.T) {
-	r := started(foot())
+func TestPrefetchFillsOnlyItsCache(t *testing.T) {
+	r := startedRouter(testSettings())
 	r.Handle(0, Listed{Entries: []Entry{{Node: "e3", Kind: "box", Zone: "club", Weight: 10, Booted: 1}}})
 	ahead := func(id, only, object string) Arrived {
-		a := video(id)
+		a := videoRequest(id)
 		a.Only, a.Object, a.Size = only, object, 500
 		return a
 	}
@@ -19,15 +19,15 @@
 	for i := range 400 {
 		at := 2000.0 + float64(i)/10
 		do := r.Handle(at, ahead(fmt.Sprint("a", i), "e3", fmt.Sprint("o", i)))
-		for _, p := range find[Pull](do) {
+		for _, p := range actionsOf[Pull](do) {
 			if p.Node != "e3" {
 				t.Fatalf("goes to %s", p.Node)
 			}
 			pulls++
 			r.Handle(at, Ended{ID: p.ID, Status: Fulfilled, Note: FilledBySource, Took: 1, Closed: true})
 		}
-		throttled += len(find[Throttle](do))
-		if len(find[Abandon](do)) > 0 {
+		throttled += len(actionsOf[Throttle](do))
+		if len(actionsOf[Abandon](do)) > 0 {
 			t.Fatal("abandoned")
 		}
 	}
@@ -37,13 +37,13 @@
 	if hot := r.Hot("e3", 10); len(hot) != 0 {
 		t.Errorf("what was filled ahead counts as asked for: %v", hot)
 	}
-	if do := r.Handle(3000, ahead("none", "e9", "o")); len(find[Throttle](do)) != 1 || len(find[Pull](do)) != 0 {
+	if do := r.Handle(3000, ahead("none", "e9", "o")); len(actionsOf[Throttle](do)) != 1 || len(actionsOf[Pull](do)) != 0 {
 		t.Errorf("for a cache that is not there: %v", do)
 	}
 	// Asked for at times that rise with its number, each object is hot at one cache, the most first.
 	for i := range 30 {
 		for n := range i + 1 {
-			a := video(fmt.Sprint("w", i, "-", n))
+			a := videoRequest(fmt.Sprint("w", i, "-", n))
 			a.Object = fmt.Sprint("w", i)
 			r.Handle(4000, a)
 		}
--- a/router/ring.go
+++ b/router/ring.go
@@ -2,19 +2,19 @@
 
 import "poppymill/internal/chance"
 
-// Ring sums what is measured over time in fixed buckets that are used again.
+// Ring sums samples over a sliding window of time, in a ring of buckets of equal width.
 type Ring struct {
-	width float64
+	width float64 // of a bucket, in ms
 	sums  []float64
-	slots []int64 // which bucket of all time each sum belongs to
+	slots []int64 // the number of the time slot that each sum belongs to, counted from time 0
 }
 
-// NewRing covers the given span with so many buckets.
+// NewRing returns a ring that covers span ms with the given number of buckets.
 func NewRing(span float64, buckets int) Ring {
 	return Ring{width: span / float64(buckets), sums: make([]float64, buckets), slots: make([]int64, buckets)}
 }
 
-// Add counts x at a time; what is too old for the ring is dropped.
+// Add adds x at a time; a sample too old for the window is dropped.
 func (r *Ring) Add(at, x float64) {
 	slot := int64(at / r.width)
 	i := int(slot % int64(len(r.sums)))
@@ -27,7 +27,7 @@
 	r.sums[i] += x
 }
 
-// Sum is what was counted in the ring's span up to now, the present bucket included.
+// Sum is the sum over the window that ends now, the current bucket included.
 func (r *Ring) Sum(now float64) float64 {
 	least := int64(now/r.width) - int64(len(r.sums)) + 1
 	var sum float64
@@ -39,11 +39,11 @@
 	return sum
 }
 
-// Clear forgets all.
+// Clear drops all samples.
 func (r *Ring) Clear() {
 	clear(r.sums)
 	clear(r.slots)
 }
 
-// Chance is the seeded generator that all decisions share.
+// Chance is the seeded random generator of the router.
 type Chance = chance.Chance
--- a/router/footprint.go
+++ b/router/settings.go
@@ -1,7 +1,7 @@
 package router
 
-// Footprint is what a router is told of its deployment at its start: plain names, and values that are
-// float64, string, bool or lists of these. A name that is missing reads as zero.
+// Footprint holds the settings of a deployment, by name. Values are float64, string, bool or lists of these; a missing
+// name or a value of another type reads as the zero value.
 type Footprint map[string]any
 
 func (f Footprint) num(name string) float64 { return number(f[name]) }
@@ -21,7 +21,7 @@
 	return v
 }
 
-// numAt reads the i-th of a list of numbers.
+// numAt returns element i of a list of numbers, 0 where there is none.
 func (f Footprint) numAt(name string, i int) float64 {
 	if l := f.list(name); i >= 0 && i < len(l) {
 		return number(l[i])
@@ -29,7 +29,7 @@
 	return 0
 }
 
-// textAt reads the i-th of a list of texts.
+// textAt returns element i of a list of strings, empty where there is none.
 func (f Footprint) textAt(name string, i int) string {
 	if l := f.list(name); i >= 0 && i < len(l) {
 		v, _ := l[i].(string)
@@ -38,7 +38,7 @@
 	return ""
 }
 
-// flagAt reads the i-th of a list of flags.
+// flagAt returns element i of a list of booleans, false where there is none.
 func (f Footprint) flagAt(name string, i int) bool {
 	if l := f.list(name); i >= 0 && i < len(l) {
 		v, _ := l[i].(bool)
