--- a/router/helpers_test.go
+++ b/router/helpers_test.go
@@ -2,6 +2,7 @@
 
 import "fmt"
 
+// testSettings returns the settings of a deployment with edge caches, parents and an origin.
 func testSettings() Footprint {
 	return Footprint{
 		"zones": []any{"hub", "club"}, "zone": "club", "kinds": []any{"box", "parent", "origin"},
@@ -14,6 +15,7 @@
 	}
 }
 
+// testFleet returns a list of two edge caches, two parents and the origin.
 func testFleet() Listed {
 	return Listed{Scope: Restored, Entries: []Entry{
 		{Node: "e1", Kind: "box", Zone: "club", Weight: 10}, {Node: "e2", Kind: "box", Zone: "club", Weight: 10},
@@ -22,7 +24,7 @@
 	}}
 }
 
-// started is a router at time 0 with the list above.
+// startedRouter returns a router at time 0 that was given the list of testFleet.
 func startedRouter(f Footprint) *Router {
 	r := New()
 	r.Handle(0, Started{Seed: 7, Footprint: f})
@@ -30,7 +32,7 @@
 	return r
 }
 
-// find returns the actions of one type.
+// actionsOf returns the actions of one type.
 func actionsOf[A any](actions []Action) []A {
 	var found []A
 	for _, a := range actions {
@@ -41,37 +43,39 @@
 	return found
 }
 
+// videoRequest returns a download of the same video for each id.
 func videoRequest(id string) Arrived {
 	return Arrived{ID: id, Type: "video", Object: "match", Expiry: 1e6, Part: 3, Group: 4}
 }
 
+// finalAnswer is a Throttle or Abandon and its time.
 type finalAnswer struct {
 	at     float64
 	action Action
 }
 
-// answers hands an event over, then rings every alarm, and returns the final answers.
+// runToAnswer hands an event over, then fires every timer in turn, and returns the final answers.
 func runToAnswer(r *Router, now float64, e Event) []finalAnswer {
-	var end []finalAnswer
-	var bells []Alarm
+	var answers []finalAnswer
+	var alarms []Alarm
 	for {
 		actions := r.Handle(now, e)
-		bells = append(bells, actionsOf[Alarm](actions)...)
+		alarms = append(alarms, actionsOf[Alarm](actions)...)
 		for _, a := range actionsOf[Throttle](actions) {
-			end = append(end, finalAnswer{now, a})
+			answers = append(answers, finalAnswer{now, a})
 		}
 		for _, a := range actionsOf[Abandon](actions) {
-			end = append(end, finalAnswer{now, a})
+			answers = append(answers, finalAnswer{now, a})
 		}
-		if len(bells) == 0 {
-			return end
+		if len(alarms) == 0 {
+			return answers
 		}
-		now, e = max(now, bells[0].At), Rang{Token: bells[0].Token}
-		bells = bells[1:]
+		now, e = max(now, alarms[0].At), Rang{Token: alarms[0].Token}
+		alarms = alarms[1:]
 	}
 }
 
-// rig plays videos against a router, one every 5 ms, and carries out what it asks for.
+// harness sends a router downloads and carries out its actions.
 type harness struct {
 	r       *Router
 	now     float64
@@ -80,6 +84,7 @@
 	pulls   map[string]int
 }
 
+// pendingEvent is an event that is due at a later time.
 type pendingEvent struct {
 	at    float64
 	event Event
@@ -89,49 +94,50 @@
 	return &harness{r: startedRouter(testSettings()), pulls: map[string]int{}}
 }
 
-// life plays some seconds and answers each pull as how says, after the time it gives; a negative time means never
-// before the expiry. It returns how many pulls each node got as target and as source.
-func (g *harness) play(seconds int, how func(Pull) (Status, Note, float64)) (at, by map[string]int) {
-	at, by = map[string]int{}, map[string]int{}
+// play sends one download every 5 ms for some seconds. The reply function gives the status, note and time in ms of each
+// pull; a negative time means that no answer comes before the expiry. play returns how many pulls each node got as
+// target and as source.
+func (g *harness) play(seconds int, reply func(Pull) (Status, Note, float64)) (byNode, bySource map[string]int) {
+	byNode, bySource = map[string]int{}, map[string]int{}
 	run := func(e Event) {
-		for _, a := range g.r.Handle(g.now, e) {
-			switch a := a.(type) {
+		for _, action := range g.r.Handle(g.now, e) {
+			switch action := action.(type) {
 			case Alarm:
-				g.alarms = append(g.alarms, a)
+				g.alarms = append(g.alarms, action)
 			case Probe:
-				g.pending = append(g.pending, pendingEvent{g.now + 1, Probed{Node: a.Node}})
+				g.pending = append(g.pending, pendingEvent{g.now + 1, Probed{Node: action.Node}})
 			case Pull:
-				at[a.Node]++
-				by[a.Source]++
-				status, note, took := how(a)
-				if took < 0 || took > a.Timeout {
-					status, took = TimedOut, a.Timeout
+				byNode[action.Node]++
+				bySource[action.Source]++
+				status, note, took := reply(action)
+				if took < 0 || took > action.Timeout {
+					status, took = TimedOut, action.Timeout
 				}
-				g.pending = append(g.pending, pendingEvent{g.now + took, Ended{ID: a.ID, Pull: g.pulls[a.ID], Status: status,
-					Note: note, Took: took, Closed: status == Fulfilled}})
-				g.pulls[a.ID]++
+				g.pending = append(g.pending, pendingEvent{g.now + took, Ended{ID: action.ID, Pull: g.pulls[action.ID],
+					Status: status, Note: note, Took: took, Closed: status == Fulfilled}})
+				g.pulls[action.ID]++
 			}
 		}
 	}
 	for end := g.now + 1000*float64(seconds); g.now < end; {
 		g.now += 5
 		for j := 0; j < len(g.alarms); j++ {
-			if b := g.alarms[j]; b.At <= g.now {
+			if alarm := g.alarms[j]; alarm.At <= g.now {
 				g.alarms = append(g.alarms[:j:j], g.alarms[j+1:]...)
 				j--
-				run(Rang{Token: b.Token})
+				run(Rang{Token: alarm.Token})
 			}
 		}
 		for j := 0; j < len(g.pending); j++ {
-			if o := g.pending[j]; o.at <= g.now {
+			if due := g.pending[j]; due.at <= g.now {
 				g.pending = append(g.pending[:j:j], g.pending[j+1:]...)
 				j--
-				run(o.event)
+				run(due.event)
 			}
 		}
-		a := videoRequest(fmt.Sprint(g.now))
-		a.Object, a.Expiry, a.Size = fmt.Sprint("o", int(g.now/5)%300), g.now+3000, 200
-		run(a)
+		action := videoRequest(fmt.Sprint(g.now))
+		action.Object, action.Expiry, action.Size = fmt.Sprint("o", int(g.now/5)%300), g.now+3000, 200
+		run(action)
 	}
-	return at, by
+	return byNode, bySource
 }
--- a/router/model_test.go
+++ b/router/model_test.go
@@ -7,20 +7,21 @@
 	"testing/quick"
 )
 
-// model is the rules, plain and slow: it remembers all that was sent and looks through it again each time.
+// ruleModel is a slow, direct form of the rules: it remembers every pull and checks each action against all of them.
 type ruleModel struct {
 	settings       Footprint
 	now            float64
 	nodeStates     map[string]State
 	nodeBooted     map[string]float64
-	startLearnedAt map[string]float64 // when this gateway heard of a node's start
+	startLearnedAt map[string]float64 // when this gateway learned of a node's start
 	nodeZones      map[string]string
 	downloads      map[string]*modelDownload
 	pulls          []*modelPull
 	purgedAt       map[int64]float64
-	violation      string
+	violation      string // the first one found
 }
 
+// modelDownload is a download that the router must answer, and its pulls.
 type modelDownload struct {
 	Arrived
 	effectClass string
@@ -28,6 +29,7 @@
 	pulls       []*modelPull
 }
 
+// modelPull is a pull that the router sent.
 type modelPull struct {
 	Pull
 	sentAt               float64
@@ -36,21 +38,22 @@
 	cost, expiresAt      float64
 }
 
+// fail records the first violation.
 func (m *ruleModel) fail(format string, args ...any) {
 	if m.violation == "" {
 		m.violation = fmt.Sprintf("at %.1f: ", m.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-// act takes one action and says whether the rules allow it.
+// checkAction checks that the rules allow an action; alarms are collected.
 func (m *ruleModel) checkAction(a Action, alarms *[]Alarm) {
 	switch a := a.(type) {
 	case Alarm:
 		*alarms = append(*alarms, a)
 	case Throttle:
-		if o := m.downloads[a.ID]; m.checkFinalAnswer(o, a.ID) && o.effectClass != "retriable" {
-			for _, s := range o.pulls {
-				if s.mayHaveRun || s.inFlight {
+		if d := m.downloads[a.ID]; m.checkFinalAnswer(d, a.ID) && d.effectClass != "retriable" {
+			for _, p := range d.pulls {
+				if p.mayHaveRun || p.inFlight {
 					m.fail("throttled %s, a pull of which may have run", a.ID)
 				}
 			}
@@ -62,83 +65,90 @@
 	}
 }
 
-func (m *ruleModel) checkFinalAnswer(o *modelDownload, id string) bool {
-	if o == nil || o.answered || m.now > o.Expiry+20 {
-		m.fail("answered %s, which owes nothing or is overdue", id)
+// checkFinalAnswer checks that a download still needs an answer and marks it as answered.
+func (m *ruleModel) checkFinalAnswer(d *modelDownload, id string) bool {
+	if d == nil || d.answered || m.now > d.Expiry+20 {
+		m.fail("answered %s, which needs no answer or is overdue", id)
 		return false
 	}
-	o.answered = true
+	d.answered = true
 	return true
 }
 
+// checkPull checks a pull against the rules on repeats, expiry, purges, draining nodes and cold budgets.
 func (m *ruleModel) checkPull(a Pull) {
-	o := m.downloads[a.ID]
-	if o == nil || o.answered || m.now >= o.Expiry || a.Timeout > o.Expiry-m.now+0.001 {
-		m.fail("pulled %s, which has ended or goes on too long", a.ID)
+	d := m.downloads[a.ID]
+	if d == nil || d.answered || m.now >= d.Expiry || a.Timeout > d.Expiry-m.now+0.001 {
+		m.fail("pulled %s, which has ended or expires before the pull", a.ID)
 		return
 	}
-	for _, s := range o.pulls {
-		if s.inFlight || s.mayHaveRun && o.effectClass == "non-retriable" {
+	for _, p := range d.pulls {
+		if p.inFlight || p.mayHaveRun && d.effectClass == "non-retriable" {
 			m.fail("pulled %s again", a.ID)
 		}
-		if s.mayHaveRun && o.effectClass == "deduped" && (m.nodeZones[s.Node] != m.nodeZones[a.Node] || m.now >= s.sentAt+5000) {
-			m.fail("pulled %s again out of its group or window", a.ID)
+		if p.mayHaveRun && d.effectClass == "deduped" &&
+			(m.nodeZones[p.Node] != m.nodeZones[a.Node] || m.now >= p.sentAt+5000) {
+			m.fail("pulled %s again outside its dedupe group or window", a.ID)
 		}
 	}
-	s := &modelPull{Pull: a, sentAt: m.now, inFlight: true, expiresAt: m.now + a.Timeout, cost: 1000 * o.Size / m.settings.num("flow")}
-	o.pulls = append(o.pulls, s)
-	m.pulls = append(m.pulls, s)
-	if at, ok := m.purgedAt[o.Group]; ok && !o.Write && m.now < at+6000 && (a.MaxAge <= 0 || a.MaxAge > m.now-at) {
-		m.fail("pull of %s takes copies of age %v, purged %v ago", a.ID, a.MaxAge, m.now-at)
+	p := &modelPull{Pull: a, sentAt: m.now, inFlight: true, expiresAt: m.now + a.Timeout,
+		cost: 1000 * d.Size / m.settings.num("flow")}
+	d.pulls = append(d.pulls, p)
+	m.pulls = append(m.pulls, p)
+	if at, ok := m.purgedAt[d.Group]; ok && !d.Write && m.now < at+6000 && (a.MaxAge <= 0 || a.MaxAge > m.now-at) {
+		m.fail("pull of %s accepts copies of age %v, purged %v ago", a.ID, a.MaxAge, m.now-at)
 	}
 	for _, id := range []string{a.Node, a.Source} {
 		if m.nodeStates[id] != Running {
-			m.fail("pull of %s names %s, which drains or is gone", a.ID, id)
+			m.fail("pull of %s names %s, which is draining or gone", a.ID, id)
 		}
 		m.checkColdBudget(id)
 	}
 }
 
-// cold adds up what a node that started lately was asked for in the last window.
+// checkColdBudget sums what a recently started node was asked for in the last window and compares it with its budget.
 func (m *ruleModel) checkColdBudget(id string) {
-	from, time, multiple, weight := 0.2, 10_000.0, 2.0, 10.0
+	initialShare, warmTime, multiple, weight := 0.2, 10_000.0, 2.0, 10.0
 	if id[0] == 'p' {
-		from, weight = 0.1, 20
+		initialShare, weight = 0.1, 20
 	}
 	age := m.now - m.nodeBooted[id]
-	if m.nodeBooted[id] == 0 || age >= time || id == "o" { // the origin is no cache
+	if m.nodeBooted[id] == 0 || age >= warmTime || id == "o" { // the origin is no cache
 		return
 	}
-	asked := 0.0
-	for _, s := range m.pulls {
-		if s.sentAt > m.now-1000 && s.sentAt >= m.startLearnedAt[id] && (s.Node == id || s.Source == id && !s.answeredFromCopy) {
-			asked += s.cost
+	requested := 0.0
+	for _, p := range m.pulls {
+		if p.sentAt > m.now-1000 && p.sentAt >= m.startLearnedAt[id] &&
+			(p.Node == id || p.Source == id && !p.answeredFromCopy) {
+			requested += p.cost
 		}
 	}
-	if most := multiple * (from + (1-from)*age/time) * weight * 1000; asked > most {
-		m.fail("cold %s was asked for %.0f ms in a window, it bears %.0f", id, asked, most)
+	if budget := multiple * (initialShare + (1-initialShare)*age/warmTime) * weight * 1000; requested > budget {
+		m.fail("cold %s was asked for %.0f ms in a window, its budget is %.0f ms", id, requested, budget)
 	}
 }
 
-// TestRulesAgainstModel plays random days and has the model look at every action.
+// TestRulesAgainstModel runs random scenarios and checks every action of the router against the model.
 func TestRulesAgainstModel(t *testing.T) {
-	day := func(seed int64) bool {
-		if broken := playRandomDay(seed); broken != "" {
-			t.Logf("seed %d: %s", seed, broken)
+	check := func(seed int64) bool {
+		if violation := playRandomDay(seed); violation != "" {
+			t.Logf("seed %d: %s", seed, violation)
 			return false
 		}
 		return true
 	}
-	if err := quick.Check(day, &quick.Config{MaxCount: 150, Rand: rand.New(rand.NewSource(3))}); err != nil {
+	if err := quick.Check(check, &quick.Config{MaxCount: 150, Rand: rand.New(rand.NewSource(3))}); err != nil {
 		t.Error(err)
 	}
 }
 
+// playRandomDay runs a random scenario of downloads, failures, purges, list changes and restarts, and returns the first
+// violation, empty if there is none.
 func playRandomDay(seed int64) string {
-	dice := rand.New(rand.NewSource(seed))
+	random := rand.New(rand.NewSource(seed))
 	f := testSettings()
-	f["direct"], f["notes"] = dice.Intn(2) == 0, []string{"hit", "none"}[dice.Intn(2)]
-	f["gateways by zone"] = []any{0.0, []any{1.0, 12.0}[dice.Intn(2)]} // of several, each asks what the parent holds
+	f["direct"], f["notes"] = random.Intn(2) == 0, []string{"hit", "none"}[random.Intn(2)]
+	f["gateways by zone"] = []any{0.0, []any{1.0, 12.0}[random.Intn(2)]} // with several gateways, each asks for what the parent holds
 	f["types"], f["target"] = []any{"video", "sale", "order"}, []any{600.0, 800.0, 700.0}
 	f["repeat"] = []any{"retriable", "non-retriable", "deduped"}
 	f["dedupe group"], f["dedupe window"] = []any{"all", "all", "zone"}, []any{0.0, 0.0, 5000.0}
@@ -146,136 +156,136 @@
 		startLearnedAt: map[string]float64{}, nodeZones: map[string]string{}}
 	var r *Router
 	var alarms []Alarm
-	tell := func(e Event) {
+	handle := func(e Event) {
 		for _, a := range r.Handle(m.now, e) {
 			m.checkAction(a, &alarms)
 		}
 	}
 	list := testFleet()
 	list.Entries = append(list.Entries, Entry{Node: "x1", Kind: "box", Zone: "other", Weight: 10})
-	f["siblings"] = []string{"none", "any"}[dice.Intn(2)]
+	f["siblings"] = []string{"none", "any"}[random.Intn(2)]
 	start := func() {
 		r, alarms, m.downloads, m.purgedAt = New(), nil, map[string]*modelDownload{}, map[int64]float64{}
-		for _, s := range m.pulls {
-			s.inFlight = false
+		for _, p := range m.pulls {
+			p.inFlight = false
 		}
-		tell(Started{Seed: uint64(seed), Footprint: f})
+		handle(Started{Seed: uint64(seed), Footprint: f})
 		list.Scope = Restored
 		for _, e := range list.Entries {
 			m.nodeStates[e.Node], m.nodeZones[e.Node] = e.State, e.Zone
 		}
-		tell(list)
+		handle(list)
 	}
 	start()
 	for step := 0; step < 1500 && m.violation == ""; step++ {
-		m.now += float64(dice.Intn(200)) / 10
-		for due := true; due; { // what is due comes before anything else
+		m.now += float64(random.Intn(200)) / 10
+		for due := true; due; { // timers that are due fire before any other event
 			due = false
 			for i, a := range alarms {
 				if a.At <= m.now {
 					alarms, due = append(alarms[:i:i], alarms[i+1:]...), true
-					tell(Rang{Token: a.Token})
+					handle(Rang{Token: a.Token})
 					break
 				}
 			}
 		}
-		for _, s := range m.pulls {
-			if s.inFlight && m.downloads[s.ID] != nil && (m.now >= s.expiresAt || dice.Intn(25) == 0) {
-				endPull(m, s, tell, dice)
+		for _, p := range m.pulls {
+			if p.inFlight && m.downloads[p.ID] != nil && (m.now >= p.expiresAt || random.Intn(25) == 0) {
+				endPull(m, p, handle, random)
 			}
 		}
-		switch dice.Intn(40) {
+		switch random.Intn(40) {
 		case 0:
-			i := dice.Intn(len(list.Entries))
+			i := random.Intn(len(list.Entries))
 			e := list.Entries[i]
-			if e.State = State(dice.Intn(3)); e.State == Running && dice.Intn(2) == 0 {
-				e.Booted = m.now - float64(dice.Intn(2000))
+			if e.State = State(random.Intn(3)); e.State == Running && random.Intn(2) == 0 {
+				e.Booted = m.now - float64(random.Intn(2000))
 				m.nodeBooted[e.Node], m.startLearnedAt[e.Node] = e.Booted, m.now
 			}
 			list.Entries[i], m.nodeStates[e.Node] = e, e.State
-			tell(Listed{Scope: Changes, Entries: []Entry{e}})
+			handle(Listed{Scope: Changes, Entries: []Entry{e}})
 		case 1:
-			group, age := int64(dice.Intn(3)), float64(dice.Intn(300))
+			group, age := int64(random.Intn(3)), float64(random.Intn(300))
 			m.purgedAt[group] = max(m.purgedAt[group], m.now-age)
-			tell(Purged{Group: group, Age: age})
+			handle(Purged{Group: group, Age: age})
 		case 2:
-			if dice.Intn(6) == 0 {
+			if random.Intn(6) == 0 {
 				start()
 			}
 		default:
-			k := dice.Intn(3)
-			a := Arrived{ID: fmt.Sprint(step, "-", seed), Type: f.textAt("types", k), Object: fmt.Sprint(dice.Intn(60)),
-				Expiry: m.now + float64(dice.Intn(2500)), Size: 500 * float64(k+1), Write: k == 1}
-			a.Group = int64(len(a.Object)) // any that is the object's own
+			k := random.Intn(3)
+			a := Arrived{ID: fmt.Sprint(step, "-", seed), Type: f.textAt("types", k), Object: fmt.Sprint(random.Intn(60)),
+				Expiry: m.now + float64(random.Intn(2500)), Size: 500 * float64(k+1), Write: k == 1}
+			a.Group = int64(len(a.Object)) // any number that depends only on the object
 			m.downloads[a.ID] = &modelDownload{Arrived: a, effectClass: f.textAt("repeat", k)}
-			tell(a)
+			handle(a)
 		}
-		for _, o := range m.downloads {
-			if !o.answered && m.now > o.Expiry+25 {
-				m.fail("%s never got an answer", o.ID)
+		for _, d := range m.downloads {
+			if !d.answered && m.now > d.Expiry+25 {
+				m.fail("%s got no answer", d.ID)
 			}
 		}
 	}
 	return m.violation
 }
 
-// end makes up how a pull ended.
-func endPull(m *ruleModel, s *modelPull, tell func(Event), dice *rand.Rand) {
-	o := m.downloads[s.ID]
-	e := Ended{ID: s.ID, Status: Status(dice.Intn(9)), Took: m.now - s.sentAt}
-	for i, p := range o.pulls {
-		if p == s {
+// endPull hands over a random end of a pull.
+func endPull(m *ruleModel, sent *modelPull, handle func(Event), random *rand.Rand) {
+	d := m.downloads[sent.ID]
+	e := Ended{ID: sent.ID, Status: Status(random.Intn(9)), Took: m.now - sent.sentAt}
+	for i, p := range d.pulls {
+		if p == sent {
 			e.Pull = i
 		}
 	}
-	if dice.Intn(3) > 0 {
+	if random.Intn(3) > 0 {
 		e.Status = Fulfilled
 	}
-	if m.now >= s.expiresAt {
+	if m.now >= sent.expiresAt {
 		e.Status = TimedOut
 	}
 	if e.Status == Fulfilled {
-		o.answered = true
+		d.answered = true
 		if m.settings.text("notes") == "hit" {
-			e.Note = Note(1 + dice.Intn(2))
-			s.answeredFromCopy = e.Note == Held
+			e.Note = Note(1 + random.Intn(2))
+			sent.answeredFromCopy = e.Note == Held
 		}
 	}
-	s.inFlight, e.Closed = false, o.answered
-	s.mayHaveRun = e.Status != TurnedAway && e.Status != NotConnected && e.Status != NeverSent && e.Status != Missed
-	tell(e)
+	sent.inFlight, e.Closed = false, d.answered
+	sent.mayHaveRun = e.Status != TurnedAway && e.Status != NotConnected && e.Status != NeverSent && e.Status != Missed
+	handle(e)
 }
 
-// TestManyGatewaysShareAColdParent adds up what all gateways together ask of a parent that has just started, where
-// the part of each is less than one pull: never more than it bears, and not nothing.
+// TestManyGatewaysShareAColdParent sums what all gateways together request of a parent that has just started, where the
+// share of each is less than one pull: never more than its budget, and more than nothing.
 func TestManyGatewaysShareAColdParent(t *testing.T) {
-	day := func(seed int64) bool {
-		dice := rand.New(rand.NewSource(seed))
-		m := &ruleModel{settings: testSettings(), now: 100_000, nodeStates: map[string]State{}, nodeBooted: map[string]float64{"p1": 100_000},
-			startLearnedAt: map[string]float64{}}
+	check := func(seed int64) bool {
+		random := rand.New(rand.NewSource(seed))
+		m := &ruleModel{settings: testSettings(), now: 100_000, nodeStates: map[string]State{},
+			nodeBooted: map[string]float64{"p1": 100_000}, startLearnedAt: map[string]float64{}}
 		list := testFleet()
 		list.Entries[2].Booted = 100_000
-		many := make([]*Router, 50+dice.Intn(150))
-		for i := range many {
+		routers := make([]*Router, 50+random.Intn(150))
+		for i := range routers {
 			f := testSettings()
-			f["gateways"], f["number"] = float64(len(many)), float64(i)
-			f["gateways by zone"] = []any{0.0, float64(len(many) / 5)}
-			many[i] = New()
-			many[i].Handle(0, Started{Seed: uint64(i), Footprint: f})
-			many[i].Handle(100_000, list)
+			f["gateways"], f["number"] = float64(len(routers)), float64(i)
+			f["gateways by zone"] = []any{0.0, float64(len(routers) / 5)}
+			routers[i] = New()
+			routers[i].Handle(0, Started{Seed: uint64(i), Footprint: f})
+			routers[i].Handle(100_000, list)
 		}
-		asked := 0
+		fills := 0
 		for step := 0; step < 6000 && m.violation == ""; step++ {
 			m.now += 1
-			r, a := many[dice.Intn(len(many))], videoRequest(fmt.Sprint(step))
-			a.Object, a.Expiry, a.Size = fmt.Sprint(dice.Intn(5000)), m.now+3000, 3000
+			r, a := routers[random.Intn(len(routers))], videoRequest(fmt.Sprint(step))
+			a.Object, a.Expiry, a.Size = fmt.Sprint(random.Intn(5000)), m.now+3000, 3000
 			for n, e := 0, Event(a); e != nil; n++ {
 				pulls := actionsOf[Pull](r.Handle(m.now, e))
 				if e = nil; len(pulls) == 0 {
 					break
 				}
 				if p := pulls[0]; p.Source == "p1" {
-					asked++
+					fills++
 					m.pulls = append(m.pulls, &modelPull{Pull: p, sentAt: m.now, cost: 300})
 					m.checkColdBudget("p1")
 				}
@@ -285,12 +295,12 @@
 				}
 			}
 		}
-		if m.violation != "" || asked < 10 {
-			t.Logf("%d gateways: %d asked; %s", len(many), asked, m.violation)
+		if m.violation != "" || fills < 10 {
+			t.Logf("%d gateways: %d fills of the cold parent, want at least 10; %s", len(routers), fills, m.violation)
 		}
-		return m.violation == "" && asked >= 10
+		return m.violation == "" && fills >= 10
 	}
-	if err := quick.Check(day, &quick.Config{MaxCount: 5, Rand: rand.New(rand.NewSource(5))}); err != nil {
+	if err := quick.Check(check, &quick.Config{MaxCount: 5, Rand: rand.New(rand.NewSource(5))}); err != nil {
 		t.Error(err)
 	}
 }
--- a/router/prefetch_test.go
+++ b/router/prefetch_test.go
@@ -5,12 +5,13 @@
 	"testing"
 )
 
-// What fills a cache ahead goes to that cache alone, with the mechanism deciding what is kept; it is given up at once where what is asked
-// for leaves it no room, where the node is cold and its part is spent, and where there is no such cache. It is no sign of what is asked for.
+// A prefetch goes only to the cache that it fills, and the usual rules decide whether the copy is kept. It is given up at
+// once where requests leave it no room, where the node is cold and its budget is spent, and where there is no such
+// cache. It does not count as demand.
 func TestPrefetchFillsOnlyItsCache(t *testing.T) {
 	r := startedRouter(testSettings())
 	r.Handle(0, Listed{Entries: []Entry{{Node: "e3", Kind: "box", Zone: "club", Weight: 10, Booted: 1}}})
-	ahead := func(id, only, object string) Arrived {
+	prefetch := func(id, only, object string) Arrived {
 		a := videoRequest(id)
 		a.Only, a.Object, a.Size = only, object, 500
 		return a
@@ -18,16 +19,16 @@
 	pulls, throttled := 0, 0
 	for i := range 400 {
 		at := 2000.0 + float64(i)/10
-		do := r.Handle(at, ahead(fmt.Sprint("a", i), "e3", fmt.Sprint("o", i)))
-		for _, p := range actionsOf[Pull](do) {
+		actions := r.Handle(at, prefetch(fmt.Sprint("a", i), "e3", fmt.Sprint("o", i)))
+		for _, p := range actionsOf[Pull](actions) {
 			if p.Node != "e3" {
-				t.Fatalf("goes to %s", p.Node)
+				t.Fatalf("a prefetch for e3 goes to %s", p.Node)
 			}
 			pulls++
 			r.Handle(at, Ended{ID: p.ID, Status: Fulfilled, Note: FilledBySource, Took: 1, Closed: true})
 		}
-		throttled += len(actionsOf[Throttle](do))
-		if len(actionsOf[Abandon](do)) > 0 {
+		throttled += len(actionsOf[Throttle](actions))
+		if len(actionsOf[Abandon](actions)) > 0 {
 			t.Fatal("abandoned")
 		}
 	}
@@ -35,12 +36,13 @@
 		t.Errorf("%d pulls and %d throttled of 400, within one window of a cold cache", pulls, throttled)
 	}
 	if hot := r.Hot("e3", 10); len(hot) != 0 {
-		t.Errorf("what was filled ahead counts as asked for: %v", hot)
+		t.Errorf("prefetches count as demand: %v", hot)
 	}
-	if do := r.Handle(3000, ahead("none", "e9", "o")); len(actionsOf[Throttle](do)) != 1 || len(actionsOf[Pull](do)) != 0 {
-		t.Errorf("for a cache that is not there: %v", do)
+	if actions := r.Handle(3000, prefetch("none", "e9", "o")); len(actionsOf[Throttle](actions)) != 1 || len(actionsOf[Pull](actions)) != 0 {
+		t.Errorf("prefetch for an unknown cache: %v", actions)
 	}
-	// Asked for at times that rise with its number, each object is hot at one cache, the most first.
+	// Each object is requested more often the higher its number, and is hot at one cache, which lists the most
+	// requested first.
 	for i := range 30 {
 		for n := range i + 1 {
 			a := videoRequest(fmt.Sprint("w", i, "-", n))
@@ -55,7 +57,7 @@
 			n := 0
 			fmt.Sscanf(w.Object, "w%d", &n)
 			if seen[w.Object]++; n > last || w.Type != "video" || w.Part != 3 || w.Group != 4 {
-				t.Errorf("at %s %+v after w%d", node, w, last)
+				t.Errorf("at %s: %+v listed after w%d", node, w, last)
 			}
 			last = n
 		}
@@ -64,6 +66,6 @@
 		t.Errorf("%d of 30 objects are hot somewhere", len(seen))
 	}
 	if got := r.Hot("e1", 2); len(got) > 2 || len(r.Hot("gone", 2)) != 0 {
-		t.Errorf("%v", got)
+		t.Errorf("e1 with a limit of 2: %v; or an unknown node has hot objects", got)
 	}
 }
