--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -12,9 +12,9 @@
 	"poppymill/router"
 )
 
-type sink struct{}
+type discardClient struct{}
 
-func (sink) Answer(_ uint16, a clients.Answer) { a.Body.Release() }
+func (discardClient) Answer(_ uint16, a clients.Answer) { a.Body.Release() }
 
 // loopback is a wire at whose other end a node answers what comes, as soon as it is asked to.
 type loopback struct{ queue []*caches.Item }
@@ -57,9 +57,9 @@
 					lines = append(lines, l)
 					return l
 				})
-			core := NewCore(c, pool, quiet(), now)
+			core := NewCore(c, pool, discardLogger(), now)
 			core.Handle(Told{News: list, At: now})
-			var client sink
+			var client discardClient
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -1,5 +1,6 @@
-// Package gateway carries out what its router decides and reports what became of it. Core is the whole of a
-// gateway's state, without socket or clock, and belongs to one goroutine; Serve puts the peers round it.
+// Package gateway runs one gateway: it executes the decisions of its router and reports their outcomes back to it.
+// Core holds the whole state of a gateway and uses neither sockets nor a clock; a single goroutine owns it. Serve
+// connects it to the network.
 package gateway
 
 import (
@@ -21,14 +22,14 @@
 	"poppymill/router"
 )
 
-// Client is a connection that waits for answers.
+// Client is a connection on which requests are answered. ID is the request's id on that connection.
 type Client interface {
 	Answer(id uint16, a clients.Answer)
 }
 
-// What the peers post, each with the time at which it happened.
+// Events that the network side posts to a Core. At is the time at which the event happened, in Unix ms.
 type (
-	// Asked is a request that has come whole.
+	// Asked reports a request that was received completely.
 	Asked struct {
 		Client Client
 		ID     uint16
@@ -36,143 +37,147 @@
 		Body   *buffer.Chain
 		At     float64
 	}
-	// Aborted is a request that its client gives up.
+	// Aborted reports a request that its client aborted.
 	Aborted struct {
 		Client Client
 		ID     uint16
 		At     float64
 	}
-	// Closed is a client's connection that has ended.
-	Closed struct {
+	// ClientClosed reports that a client's connection was closed.
+	ClientClosed struct {
 		Client Client
 		At     float64
 	}
-	// Told is an event of the command channel.
+	// Told reports an event of the command channel.
 	Told struct {
 		News channel.News
 		At   float64
 	}
 )
 
-// Counters are what a gateway has seen since its start.
+// Counters count events since the start of the gateway; the log line "counters" writes each under its own name.
+// Taken counts accepted downloads; Kept those of the Fulfilled whose client keeps the copy that it has; Left those
+// that their client aborted; Refused malformed requests; Turned requests turned away at the limit of open downloads
+// or during shutdown; Overdue downloads that the router left unanswered; Forbidden requests refused by their link.
 type Counters struct {
 	Taken, Fulfilled, Kept, Throttled, Abandoned, Left, Refused, Turned, Overdue, Pulls, Probes, Panics, Forbidden int
 }
 
-// Core is a gateway without its sockets.
+// Core is the state machine of a gateway. It is not safe for concurrent use.
 type Core struct {
 	Counters
-	config    *footprint.Config
-	log       logrus.FieldLogger
-	scarce    *scarce
-	desk      *desk     // of signed links; nil: off
-	fair      *fairDoor // of fair shares; nil: off
-	router    *router.Router
-	pool      *caches.Pool
-	downloads map[string]*download
-	clients   map[Client]map[uint16]*download
-	probes    map[*caches.Pull]*timer
-	addresses map[string]string
-	timers    timers
-	tell      []router.Event
-	telling   bool
-	now       float64
-	boots     func(node router.Entry) // told of nodes as they are listed, where somebody fills them ahead; nil: nobody does
-	nodes     map[string]router.Entry // as they are listed
-	listed    func(there map[string]bool)
-	meter     *meter   // what machines out for work are judged by; nil: nobody asks
-	void      *voids   // copies that were purged by the gateways' own agreement; nil: it agrees on nothing
-	left      *leaving // nodes that it sends nothing to, whatever the list says; nil: none
-	aheads    int      // downloads of this gateway's own, so far
-	most      int      // of those open at a time
-	open      int      // downloads that are owed an answer
-	ending    bool     // told to end
-	over      bool     // nothing more is taken
-}
-
-// download is one that was taken: until its one answer, and then until its last pull has ended.
+	config       *footprint.Config
+	log          logrus.FieldLogger
+	warnings     *warnLimiter
+	links        *desk     // signed links; nil if disabled
+	fair         *fairDoor // fair admission; nil if disabled
+	router       *router.Router
+	pool         *caches.Pool
+	downloads    map[string]*download
+	clients      map[Client]map[uint16]*download
+	probes       map[*caches.Pull]*timer
+	addresses    map[string]string
+	timers       timers
+	events       []router.Event
+	dispatching  bool
+	now          float64
+	nodeListed   func(node router.Entry)     // called for each running node in a node list; nil if nothing prefetches
+	nodes        map[string]router.Entry     // as listed by the command channel
+	nodesChanged func(there map[string]bool) // called with whether each node is running; nil if unused
+	meter        *loadMeter                  // measurements for maintenance and purges; nil if disabled
+	purges       *purgeBounds                // purges agreed on by the gateways' quorum; nil without a quorum
+	drained      *drainedNodes               // nodes drained for maintenance, whatever the list says; nil if none
+	prefetches   int                         // prefetch downloads started so far
+	maxOpen      int                         // limit of open
+	open         int                         // downloads not answered yet
+	shuttingDown bool                        // the health check fails from now on
+	stopped      bool                        // new requests are turned away
+}
+
+// download is an accepted download. It is kept until it is answered, once, and its last pull has ended.
 type download struct {
-	id, typ, object, mine string
-	key                   string // by which caches tell repeats of a deduped one; empty: its client brought none
-	client                Client
-	number                uint16 // on the client's connection
-	part, group           int64
-	expiry                float64
-	body                  *buffer.Chain
-	copies                bool    // it is answered by a copy, not by what it does
-	once                  bool    // it must not run twice
-	fresh                 float64 // ms, how old a copy may be where a pull doesn't say; 0: any
-	pulls                 []*pull
-	last                  *caches.Pull
-	timer                 *timer
-	out                   int
-	answered              bool
-	only                  string   // the edge cache that it is to fill ahead
-	link                  *linked  // nil where links are off
-	share                 *sharing // nil where shares are
-}
-
+	id, typ, object, clientSum string // clientSum: checksum of the copy that the client already has
+	idempotencyKey             string // lets caches detect repeats of a deduped download; empty if the client sent none
+	client                     Client
+	requestID                  uint16 // id of the request on the client's connection
+	part, group                int64
+	expiry                     float64
+	body                       *buffer.Chain
+	cacheable                  bool    // answered from a copy rather than by a side effect
+	atMostOnce                 bool    // must not run twice
+	maxAge                     float64 // ms; maximum age of a copy where the pull sets none; 0: any
+	pulls                      []*pull
+	lastPull                   *caches.Pull
+	expiryTimer                *timer
+	openPulls                  int // pulls that have not ended
+	answered                   bool
+	prefetchNode               string   // the edge cache to prefetch into; empty for a client's download
+	link                       *linked  // nil if links are disabled
+	share                      *sharing // nil if fair admission is disabled
+}
+
+// pull is one attempt of a download at a node.
 type pull struct {
-	dl           *download
-	n            int
-	wire         *caches.Pull // nil once it has ended
+	download     *download
+	index        int
+	cachePull    *caches.Pull // nil once the pull has ended
 	node, source string
-	sent         float64
-	timer        *timer
-	within       *timer // nil where it may go out until it times out
+	sentAt       float64
+	timeout      *timer
+	sendDeadline *timer // nil if it may be sent until it times out
 }
 
-// NewCore makes a gateway, tells its router what is known at its start, and is ready then.
+// NewCore returns a core whose router has been given the settings and all that is known at the start.
 func NewCore(c *footprint.Config, pool *caches.Pool, log logrus.FieldLogger, now float64) *Core {
-	g := &Core{config: c, log: log, scarce: &scarce{log: log}, router: router.New(), pool: pool, downloads: map[string]*download{},
+	g := &Core{config: c, log: log, warnings: &warnLimiter{log: log}, router: router.New(), pool: pool, downloads: map[string]*download{},
 		clients: map[Client]map[uint16]*download{}, probes: map[*caches.Pull]*timer{},
-		addresses: map[string]string{}, nodes: map[string]router.Entry{}, most: Share(c).Open, now: now}
-	g.event(router.Started{Seed: c.Seed, Footprint: c.Footprint})
+		addresses: map[string]string{}, nodes: map[string]router.Entry{}, maxOpen: Share(c).Open, now: now}
+	g.emit(router.Started{Seed: c.Seed, Footprint: c.Footprint})
 	for _, n := range c.Known {
 		g.news(n)
 	}
-	g.settle()
+	g.dispatch()
 	return g
 }
 
-// Open counts the downloads that are owed an answer.
+// Open returns the number of downloads that are not answered yet.
 func (g *Core) Open() int { return g.open }
 
-// Handle takes what a peer has posted. What was due before it happened comes before it.
+// Handle processes an event. Timers that were due before the event fire first.
 func (g *Core) Handle(e any) {
 	switch e := e.(type) {
 	case Asked:
 		g.Ring(e.At)
-		g.asked(e)
+		g.handleRequest(e)
 	case Aborted:
 		g.Ring(e.At)
-		// One that was answered meanwhile is over, and its number may already be another's.
+		// The request may have been answered meanwhile, and its id reused by another.
 		if d := g.clients[e.Client][e.ID]; d != nil {
-			g.leave(d)
+			g.cancel(d)
 			e.Client.Answer(e.ID, clients.Answer{None: true})
 		}
-	case Closed:
+	case ClientClosed:
 		g.Ring(e.At)
 		for _, id := range slices.Sorted(maps.Keys(g.clients[e.Client])) {
-			g.leave(g.clients[e.Client][id])
+			g.cancel(g.clients[e.Client][id])
 		}
 	case Told:
 		g.Ring(e.At)
 		g.news(e.News)
 	case Ahead:
 		g.Ring(e.At)
-		g.ahead(e)
-	case Leave:
+		g.prefetch(e)
+	case DrainNodes:
 		g.Ring(e.At)
-		g.leaveNodes(e)
-	case Void:
+		g.drainNodes(e)
+	case ApplyMarks:
 		g.Ring(e.At)
-		g.voided(e)
+		g.applyMarks(e)
 	case Rekeyed:
-		if g.desk != nil {
-			g.desk.block = e.Block
-			g.desk.door.Change(e.Block.Settings)
-			g.desk.door.Keys(e.Ring)
+		if g.links != nil {
+			g.links.block = e.Block
+			g.links.door.Change(e.Block.Settings)
+			g.links.door.Keys(e.Ring)
 		}
 	case Reweighed:
 		if g.fair != nil {
@@ -191,47 +196,47 @@
 		g.Ring(e.At)
 		g.pool.Handle(e)
 	}
-	g.settle()
+	g.dispatch()
 }
 
-// Ring does what is due at a time.
+// Ring advances the clock to now and fires all timers that are due.
 func (g *Core) Ring(now float64) {
 	g.now = max(g.now, now)
 	for len(g.timers) > 0 && g.timers[0].at <= g.now {
 		t := g.timers.pop()
 		switch {
 		case t.pull != nil:
-			g.pool.Drop(t.pull.wire, router.TimedOut, g.now)
-		case t.within != nil:
-			g.pool.Recall(t.within.wire, g.now)
+			g.pool.Drop(t.pull.cachePull, router.TimedOut, g.now)
+		case t.sendDeadline != nil:
+			g.pool.Recall(t.sendDeadline.cachePull, g.now)
 		case t.probe != nil:
 			g.pool.Drop(t.probe, router.TimedOut, g.now)
-		case t.filler != nil:
-			t.filler.next()
+		case t.prefetcher != nil:
+			t.prefetcher.next()
 		case g.fair != nil && t == g.fair.timer:
 			g.fair.timer = nil
 			g.shared(g.fair.gate.Ring(g.now))
-		case t.dl != nil && t.token == waits:
-			g.unwritten(t.dl)
-		case t.dl != nil:
-			g.overdue(t.dl)
+		case t.download != nil && t.token == spendWriteToken:
+			g.unwritten(t.download)
+		case t.download != nil:
+			g.failOverdue(t.download)
 		default:
-			g.event(router.Rang{Token: t.token})
+			g.emit(router.Rang{Token: t.token})
 		}
-		g.settle()
+		g.dispatch()
 	}
 }
 
-// Watch looks for connections that say nothing any more.
+// Watch runs the periodic checks: for connections that no longer respond, load reports and drained nodes.
 func (g *Core) Watch(now float64) {
 	g.Ring(now)
 	g.pool.Watch(now)
-	g.settle()
-	g.meter.watch(now)
-	g.left.look(g)
+	g.dispatch()
+	g.meter.reportIfDue(now)
+	g.drained.checkIdle(g)
 }
 
-// Next is when something is due next; false where nothing is.
+// Next returns when the next timer is due, or false if there is none.
 func (g *Core) Next() (float64, bool) {
 	if len(g.timers) == 0 {
 		return 0, false
@@ -239,104 +244,106 @@
 	return g.timers[0].at, true
 }
 
-// overdue is the net below the router: what it should have answered by now is answered here.
-func (g *Core) overdue(d *download) {
-	assert.That(false, "each download has its answer before its expiry")
+// failOverdue is the safety net for downloads that the router should have answered by their expiry.
+func (g *Core) failOverdue(d *download) {
+	assert.That(false, "every download is answered before its expiry")
 	g.Overdue++
-	g.log.WithField("download", d.id).Error("no answer by its expiry: abandoned")
+	g.log.WithField("download", d.id).Error("download not answered by its expiry; abandoning it")
 	g.answer(d, clients.Answer{Status: 500})
-	g.event(router.Left{ID: d.id})
+	g.emit(router.Left{ID: d.id})
 }
 
-// Drift writes down what the router holds of each node beside what is open on the sockets, and tells whether the two
-// agree: limiters and budgets go by what the router believes.
+// Drift describes the router's view of the nodes next to the pulls that are open on the sockets, and reports whether
+// the two differ. The limiters and budgets depend on the router's view.
 func (g *Core) Drift() (text string, drifts bool) {
 	for _, b := range g.router.Beliefs() {
 		open := g.pool.Open(b.Node)
 		drifts = drifts || b.Out != open
-		if b.Out != open || b.Aside || b.Warm < 1 || b.Most < limiterTold {
+		if b.Out != open || b.Aside || b.Warm < 1 || b.Most < limiterLogThreshold {
 			text += fmt.Sprintf("%s out %d of %d aside %t warm %.2f bad %.1f of %.1f", b.Node, b.Out, open, b.Aside, b.Warm,
 				b.Bad, b.Good+b.Bad)
-			if b.Most < limiterTold {
+			if b.Most < limiterLogThreshold {
 				text += fmt.Sprintf(" at most %.1f late %.0f of %.0f", b.Most, b.Late, b.All)
 			}
 			text += "; "
 		}
 	}
-	fills, asks := g.router.Limiters()
-	for _, l := range []router.Belief{fills, asks} {
-		if l.Most < limiterTold {
+	fillLimiter, askLimiter := g.router.Limiters()
+	for _, l := range []router.Belief{fillLimiter, askLimiter} {
+		if l.Most < limiterLogThreshold {
 			text += fmt.Sprintf("%s out %d of at most %.1f late %.0f of %.0f; ", l.Node, l.Out, l.Most, l.Late, l.All)
 		}
 	}
 	return text, drifts
 }
 
-// limiterTold is the bound from which on a limiter is worth a line: it was cut, as answers came late.
-const limiterTold = 1e6
+// limiterLogThreshold is the limit below which a limiter is logged: it was lowered because answers came late.
+const limiterLogThreshold = 1e6
 
-// Leave has the gateway say that it is not healthy any more, so that the front sends nobody else.
-func (g *Core) Leave() { g.ending = true }
+// Leave makes the health check fail, so that the front sends no further clients.
+func (g *Core) Leave() { g.shuttingDown = true }
 
-// End answers all that is still open, and turns away what comes after it.
+// End answers all open downloads; later requests are turned away.
 func (g *Core) End(now float64) {
 	g.Ring(now)
-	g.over = true
+	g.stopped = true
 	for _, id := range slices.Sorted(maps.Keys(g.downloads)) {
 		if d := g.downloads[id]; !d.answered && len(d.pulls) == 0 {
-			g.Throttled++ // it never went out, so to try again does no harm
+			g.Throttled++ // it was never sent, so a retry is safe
 			g.answer(d, clients.Answer{Status: 503, Wait: g.config.Advice})
-			g.event(router.Left{ID: d.id})
+			g.emit(router.Left{ID: d.id})
 		} else if !d.answered {
 			g.Abandoned++
 			g.answer(d, clients.Answer{Status: 500})
-			g.event(router.Left{ID: d.id})
+			g.emit(router.Left{ID: d.id})
 		}
 	}
-	g.settle()
+	g.dispatch()
 }
 
-func (g *Core) event(e router.Event) { g.tell = append(g.tell, e) }
+// emit queues an event for the router.
+func (g *Core) emit(e router.Event) { g.events = append(g.events, e) }
 
-// settle tells the router all that there is to tell, and what comes of it, until nothing is left.
-func (g *Core) settle() {
-	if g.telling {
+// dispatch passes queued events and ended pulls to the router and executes its actions until nothing is left.
+func (g *Core) dispatch() {
+	if g.dispatching {
 		return
 	}
-	g.telling = true
+	g.dispatching = true
 	for {
 		for _, e := range g.pool.Ends() {
-			g.ended(e)
+			g.pullEnded(e)
 		}
-		if len(g.tell) == 0 {
+		if len(g.events) == 0 {
 			break
 		}
-		e := g.tell[0]
-		g.tell = g.tell[1:]
-		for _, a := range g.decide(e) {
-			g.do(a)
+		e := g.events[0]
+		g.events = g.events[1:]
+		for _, a := range g.callRouter(e) {
+			g.execute(a)
 		}
 	}
-	g.telling = false
+	g.dispatching = false
 }
 
-// decide is one event to the router. What panics there costs that event alone: its downloads still meet their
-// answer at their expiry.
-func (g *Core) decide(e router.Event) (actions []router.Action) {
+// callRouter passes one event to the router. A panic loses only that event: its downloads are still answered at
+// their expiry.
+func (g *Core) callRouter(e router.Event) (actions []router.Action) {
 	defer func() {
-		if p := recover(); p != nil {
+		if recovered := recover(); recovered != nil {
 			g.Panics++
-			g.log.WithField("event", fmt.Sprintf("%T", e)).Errorf("the router panicked: %v", p)
+			g.log.WithField("event", fmt.Sprintf("%T", e)).Errorf("the router panicked: %v", recovered)
 			assert.That(false, "the router does not panic")
 		}
 	}()
 	return g.router.Handle(g.now, e)
 }
 
-func (g *Core) do(a router.Action) {
+// execute carries out an action of the router.
+func (g *Core) execute(a router.Action) {
 	switch a := a.(type) {
 	case router.Pull:
-		g.pull(a)
+		g.sendPull(a)
 	case router.Throttle:
 		if d := g.downloads[a.ID]; d != nil && !d.answered {
 			g.Throttled++
@@ -348,8 +355,8 @@
 			g.answer(d, clients.Answer{Status: 500})
 		}
 	case router.CallOff:
-		if d := g.downloads[a.ID]; d != nil && a.Pull < len(d.pulls) && d.pulls[a.Pull].wire != nil {
-			g.pool.Drop(d.pulls[a.Pull].wire, router.CalledOff, g.now)
+		if d := g.downloads[a.ID]; d != nil && a.Pull < len(d.pulls) && d.pulls[a.Pull].cachePull != nil {
+			g.pool.Drop(d.pulls[a.Pull].cachePull, router.CalledOff, g.now)
 		}
 	case router.Probe:
 		g.Probes++
@@ -357,89 +364,94 @@
 		g.probes[q] = g.timers.push(timer{at: g.now + g.config.Connect, probe: q})
 	case router.Alarm:
 		g.timers.push(timer{at: a.At, token: a.Token})
-	case router.Watch: // the channel's changes come unasked
+	case router.Watch: // the command channel sends changes unasked
 	case router.Log:
 		g.log.Info(a.Text)
 	default:
-		assert.That(false, "every action is carried out")
+		assert.That(false, "every action of the router is known")
 	}
 }
 
+// answer sends the only answer of a download and ends it.
 func (g *Core) answer(d *download, a clients.Answer) {
-	assert.That(!d.answered, "a download has one answer")
+	assert.That(!d.answered, "a download is answered once")
 	d.answered = true
 	if d.link != nil && d.link.successor != nil && a.Link == nil {
 		a.Link = d.link.successor
 	}
-	d.client.Answer(d.number, a)
+	d.client.Answer(d.requestID, a)
 	g.unspend(d, a.Status == 503)
 	g.freed(d, a.Status)
-	g.owed(d)
-	g.recall(d)
+	g.release(d)
+	g.recallPulls(d)
 }
 
-// recall takes back what is not yet written for a download that is over: nothing is sent after its end, also where a pull that is
-// out may not be called off, or the router lets it go on.
-func (g *Core) recall(d *download) {
+// recallPulls takes back the pulls of an ended download that are not written yet. Nothing may be sent after the end,
+// even where a pull that was sent must not be cancelled or the router lets it continue.
+func (g *Core) recallPulls(d *download) {
 	for _, p := range d.pulls {
-		if p.wire != nil {
-			g.pool.Recall(p.wire, g.now)
+		if p.cachePull != nil {
+			g.pool.Recall(p.cachePull, g.now)
 		}
 	}
 }
 
-// owed ends what is owed to a client.
-func (g *Core) owed(d *download) {
+// release frees what is kept for the answer of a download.
+func (g *Core) release(d *download) {
 	g.open--
-	g.timers.remove(d.timer)
+	g.timers.remove(d.expiryTimer)
 	if d.link != nil {
 		g.timers.remove(d.link.held)
 	}
-	all := g.clients[d.client]
-	if delete(all, d.number); len(all) == 0 {
+	requests := g.clients[d.client]
+	if delete(requests, d.requestID); len(requests) == 0 {
 		delete(g.clients, d.client)
 	}
-	g.forget(d)
+	g.removeIfDone(d)
 }
 
-func (g *Core) forget(d *download) {
-	if d.answered && d.out == 0 && g.downloads[d.id] == d {
+// removeIfDone removes a download that is answered and has no open pulls.
+func (g *Core) removeIfDone(d *download) {
+	if d.answered && d.openPulls == 0 && g.downloads[d.id] == d {
 		delete(g.downloads, d.id)
 		d.body.Release()
 	}
 }
 
-func (g *Core) leave(d *download) {
+// cancel ends a download that its client gave up.
+func (g *Core) cancel(d *download) {
 	g.Left++
 	d.answered = true
 	g.unspend(d, len(d.pulls) == 0)
 	g.freed(d, 0)
-	g.owed(d)
-	g.event(router.Left{ID: d.id})
-	g.recall(d)
+	g.release(d)
+	g.emit(router.Left{ID: d.id})
+	g.recallPulls(d)
 }
 
-const health = "/_health"
+// healthPath is the path of the front's health check.
+const healthPath = "/_health"
 
-func (g *Core) asked(e Asked) {
+// handleRequest validates a request and starts its download.
+func (g *Core) handleRequest(e Asked) {
 	path := e.Params["SCRIPT_NAME"]
-	if path == health {
+	if path == healthPath {
 		e.Body.Release()
 		status := 200
-		if g.ending {
+		if g.shuttingDown {
 			status = 503
 		}
 		e.Client.Answer(e.ID, clients.Answer{Status: status})
 		return
 	}
-	d, err := g.read(e.Params, e.Body.Len())
+	d, err := g.parseDownload(e.Params, e.Body.Len())
 	if err == nil && g.downloads[d.id] != nil {
 		err = fmt.Errorf("X-Job-Id: %s is open already", d.id)
 	}
 	if err == nil {
-		g.meter.take(e.At)
+		g.meter.addDownload(e.At)
 	}
-	if err == nil && (g.open >= g.most || g.over) {
+	if err == nil && (g.open >= g.maxOpen || g.stopped) {
 		g.Turned++
 		e.Body.Release()
 		e.Client.Answer(e.ID, clients.Answer{Status: 503, Wait: g.config.Advice})
@@ -447,100 +459,101 @@
 	}
 	if err != nil {
 		g.Refused++
-		g.scarce.Warn(e.At, "a request can't be read", err)
+		g.warnings.Warn(e.At, "malformed request", err)
 		e.Body.Release()
 		e.Client.Answer(e.ID, clients.Answer{Status: 400})
 		return
 	}
-	if g.desk != nil && !g.admit(e, d) {
+	if g.links != nil && !g.admit(e, d) {
 		return
 	}
 	g.Taken++
-	d.client, d.number, d.body = e.Client, e.ID, e.Body
+	d.client, d.requestID, d.body = e.Client, e.ID, e.Body
 	d.expiry += e.At
-	g.begin(d)
+	g.track(d)
 	if g.fair != nil {
 		g.queue(d, e.Params)
 		return
 	}
-	g.let(d)
+	g.proceed(d)
 }
 
-// begin notes a download that is owed an answer from now on.
-func (g *Core) begin(d *download) {
+// track registers a download that must be answered, and starts its expiry timer.
+func (g *Core) track(d *download) {
 	g.open++
 	g.downloads[d.id] = d
 	if g.clients[d.client] == nil {
 		g.clients[d.client] = map[uint16]*download{}
 	}
-	g.clients[d.client][d.number] = d
-	d.timer = g.timers.push(timer{at: d.expiry + g.config.Slack, dl: d})
+	g.clients[d.client][d.requestID] = d
+	d.expiryTimer = g.timers.push(timer{at: d.expiry + g.config.Slack, download: d})
 }
 
-// let has a download go on: once what it spends is written down, where there is a store.
-func (g *Core) let(d *download) {
-	if d.link != nil && d.link.spend != nil && g.desk.store != nil {
+// proceed passes a download to the router. If there is a store, the token that it spends is written first.
+func (g *Core) proceed(d *download) {
+	if d.link != nil && d.link.spend != nil && g.links.store != nil {
 		g.hold(d)
 		return
 	}
 	g.arrived(d)
 }
 
-// read takes a download out of its fields, in the exact form of the protocol: what a cache can't read makes it close
-// its connection, whatever else is open there. The expiry still counts from its arrival.
-func (g *Core) read(params map[string]string, body int) (*download, error) {
+// parseDownload reads a download from the request's params. It accepts only the exact form of the protocol, as a
+// cache closes its connection on a malformed command, with everything else that is open there. The expiry of the
+// result is relative to the arrival.
+func (g *Core) parseDownload(params map[string]string, body int) (*download, error) {
 	name, ok := strings.CutPrefix(params["SCRIPT_NAME"], "/invoke/")
-	i := slices.IndexFunc(g.config.Types, func(t footprint.Type) bool { return t.Name == name })
-	if !ok || i < 0 {
+	typeIndex := slices.IndexFunc(g.config.Types, func(t footprint.Type) bool { return t.Name == name })
+	if !ok || typeIndex < 0 {
 		return nil, fmt.Errorf("SCRIPT_NAME: %.80q", params["SCRIPT_NAME"])
 	}
-	typ := g.config.Types[i]
-	d := &download{id: params["HTTP_X_JOB_ID"], typ: name, object: params["HTTP_X_ITEM"], mine: params["HTTP_X_MINE"],
-		copies: !typ.Writes, once: typ.Writes || typ.Once, fresh: typ.Fresh}
-	if !hex(d.id) {
+	typ := g.config.Types[typeIndex]
+	d := &download{id: params["HTTP_X_JOB_ID"], typ: name, object: params["HTTP_X_ITEM"], clientSum: params["HTTP_X_MINE"],
+		cacheable: !typ.Writes, atMostOnce: typ.Writes || typ.Once, maxAge: typ.Fresh}
+	if !isHexID(d.id) {
 		return nil, fmt.Errorf("X-Job-Id: %.80q", d.id)
 	}
-	if !hex(d.object) {
+	if !isHexID(d.object) {
 		return nil, fmt.Errorf("X-Item: %.80q", d.object)
 	}
-	if _, told := params["HTTP_X_MINE"]; told && !hex(d.mine) {
-		return nil, fmt.Errorf("X-Mine: %.80q", d.mine)
+	if _, present := params["HTTP_X_MINE"]; present && !isHexID(d.clientSum) {
+		return nil, fmt.Errorf("X-Mine: %.80q", d.clientSum)
 	}
-	if _, told := params["HTTP_X_UNIQUE"]; told {
-		if d.key = params["HTTP_X_UNIQUE"]; !word(d.key) {
-			return nil, fmt.Errorf("X-Unique: %.80q", d.key)
+	if _, present := params["HTTP_X_UNIQUE"]; present {
+		if d.idempotencyKey = params["HTTP_X_UNIQUE"]; !isIdempotencyKey(d.idempotencyKey) {
+			return nil, fmt.Errorf("X-Unique: %.80q", d.idempotencyKey)
 		}
 	}
-	// Clients' time is rounded, and so is the settings': a tenth more than the longest expiry is still no mistake.
-	most := int64(1<<31 - 1) // of parts, as far as anybody can tell here
+	// Both the clients' times and the settings are rounded, so up to 10% more than the longest expiry is accepted.
+	maxPart := int64(1<<31 - 1) // the number of parts is not known here
 	if !typ.Parts {
-		most = 0
+		maxPart = 0
 	}
 	allow := int64(0)
-	for _, n := range [...]struct {
-		field, param string
-		most         int64
-		to           *int64
-	}{{"X-Allow-Ms", "HTTP_X_ALLOW_MS", int64(1.1 * typ.Expiry), &allow}, {"X-N", "HTTP_X_N", most, &d.part},
+	for _, field := range [...]struct {
+		name, param string
+		maximum     int64
+		to          *int64
+	}{{"X-Allow-Ms", "HTTP_X_ALLOW_MS", int64(1.1 * typ.Expiry), &allow}, {"X-N", "HTTP_X_N", maxPart, &d.part},
 		{"X-Shard", "HTTP_X_SHARD", 255, &d.group}} {
-		if *n.to, ok = number(params[n.param], n.most); !ok {
-			return nil, fmt.Errorf("%s: %.80q", n.field, params[n.param])
+		if *field.to, ok = parseNumber(params[field.param], field.maximum); !ok {
+			return nil, fmt.Errorf("%s: %.80q", field.name, params[field.param])
 		}
 	}
 	d.expiry = float64(allow)
-	if text, told := params["CONTENT_LENGTH"]; told && text != "" {
-		if n, ok := number(text, 1<<31); !ok || n != int64(body) {
+	if text, present := params["CONTENT_LENGTH"]; present && text != "" {
+		if n, ok := parseNumber(text, 1<<31); !ok || n != int64(body) {
 			return nil, fmt.Errorf("CONTENT_LENGTH: %.80q of a body of %d", text, body)
 		}
 	}
 	if body > 0 && !typ.Bodies {
-		return nil, fmt.Errorf("a body of %d for %s", body, name)
+		return nil, fmt.Errorf("unexpected body of %d bytes for %s", body, name)
 	}
 	return d, nil
 }
 
-// number reads plain digits, and nothing else that a number's parser would take.
-func number(s string, most int64) (int64, bool) {
+// parseNumber reads plain decimal digits and rejects the signs, spaces and exponents that strconv accepts.
+func parseNumber(s string, maximum int64) (int64, bool) {
 	if s == "" || len(s) > 10 || s[0] == '0' && len(s) > 1 {
 		return 0, false
 	}
@@ -551,11 +564,11 @@
 		}
 		n = 10*n + int64(s[i]-'0')
 	}
-	return n, n <= most
+	return n, n <= maximum
 }
 
-// hex tells whether a word is 16 hex digits as the protocol writes them, and so harmless among the fields of a command.
-func hex(s string) bool {
+// isHexID reports whether s is 16 lower-case hex digits, which cannot be confused with other fields of a command.
+func isHexID(s string) bool {
 	if len(s) != 16 {
 		return false
 	}
@@ -567,8 +580,8 @@
 	return true
 }
 
-// word tells whether an idempotency key is one that can't be taken for anything else among the fields of a command.
-func word(s string) bool {
+// isIdempotencyKey reports whether s is a key that cannot be confused with other fields of a command.
+func isIdempotencyKey(s string) bool {
 	if len(s) == 0 || len(s) > 64 {
 		return false
 	}
@@ -580,40 +593,42 @@
 	return true
 }
 
-func (g *Core) pull(a router.Pull) {
+// sendPull starts a pull that the router asked for, or reports at once that it was never sent.
+func (g *Core) sendPull(a router.Pull) {
 	d := g.downloads[a.ID]
-	assert.That(d != nil, "a pull is for a download that was taken")
+	assert.That(d != nil, "a pull belongs to an accepted download")
 	if d == nil {
 		return
 	}
-	p := &pull{dl: d, n: len(d.pulls), node: a.Node, source: a.Source, sent: g.now}
+	p := &pull{download: d, index: len(d.pulls), node: a.Node, source: a.Source, sentAt: g.now}
 	d.pulls = append(d.pulls, p)
-	d.out++
-	until := d.expiry
+	d.openPulls++
+	deadline := d.expiry
 	if a.Timeout != 0 {
-		until = min(until, g.now+a.Timeout)
+		deadline = min(deadline, g.now+a.Timeout)
 	}
-	if d.answered || until <= g.now || p.n >= g.config.MostPulls {
-		g.report(p, caches.End{Status: router.NeverSent, At: g.now})
+	if d.answered || deadline <= g.now || p.index >= g.config.MostPulls {
+		g.reportPull(p, caches.End{Status: router.NeverSent, At: g.now})
 		return
 	}
 	g.Pulls++
-	g.void.bound(&a, d, p.n, g.now)
-	text := fields(d, a, until-g.now)
-	if g.desk != nil {
-		text = g.desk.forBox(text, d, p, g.now)
-	}
-	p.wire = &caches.Pull{ID: d.id, Node: a.Node, Fields: text, Body: d.body,
-		Mine: d.mine, Copies: d.copies, MaxAge: cmp.Or(a.MaxAge, d.fresh), Before: d.last, Owner: p}
-	d.last = p.wire
-	p.timer = g.timers.push(timer{at: until, pull: p})
+	g.purges.limitAge(&a, d, p.index, g.now)
+	text := pullFields(d, a, deadline-g.now)
+	if g.links != nil {
+		text = g.links.forBox(text, d, p, g.now)
+	}
+	p.cachePull = &caches.Pull{ID: d.id, Node: a.Node, Fields: text, Body: d.body,
+		Mine: d.clientSum, Copies: d.cacheable, MaxAge: cmp.Or(a.MaxAge, d.maxAge), Before: d.lastPull, Owner: p}
+	d.lastPull = p.cachePull
+	p.timeout = g.timers.push(timer{at: deadline, pull: p})
 	if a.Within > 0 {
-		p.within = g.timers.push(timer{at: g.now + a.Within, within: p})
+		p.sendDeadline = g.timers.push(timer{at: g.now + a.Within, sendDeadline: p})
 	}
-	g.pool.Pull(p.wire, g.now)
+	g.pool.Pull(p.cachePull, g.now)
 }
 
-func fields(d *download, a router.Pull, wait float64) string {
+// pullFields writes the fields of a pull command; wait is the time left for the answer, in ms.
+func pullFields(d *download, a router.Pull, wait float64) string {
 	b := append(append(make([]byte, 0, 192), "kind="...), d.typ...)
 	b = append(append(b, ",obj="...), d.object...)
 	b = strconv.AppendInt(append(b, ",seg="...), d.part, 10)
@@ -627,45 +642,46 @@
 	if a.MaxAge > 0 {
 		b = strconv.AppendInt(append(b, ",agelim="...), max(1, int64(a.MaxAge)), 10)
 	}
-	sep := ",ways="
-	for _, w := range [...]struct {
+	separator := ",ways="
+	for _, flag := range [...]struct {
 		how  router.How
 		word string
 	}{{router.Join, "j"}, {router.OnlyHeld, "h"}, {router.PassParent, "n"}, {router.Renew, "r"}} {
-		if a.How&w.how != 0 {
-			b = append(append(b, sep...), w.word...)
-			sep = "+"
+		if a.How&flag.how != 0 {
+			b = append(append(b, separator...), flag.word...)
+			separator = "+"
 		}
 	}
-	if d.mine != "" {
-		b = append(append(b, ",cached="...), d.mine...)
+	if d.clientSum != "" {
+		b = append(append(b, ",cached="...), d.clientSum...)
 	}
-	if d.key != "" {
-		b = append(append(b, ",token="...), d.key...)
+	if d.idempotencyKey != "" {
+		b = append(append(b, ",token="...), d.idempotencyKey...)
 	}
 	return string(b)
 }
 
-func (g *Core) ended(e caches.End) {
+// pullEnded handles the end of a pull or a probe.
+func (g *Core) pullEnded(e caches.End) {
 	if e.Probe != "" {
 		g.timers.remove(g.probes[e.Pull])
 		delete(g.probes, e.Pull)
 		e.Body.Release()
-		g.event(router.Probed{Node: e.Probe, Status: e.Status, Load: e.Load})
+		g.emit(router.Probed{Node: e.Probe, Status: e.Status, Load: e.Load})
 		return
 	}
-	g.report(e.Pull.Owner.(*pull), e)
+	g.reportPull(e.Pull.Owner.(*pull), e)
 }
 
-// report tells the router how a pull ended; the first that is fulfilled is the client's answer.
-func (g *Core) report(p *pull, e caches.End) {
-	d := p.dl
-	g.timers.remove(p.timer)
-	g.timers.remove(p.within)
-	p.wire = nil
-	d.out--
-	if e.Status == router.Fulfilled && d.copies {
-		g.meter.pulled(g.now, p.node, e.Note)
+// reportPull tells the router how a pull ended. The first fulfilled pull of a download answers the client.
+func (g *Core) reportPull(p *pull, e caches.End) {
+	d := p.download
+	g.timers.remove(p.timeout)
+	g.timers.remove(p.sendDeadline)
+	p.cachePull = nil
+	d.openPulls--
+	if e.Status == router.Fulfilled && d.cacheable {
+		g.meter.addPull(g.now, p.node, e.Note)
 	}
 	if e.Status == router.Fulfilled && !d.answered {
 		g.Fulfilled++
@@ -676,7 +692,7 @@
 	} else {
 		e.Body.Release()
 	}
-	g.forget(d)
-	g.event(router.Ended{ID: d.id, Pull: p.n, Status: e.Status, Took: max(0, e.At-p.sent), Closed: d.answered,
+	g.removeIfDone(d)
+	g.emit(router.Ended{ID: d.id, Pull: p.index, Status: e.Status, Took: max(0, e.At-p.sentAt), Closed: d.answered,
 		Note: e.Note, Load: e.Load})
 }
--- /dev/null
+++ b/internal/gateway/core_ordering_test.go
@@ -0,0 +1,213 @@
+package gateway
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"poppymill/internal/channel"
+	"poppymill/router"
+)
+
+// What waits to be written when its download ends is never sent, also where nothing may be called off: the model finds what comes to
+// a node after the end.
+func TestNothingSentAfterEnd(t *testing.T) {
+	for name, end := range map[string]func(h *harness){
+		"the client gives it up": func(h *harness) {
+			h.core.Handle(Aborted{Client: h.clients[0], ID: 1, At: h.now})
+		},
+		"the client closes": func(h *harness) {
+			h.requests["0000000000000001"].gone = true
+			h.core.Handle(ClientClosed{Client: h.clients[0], At: h.now})
+		},
+		"the process ends": func(h *harness) { h.core.End(h.now) },
+		"its expiry":       func(h *harness) { h.core.Ring(h.now + 500) },
+	} {
+		c := testConfig(t)
+		c.CallOff, c.Footprint["call off"] = false, false
+		h := newHarnessWithConfig(t, c)
+		h.sendRequest(h.clients[0], "video", 1, 500)
+		if len(h.wires) != 1 || len(h.wires[0].queue) != 1 {
+			t.Fatalf("%s: nothing waits to be written", name)
+		}
+		end(h)
+		h.wires[0].deliver()
+		h.now += 10_000
+		h.core.Ring(h.now)
+		h.checkSettled()
+		for _, text := range h.faults {
+			t.Errorf("%s: %s", name, text)
+		}
+	}
+}
+
+// A repeat that may only go out within a window is taken back at its end, if its connection is not up by then, and the router hears
+// that it never ran; one that is written goes on.
+func TestSendWindow(t *testing.T) {
+	for _, written := range []bool{false, true} {
+		h := newHarness(t)
+		h.sendRequest(h.clients[0], "video", 1, 500)
+		d := h.core.downloads["0000000000000001"]
+		first := d.pulls[0]
+		h.core.sendPull(router.Pull{ID: d.id, Node: first.node, Source: first.source, Timeout: 400, Within: 100})
+		p := d.pulls[1]
+		if written {
+			h.wires[len(h.wires)-1].deliver()
+		}
+		h.core.Ring(h.now + 99)
+		if p.cachePull == nil {
+			t.Errorf("written %t: it is over before its window is", written)
+		}
+		h.core.Ring(h.now + 100)
+		if over := p.cachePull == nil; over == written {
+			t.Errorf("written %t: over %t", written, over)
+		}
+		h.core.Ring(h.now + 10_000)
+		if n := len(h.core.downloads); n > 0 {
+			t.Errorf("written %t: %d downloads are left over", written, n)
+		}
+		for _, x := range h.core.timers {
+			if x.sendDeadline != nil {
+				t.Errorf("written %t: a timer holds on to what has ended", written)
+			}
+		}
+	}
+}
+
+// Whatever order lists come in, a pull goes only to what the newest word names, at the address that it names, and by a connection to the
+// process that it names: the model finds what comes to a node that drains or is gone.
+func TestNodeListOrder(t *testing.T) {
+	c := testConfig(t)
+	nodes := c.Known[0].Nodes
+	told := func(h *harness, scope router.Scope, list ...channel.Node) {
+		if scope != router.Changes {
+			for _, n := range nodes {
+				h.drainedNodes[n.Node] = true
+			}
+		}
+		for _, n := range list {
+			h.drainedNodes[n.Node] = n.State != router.Running
+		}
+		h.core.Handle(Told{News: channel.News{Scope: scope, Nodes: list}, At: h.now})
+	}
+	state := func(n channel.Node, s router.State) channel.Node {
+		n.State = s
+		return n
+	}
+	edges := []int{}
+	for i, n := range nodes {
+		if n.Kind == "box" {
+			edges = append(edges, i)
+		}
+	}
+	a, b, rest := nodes[edges[0]], nodes[edges[1]], nodes[edges[1]+1:]
+	for name, lists := range map[string]func(h *harness){
+		"a drain, then a whole list without it": func(h *harness) {
+			told(h, router.Changes, state(a, router.Draining))
+			told(h, router.Whole, append([]channel.Node{b}, rest...)...)
+		},
+		"a whole list, then a drain that had been overtaken": func(h *harness) {
+			told(h, router.Whole, append([]channel.Node{a, b}, rest...)...)
+			told(h, router.Changes, state(a, router.Draining))
+		},
+		"a whole list that is empty": func(h *harness) { told(h, router.Whole) },
+		"gone, and back at another address": func(h *harness) {
+			told(h, router.Changes, state(a, router.Gone))
+			other := a
+			other.Address, other.Booted = "127.0.0.1:5999", h.now
+			told(h, router.Changes, other, state(b, router.Gone))
+		},
+		"a new process at the same address": func(h *harness) {
+			other := a
+			other.Booted = h.now
+			told(h, router.Changes, other, state(b, router.Draining))
+		},
+		"a new cache at the address of one that has gone": func(h *harness) {
+			other := a
+			other.Node = "edge-9"
+			told(h, router.Changes, state(a, router.Gone), other, state(b, router.Gone))
+			h.drainedNodes[a.Node] = false // the model goes by addresses, and this one is the newcomer's
+		},
+	} {
+		h := newHarnessWithConfig(t, testConfig(t))
+		for i := range 6 {
+			h.sendRequest(h.clients[0], "video", i, 2000)
+		}
+		other := strings.Contains(name, "address") // of processes: their connections rest, so that one would be used again
+		for _, w := range h.wires {
+			for w.deliver(); other && len(w.open) > 0; {
+				h.reply(w, 0, "DONE")
+			}
+			if !other {
+				break // the rest wait
+			}
+		}
+		before := len(h.wires)
+		lists(h)
+		for i := range 6 {
+			h.sendRequest(h.clients[1], "video", 10+i, 2000)
+		}
+		for _, w := range h.wires {
+			w.deliver()
+		}
+		if other {
+			for _, w := range h.wires[:before] {
+				for _, id := range w.open {
+					if a := h.requests[id]; a.client == h.clients[1] {
+						t.Errorf("%s: %s goes by a connection to the process before", name, id)
+					}
+				}
+			}
+		}
+		if name == "a whole list that is empty" {
+			for n := range 6 {
+				if got := h.statuses(fmt.Sprintf("%016x", 7+n)); got != "" && got != "503" {
+					t.Errorf("%s: told %s", name, got)
+				}
+			}
+		}
+		h.now += 10_000
+		h.core.Ring(h.now)
+		for _, w := range h.wires {
+			for len(w.open) > 0 && !w.gone {
+				h.reply(w, 0, "DONE")
+			}
+		}
+		h.checkSettled()
+		for _, text := range h.faults {
+			t.Errorf("%s: %s", name, text)
+		}
+	}
+}
+
+// A gateway that starts holds to what is told of the past: a purge is in its first pull's limit, a drain keeps its first pull away.
+func TestStartsFromKnownState(t *testing.T) {
+	c := testConfig(t)
+	drained := c.Known[0].Nodes[0]
+	drained.State = router.Draining
+	purge := channel.News{Purge: true, PurgeTime: 1e12 - 700}
+	purge.Purged.Object = fmt.Sprintf("%016x", 3)
+	c.Known = append(c.Known, channel.News{Nodes: []channel.Node{drained}}, purge)
+	h := newHarnessWithConfig(t, c)
+	h.drainedNodes[drained.Node] = true
+	for i := range 8 {
+		h.sendRequest(h.clients[0], "video", i, 500)
+	}
+	limits := 0
+	for _, d := range h.core.downloads {
+		if strings.Contains(d.pulls[0].cachePull.Fields, "agelim=") {
+			if limits++; d.object != purge.Purged.Object || d.pulls[0].cachePull.MaxAge > 700 {
+				t.Errorf("%s: %s", d.object, d.pulls[0].cachePull.Fields)
+			}
+		}
+	}
+	if limits != 1 {
+		t.Errorf("%d pulls have a limit", limits)
+	}
+	for _, w := range h.wires {
+		w.deliver()
+	}
+	for _, text := range h.faults {
+		t.Error(text)
+	}
+}
--- a/internal/gateway/core_test.go
+++ b/internal/gateway/core_test.go
@@ -22,7 +22,7 @@
 	"poppymill/router"
 )
 
-func config(t *testing.T) *footprint.Config {
+func testConfig(t *testing.T) *footprint.Config {
 	text, err := os.ReadFile("../../example/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 	return c
 }
 
-func quiet() logrus.FieldLogger {
+func discardLogger() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
@@ -51,28 +51,28 @@
 }
 
 // line is a wire whose writing, answers and end the test decides.
-type line struct {
-	w      *plain
-	node   string
-	queue  []*caches.Item
-	closed bool
-	gone   bool
-	open   []string // ids that are whole at the node and not given up
+type fakeWire struct {
+	harness *harness
+	node    string
+	queue   []*caches.Item
+	closed  bool
+	gone    bool
+	open    []string // ids that are whole at the node and not given up
 }
 
-func (l *line) Send(i *caches.Item) bool {
-	if l.closed {
+func (w *fakeWire) Send(i *caches.Item) bool {
+	if w.closed {
 		i.Wrote(false)
 		return false
 	}
-	l.queue = append(l.queue, i)
+	w.queue = append(w.queue, i)
 	return true
 }
 
-func (l *line) Remove(i *caches.Item) bool {
-	for n, q := range l.queue {
+func (w *fakeWire) Remove(i *caches.Item) bool {
+	for n, q := range w.queue {
 		if q == i {
-			l.queue = append(l.queue[:n], l.queue[n+1:]...)
+			w.queue = append(w.queue[:n], w.queue[n+1:]...)
 			i.Wrote(false)
 			return true
 		}
@@ -80,263 +80,263 @@
 	return false
 }
 
-func (l *line) Heard() (float64, bool) { return 0, false }
-func (l *line) Stuck() bool            { return false }
-func (l *line) Close()                 { l.closed = true }
+func (w *fakeWire) Heard() (float64, bool) { return 0, false }
+func (w *fakeWire) Stuck() bool            { return false }
+func (w *fakeWire) Close()                 { w.closed = true }
 
 // deliver makes what is queued whole at the node.
-func (l *line) deliver() {
-	for _, i := range l.queue {
+func (w *fakeWire) deliver() {
+	for _, i := range w.queue {
 		i.Take()
 		words := strings.Split(string(bytes.Join(i.Pieces(nil), nil)), "\r\n")
 		i.Wrote(true)
 		verb, id := words[2], words[4]
 		switch verb {
 		case "GET":
-			l.w.arrived(l.node, id, words[6])
-			l.open = append(l.open, id)
+			w.harness.received(w.node, id, words[6])
+			w.open = append(w.open, id)
 		case "DROP":
-			for n, o := range l.open {
+			for n, o := range w.open {
 				if o == id {
-					l.open = append(l.open[:n], l.open[n+1:]...)
+					w.open = append(w.open[:n], w.open[n+1:]...)
 					break
 				}
 			}
 		default:
-			l.open = append(l.open, id)
+			w.open = append(w.open, id)
 		}
 	}
-	l.queue = nil
+	w.queue = nil
 }
 
 // plain drives a core without sockets, and is a plain model of what it must keep.
-type plain struct {
-	t       *testing.T
-	core    *Core
-	pool    *caches.Pool
-	buffers *buffer.Pool
-	now     float64
-	lines   []*line
-	clients []*client
-	asked   map[string]*ask
-	shut    map[string]bool // nodes that were told to drain or to be gone
-	wrong   []string
+type harness struct {
+	t            *testing.T
+	core         *Core
+	pool         *caches.Pool
+	buffers      *buffer.Pool
+	now          float64
+	wires        []*fakeWire
+	clients      []*client
+	requests     map[string]*request
+	drainedNodes map[string]bool // nodes that were told to drain or to be gone
+	faults       []string
 }
 
-type ask struct {
-	client *client
-	number uint16
-	typ    string
-	expiry float64
-	left   bool
-	gets   int
-	may    bool // a pull of it may have run
+type request struct {
+	client     *client
+	number     uint16
+	typ        string
+	expiry     float64
+	gone       bool
+	received   int
+	mayHaveRun bool // a pull of it may have run
 }
 
-func newWorld(t *testing.T) *plain { return newWorldOf(t, config(t)) }
+func newHarness(t *testing.T) *harness { return newHarnessWithConfig(t, testConfig(t)) }
 
-func newWorldOf(t *testing.T, c *footprint.Config) *plain {
-	w := &plain{t: t, buffers: buffer.NewPool(1 << 24), now: 1e12, asked: map[string]*ask{}, shut: map[string]bool{}}
+func newHarnessWithConfig(t *testing.T, c *footprint.Config) *harness {
+	h := &harness{t: t, buffers: buffer.NewPool(1 << 24), now: 1e12, requests: map[string]*request{}, drainedNodes: map[string]bool{}}
 	names := map[string]string{}
 	for _, n := range c.Known[0].Nodes {
 		names[n.Address] = n.Node
 	}
-	w.pool = caches.NewPool(caches.Limits{Streams: 3, Idle: c.Idle, Conns: 12, Reports: true, Names: footprint.Report},
+	h.pool = caches.NewPool(caches.Limits{Streams: 3, Idle: c.Idle, Conns: 12, Reports: true, Names: footprint.Report},
 		func(address string) caches.Wire {
-			l := &line{w: w, node: names[address]}
-			w.lines = append(w.lines, l)
-			return l
+			w := &fakeWire{harness: h, node: names[address]}
+			h.wires = append(h.wires, w)
+			return w
 		})
-	w.core = NewCore(c, w.pool, quiet(), w.now)
+	h.core = NewCore(c, h.pool, discardLogger(), h.now)
 	for range 3 {
-		w.clients = append(w.clients, &client{answers: map[uint16][]clients.Answer{}})
+		h.clients = append(h.clients, &client{answers: map[uint16][]clients.Answer{}})
 	}
-	return w
+	return h
 }
 
-func (w *plain) fault(format string, args ...any) {
-	w.wrong = append(w.wrong, fmt.Sprintf(format, args...))
+func (h *harness) faultf(format string, args ...any) {
+	h.faults = append(h.faults, fmt.Sprintf(format, args...))
 }
 
-func (w *plain) ask(c *client, typ string, object int, allow float64) string {
-	id := fmt.Sprintf("%016x", len(w.asked)+1)
-	a := &ask{client: c, number: uint16(len(w.asked) + 1), typ: typ, expiry: w.now + allow}
-	w.asked[id] = a
+func (h *harness) sendRequest(c *client, typ string, object int, allow float64) string {
+	id := fmt.Sprintf("%016x", len(h.requests)+1)
+	a := &request{client: c, number: uint16(len(h.requests) + 1), typ: typ, expiry: h.now + allow}
+	h.requests[id] = a
 	var body *buffer.Chain
 	if typ == "renewal" {
-		body = buffer.NewChain(w.buffers)
+		body = buffer.NewChain(h.buffers)
 		body.Append([]byte("write"))
 	}
-	w.core.Handle(Asked{Client: c, ID: a.number, Body: body, At: w.now, Params: map[string]string{
+	h.core.Handle(Asked{Client: c, ID: a.number, Body: body, At: h.now, Params: map[string]string{
 		"SCRIPT_NAME": "/invoke/" + typ, "HTTP_X_JOB_ID": id, "HTTP_X_ALLOW_MS": fmt.Sprint(allow),
 		"HTTP_X_ITEM": fmt.Sprintf("%016x", object), "HTTP_X_N": "0", "HTTP_X_SHARD": "7"}})
 	return id
 }
 
-func (w *plain) arrived(node, id, fields string) {
-	a := w.asked[id]
+func (h *harness) received(node, id, fields string) {
+	a := h.requests[id]
 	if a == nil {
-		w.fault("%s was never asked", id)
+		h.faultf("%s was never asked", id)
 		return
 	}
 	_, source, _ := strings.Cut(fields, ",next=")
 	source, _, _ = strings.Cut(source, ",")
-	if w.shut[node] || w.shut[source] {
-		w.fault("sent to %s after word of a drain: %s", node, fields)
+	if h.drainedNodes[node] || h.drainedNodes[source] {
+		h.faultf("sent to %s after word of a drain: %s", node, fields)
 	}
-	if a.gets++; a.may && a.typ == "renewal" {
-		w.fault("a write that may have run is sent again: %s", fields)
+	if a.received++; a.mayHaveRun && a.typ == "renewal" {
+		h.faultf("a write that may have run is sent again: %s", fields)
 	}
-	a.may = true
-	if len(a.client.answers[a.number]) > 0 || a.left {
-		w.fault("sent after its end: %s", fields)
+	a.mayHaveRun = true
+	if len(a.client.answers[a.number]) > 0 || a.gone {
+		h.faultf("sent after its end: %s", fields)
 	}
 }
 
 // answer lets a node end what it has open.
-func (w *plain) answer(l *line, n int, word string) {
-	id := l.open[n]
-	l.open = append(l.open[:n], l.open[n+1:]...)
-	r := caches.Reply{Tag: id, Word: word, Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f,gauges=util:0.5", w.now)}
-	if a := w.asked[id]; a == nil {
+func (h *harness) reply(w *fakeWire, n int, word string) {
+	id := w.open[n]
+	w.open = append(w.open[:n], w.open[n+1:]...)
+	r := caches.Reply{Tag: id, Word: word, Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f,gauges=util:0.5", h.now)}
+	if a := h.requests[id]; a == nil {
 		r.Word = "FIT"
 	} else if word == "LACK" || word == "WAIT" || word == "PAST" {
-		a.may = false
+		a.mayHaveRun = false
 	} else {
-		r.Body = buffer.NewChain(w.buffers)
+		r.Body = buffer.NewChain(h.buffers)
 		r.Body.Append([]byte("body of " + id))
 	}
-	w.core.Handle(caches.Answered{Wire: l, Reply: r, At: w.now})
+	h.core.Handle(caches.Answered{Wire: w, Reply: r, At: h.now})
 }
 
 // end breaks a connection; what was not written whole never ran.
-func (w *plain) end(l *line) {
-	for _, i := range l.queue {
+func (h *harness) breakWire(w *fakeWire) {
+	for _, i := range w.queue {
 		i.Take()
 		i.Wrote(false)
 	}
-	l.queue, l.open, l.closed, l.gone = nil, nil, true, true
-	w.core.Handle(caches.Down{Wire: l, Up: true, At: w.now})
+	w.queue, w.open, w.closed, w.gone = nil, nil, true, true
+	h.core.Handle(caches.Down{Wire: w, Up: true, At: h.now})
 }
 
 // step is one event, by chance.
-func (w *plain) step(r *rand.Rand) {
-	var alive []*line
-	for _, l := range w.lines {
-		if !l.gone {
-			alive = append(alive, l)
+func (h *harness) step(r *rand.Rand) {
+	var alive []*fakeWire
+	for _, w := range h.wires {
+		if !w.gone {
+			alive = append(alive, w)
 		}
 	}
-	var l *line
+	var w *fakeWire
 	if len(alive) > 0 {
-		l = alive[r.Intn(len(alive))]
+		w = alive[r.Intn(len(alive))]
 	}
-	c := w.clients[r.Intn(len(w.clients))]
+	c := h.clients[r.Intn(len(h.clients))]
 	switch n := r.Intn(100); {
 	case n < 25:
-		w.ask(c, []string{"video", "pages", "renewal"}[r.Intn(3)], r.Intn(5), []float64{0, 3, 300, 2000}[r.Intn(4)])
-	case n < 45 && l != nil && !l.closed:
-		l.deliver()
-	case n < 70 && l != nil && len(l.open) > 0 && !l.closed:
-		w.answer(l, r.Intn(len(l.open)), []string{"DONE", "DONE", "DONE", "LACK", "WAIT", "BROKE", "PAST", "KEEP", "ODD"}[r.Intn(9)])
-	case n < 74 && l != nil:
-		w.end(l)
+		h.sendRequest(c, []string{"video", "pages", "renewal"}[r.Intn(3)], r.Intn(5), []float64{0, 3, 300, 2000}[r.Intn(4)])
+	case n < 45 && w != nil && !w.closed:
+		w.deliver()
+	case n < 70 && w != nil && len(w.open) > 0 && !w.closed:
+		h.reply(w, r.Intn(len(w.open)), []string{"DONE", "DONE", "DONE", "LACK", "WAIT", "BROKE", "PAST", "KEEP", "ODD"}[r.Intn(9)])
+	case n < 74 && w != nil:
+		h.breakWire(w)
 	case n < 78:
-		for n := range len(w.asked) {
+		for n := range len(h.requests) {
 			id := fmt.Sprintf("%016x", n+1)
-			if a := w.asked[id]; a.client == c && !a.left && len(c.answers[a.number]) == 0 {
-				a.left = true
-				w.core.Handle(Aborted{Client: c, ID: a.number, At: w.now})
+			if a := h.requests[id]; a.client == c && !a.gone && len(c.answers[a.number]) == 0 {
+				a.gone = true
+				h.core.Handle(Aborted{Client: c, ID: a.number, At: h.now})
 				if got := c.answers[a.number]; len(got) != 1 || !got[0].None {
-					w.fault("%s was given up and told %v", id, got)
+					h.faultf("%s was given up and told %v", id, got)
 				}
 				break
 			}
 		}
 	case n < 80:
-		for _, a := range w.asked {
-			a.left = a.left || a.client == c
+		for _, a := range h.requests {
+			a.gone = a.gone || a.client == c
 		}
-		w.core.Handle(Closed{Client: c, At: w.now})
+		h.core.Handle(ClientClosed{Client: c, At: h.now})
 	case n < 83:
-		known := w.core.config.Known[0].Nodes
+		known := h.core.config.Known[0].Nodes
 		node := known[r.Intn(len(known))]
 		node.State = router.State(r.Intn(3))
-		w.shut[node.Node] = node.State != router.Running
-		w.core.Handle(Told{News: channel.News{Nodes: []channel.Node{node}}, At: w.now})
+		h.drainedNodes[node.Node] = node.State != router.Running
+		h.core.Handle(Told{News: channel.News{Nodes: []channel.Node{node}}, At: h.now})
 	case n < 85:
-		w.core.Handle(Told{News: channel.News{Purge: true, PurgeTime: w.now - 50,
-			Purged: router.Purged{Object: fmt.Sprintf("%016x", r.Intn(5))}}, At: w.now})
+		h.core.Handle(Told{News: channel.News{Purge: true, PurgeTime: h.now - 50,
+			Purged: router.Purged{Object: fmt.Sprintf("%016x", r.Intn(5))}}, At: h.now})
 	default:
-		w.now += r.ExpFloat64() * 30
-		w.core.Ring(w.now)
+		h.now += r.ExpFloat64() * 30
+		h.core.Ring(h.now)
 	}
 }
 
 // settled checks that all has come to its end and that nothing is left over.
-func (w *plain) settled() {
-	for id, a := range w.asked {
+func (h *harness) checkSettled() {
+	for id, a := range h.requests {
 		got := a.client.answers[a.number]
-		if len(got) != 1 && !(a.left && len(got) == 0) {
-			w.fault("%s, a %s, has %d answers", id, a.typ, len(got))
+		if len(got) != 1 && !(a.gone && len(got) == 0) {
+			h.faultf("%s, a %s, has %d answers", id, a.typ, len(got))
 		}
-		if len(got) == 1 && got[0].Status == 503 && a.may && a.typ == "renewal" {
-			w.fault("%s may have run and was throttled", id)
+		if len(got) == 1 && got[0].Status == 503 && a.mayHaveRun && a.typ == "renewal" {
+			h.faultf("%s may have run and was throttled", id)
 		}
 	}
-	for _, l := range w.lines {
-		if !l.gone {
-			w.end(l)
+	for _, w := range h.wires {
+		if !w.gone {
+			h.breakWire(w)
 		}
 	}
-	for _, x := range w.core.timers {
-		if x.dl != nil || x.pull != nil || x.probe != nil {
-			w.fault("a timer holds on to what has ended")
+	for _, x := range h.core.timers {
+		if x.download != nil || x.pull != nil || x.probe != nil {
+			h.faultf("a timer holds on to what has ended")
 		}
 	}
-	if n := len(w.core.downloads); n != 0 || w.core.Open() != 0 || len(w.core.clients) != 0 || len(w.core.probes) != 0 {
-		w.fault("%d downloads, %d owed, %d probes are left over", n, w.core.Open(), len(w.core.probes))
+	if n := len(h.core.downloads); n != 0 || h.core.Open() != 0 || len(h.core.clients) != 0 || len(h.core.probes) != 0 {
+		h.faultf("%d downloads, %d owed, %d probes are left over", n, h.core.Open(), len(h.core.probes))
 	}
-	if n := w.buffers.Out(); n != 0 || w.pool.Conns() != 0 {
-		w.fault("%d buffers and %d connections are left over", n, w.pool.Conns())
+	if n := h.buffers.Out(); n != 0 || h.pool.Conns() != 0 {
+		h.faultf("%d buffers and %d connections are left over", n, h.pool.Conns())
 	}
-	if n := assert.Broken(); n != 0 || w.core.Panics != 0 || w.core.Overdue != 0 {
-		w.fault("%d asserts broken, %d panics, %d overdue", n, w.core.Panics, w.core.Overdue)
+	if n := assert.Broken(); n != 0 || h.core.Panics != 0 || h.core.Overdue != 0 {
+		h.faultf("%d asserts broken, %d panics, %d overdue", n, h.core.Panics, h.core.Overdue)
 	}
 }
 
 // Whatever the order of events: one answer a download and none after it, no write twice, nothing left over.
-func TestAnyOrder(t *testing.T) {
+func TestRandomEventOrder(t *testing.T) {
 	holds := func(seed int64) bool {
-		r, w := rand.New(rand.NewSource(seed)), newWorld(t)
+		r, h := rand.New(rand.NewSource(seed)), newHarness(t)
 		for range 400 {
-			w.step(r)
-			if text, drifts := w.core.Drift(); drifts {
-				w.fault("the router's beliefs drift: %s", text)
+			h.step(r)
+			if text, drifts := h.core.Drift(); drifts {
+				h.faultf("the router's beliefs drift: %s", text)
 				break
 			}
 		}
 		if r.Intn(2) == 0 {
-			w.core.End(w.now)
+			h.core.End(h.now)
 		} else {
-			w.now += 10_000
-			w.core.Ring(w.now)
+			h.now += 10_000
+			h.core.Ring(h.now)
 		}
-		w.now += 10_000
-		w.core.Ring(w.now)
-		w.settled()
-		for _, text := range w.wrong {
+		h.now += 10_000
+		h.core.Ring(h.now)
+		h.checkSettled()
+		for _, text := range h.faults {
 			t.Errorf("seed %d: %s", seed, text)
 		}
-		return len(w.wrong) == 0
+		return len(h.faults) == 0
 	}
 	if err := quick.Check(holds, &quick.Config{MaxCount: 150, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Error(err)
 	}
 }
 
-func (w *plain) told(id string) string {
-	a := w.asked[id]
+func (h *harness) statuses(id string) string {
+	a := h.requests[id]
 	var out []string
 	for _, got := range a.client.answers[a.number] {
 		out = append(out, fmt.Sprint(got.Status))
@@ -345,74 +345,74 @@
 }
 
 // Of two ends that meet, the one that happened first counts, and the other does no harm.
-func TestEndsThatMeet(t *testing.T) {
+func TestCompetingEnds(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		meet func(w *plain, l *line)
+		meet func(h *harness, w *fakeWire)
 		want string
 	}{
-		{"the answer, then the time-out", func(w *plain, l *line) {
-			w.now += 499
-			w.answer(l, 0, "DONE")
-			w.core.Ring(w.now + 1000)
+		{"the answer, then the time-out", func(h *harness, w *fakeWire) {
+			h.now += 499
+			h.reply(w, 0, "DONE")
+			h.core.Ring(h.now + 1000)
 		}, "200"},
-		{"the time-out, then the answer", func(w *plain, l *line) {
-			w.now += 501
-			w.answer(l, 0, "DONE")
+		{"the time-out, then the answer", func(h *harness, w *fakeWire) {
+			h.now += 501
+			h.reply(w, 0, "DONE")
 		}, "503"},
-		{"the client leaves, then the answer", func(w *plain, l *line) {
-			w.core.Handle(Closed{Client: w.clients[0], At: w.now})
-			w.asked["0000000000000001"].left = true
-			w.answer(l, 0, "DONE")
+		{"the client leaves, then the answer", func(h *harness, w *fakeWire) {
+			h.core.Handle(ClientClosed{Client: h.clients[0], At: h.now})
+			h.requests["0000000000000001"].gone = true
+			h.reply(w, 0, "DONE")
 		}, ""},
-		{"the end of the process, then the answer", func(w *plain, l *line) {
-			w.core.End(w.now)
-			w.answer(l, 0, "DONE")
-			if late := w.ask(w.clients[0], "video", 2, 500); w.told(late) != "503" {
-				w.fault("asked after the end and told %q", w.told(late))
+		{"the end of the process, then the answer", func(h *harness, w *fakeWire) {
+			h.core.End(h.now)
+			h.reply(w, 0, "DONE")
+			if late := h.sendRequest(h.clients[0], "video", 2, 500); h.statuses(late) != "503" {
+				h.faultf("asked after the end and told %q", h.statuses(late))
 			}
 		}, "500"},
-		{"the end of the process, while another waits for a place at a cache", func(w *plain, l *line) {
-			for _, n := range w.core.config.Known[0].Nodes {
+		{"the end of the process, while another waits for a place at a cache", func(h *harness, w *fakeWire) {
+			for _, n := range h.core.config.Known[0].Nodes {
 				n.State = router.Draining
-				w.core.Handle(Told{News: channel.News{Nodes: []channel.Node{n}}, At: w.now})
+				h.core.Handle(Told{News: channel.News{Nodes: []channel.Node{n}}, At: h.now})
 			}
-			waits := w.ask(w.clients[0], "renewal", 2, 500)
-			if got := w.told(waits); got != "" {
-				w.fault("it waits for nothing: %q", got)
+			waits := h.sendRequest(h.clients[0], "renewal", 2, 500)
+			if got := h.statuses(waits); got != "" {
+				h.faultf("it waits for nothing: %q", got)
 			}
-			w.core.End(w.now)
-			if got := w.told(waits); got != "503" {
-				w.fault("it never went out and is told %q", got)
+			h.core.End(h.now)
+			if got := h.statuses(waits); got != "503" {
+				h.faultf("it never went out and is told %q", got)
 			}
 		}, "500"},
-		{"the connection breaks, a second pull is answered", func(w *plain, l *line) {
-			w.end(l)
-			next := w.lines[len(w.lines)-1]
+		{"the connection breaks, a second pull is answered", func(h *harness, w *fakeWire) {
+			h.breakWire(w)
+			next := h.wires[len(h.wires)-1]
 			next.deliver()
-			w.answer(next, 0, "DONE")
+			h.reply(next, 0, "DONE")
 		}, "200"},
 	} {
-		w := newWorld(t)
-		id := w.ask(w.clients[0], "video", 1, 500)
-		l := w.lines[0]
-		l.deliver()
-		c.meet(w, l)
-		if got := w.told(id); got != c.want {
+		h := newHarness(t)
+		id := h.sendRequest(h.clients[0], "video", 1, 500)
+		w := h.wires[0]
+		w.deliver()
+		c.meet(h, w)
+		if got := h.statuses(id); got != c.want {
 			t.Errorf("%s: told %q, want %q", c.name, got, c.want)
 		}
-		w.now += 10_000
-		w.core.Ring(w.now)
-		w.settled()
-		for _, text := range w.wrong {
+		h.now += 10_000
+		h.core.Ring(h.now)
+		h.checkSettled()
+		for _, text := range h.faults {
 			t.Errorf("%s: %s", c.name, text)
 		}
 	}
 }
 
 // A request that can't be read gets a failing answer and never reaches a node.
-func TestUnreadable(t *testing.T) {
-	w := newWorld(t)
+func TestMalformedRequests(t *testing.T) {
+	h := newHarness(t)
 	good := map[string]string{"SCRIPT_NAME": "/invoke/video", "HTTP_X_JOB_ID": "00000000000000aa", "HTTP_X_ALLOW_MS": "500",
 		"HTTP_X_ITEM": "00000000000000bb", "HTTP_X_N": "0", "HTTP_X_SHARD": "7", "HTTP_X_MINE": "00000000000000cc"}
 	number := uint16(0)
@@ -425,11 +425,11 @@
 		number++
 		var chain *buffer.Chain
 		if len(body) > 0 {
-			chain = buffer.NewChain(w.buffers)
+			chain = buffer.NewChain(h.buffers)
 			chain.Append(body)
 		}
-		w.core.Handle(Asked{Client: w.clients[0], ID: number, Params: params, Body: chain, At: w.now})
-		if got := w.clients[0].answers[number]; len(got) == 1 {
+		h.core.Handle(Asked{Client: h.clients[0], ID: number, Params: params, Body: chain, At: h.now})
+		if got := h.clients[0].answers[number]; len(got) == 1 {
 			return got[0].Status
 		}
 		return 0
@@ -449,16 +449,16 @@
 	if got := ask("X", "", 'b'); got != 400 {
 		t.Errorf("a body to read with: status %d", got)
 	}
-	if w.core.config.Types[0].Parts = false; ask("HTTP_X_N", "1") != 400 {
+	if h.core.config.Types[0].Parts = false; ask("HTTP_X_N", "1") != 400 {
 		t.Error("a part of what has only one is let through")
 	}
-	if len(w.lines) != 0 {
+	if len(h.wires) != 0 {
 		t.Error("one reached a node")
 	}
-	if ask("CONTENT_LENGTH", "0"); len(w.lines) != 1 {
+	if ask("CONTENT_LENGTH", "0"); len(h.wires) != 1 {
 		t.Error("a good one reached no node")
 	}
-	if got := ask("HTTP_X_ALLOW_MS", "6002"); got != 400 || !strings.Contains(fmt.Sprint(w.core.read(map[string]string{
+	if got := ask("HTTP_X_ALLOW_MS", "6002"); got != 400 || !strings.Contains(fmt.Sprint(h.core.parseDownload(map[string]string{
 		"SCRIPT_NAME": "/invoke/video", "HTTP_X_JOB_ID": "00000000000000ab", "HTTP_X_ALLOW_MS": "6002",
 		"HTTP_X_ITEM": "00000000000000bb", "HTTP_X_N": "0", "HTTP_X_SHARD": "7"}, 0)), "<nil>") {
 		t.Error("a little more than the longest expiry is turned away")
@@ -469,14 +469,14 @@
 	if got := ask("SCRIPT_NAME", "/_health"); got != 200 {
 		t.Errorf("health: status %d", got)
 	}
-	w.lines[0].deliver()
-	if got := w.lines[0].open; len(got) != 1 || got[0] != "00000000000000aa" {
+	h.wires[0].deliver()
+	if got := h.wires[0].open; len(got) != 1 || got[0] != "00000000000000aa" {
 		t.Errorf("at the node: %v", got)
 	}
 }
 
 // What a pull says of itself on the wire is what the router said, and nothing else.
-func TestFields(t *testing.T) {
+func TestPullFields(t *testing.T) {
 	d := &download{typ: "video", object: "00000000000000bb", part: 3}
 	for _, c := range []struct {
 		a    router.Pull
@@ -489,13 +489,13 @@
 			",next=b,admit=2,agelim=1500,ways=h+n,cached=cc"},
 		{router.Pull{Node: "a", Source: "b", MaxAge: 0.5, How: router.Join | router.Renew}, "", ",next=b,agelim=1,ways=j+r"},
 	} {
-		d.mine = c.mine
-		if got, want := fields(d, c.a, 80.4), "kind=video,obj=00000000000000bb,seg=3,ms=80"+c.want; got != want {
+		d.clientSum = c.mine
+		if got, want := pullFields(d, c.a, 80.4), "kind=video,obj=00000000000000bb,seg=3,ms=80"+c.want; got != want {
 			t.Errorf("%+v: %s, want %s", c.a, got, want)
 		}
 	}
-	d.mine, d.key = "", "A-0_f" // goes on unchanged, with every pull: caches tell repeats by it
-	if got, want := fields(d, router.Pull{Node: "a"}, 80.4), "kind=video,obj=00000000000000bb,seg=3,ms=80,token=A-0_f"; got != want {
+	d.clientSum, d.idempotencyKey = "", "A-0_f" // goes on unchanged, with every pull: caches tell repeats by it
+	if got, want := pullFields(d, router.Pull{Node: "a"}, 80.4), "kind=video,obj=00000000000000bb,seg=3,ms=80,token=A-0_f"; got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
 }
@@ -513,13 +513,13 @@
 			n++
 		case k == 3:
 			x := all[r.Intn(len(all))]
-			if x.place > 0 {
+			if x.heapPos > 0 {
 				n--
 			}
 			h.remove(x)
 		default:
 			x := h.pop()
-			if n--; x.at < last || n != len(h) || x.place != 0 {
+			if n--; x.at < last || n != len(h) || x.heapPos != 0 {
 				t.Fatalf("%v comes after %v, %d left of %d", x.at, last, len(h), n)
 			}
 			last = x.at
@@ -528,32 +528,32 @@
 }
 
 // A flood of lines is counted, not written.
-func TestScarce(t *testing.T) {
+func TestWarnLimiter(t *testing.T) {
 	var out bytes.Buffer
 	log := logrus.New()
 	log.SetOutput(&out)
-	s := &scarce{log: log}
+	l := &warnLimiter{log: log}
 	for i := range 1000 {
-		s.Warn(float64(i), "odd", io.EOF)
+		l.Warn(float64(i), "odd", io.EOF)
 	}
-	s.Warn(1000, "odd", io.EOF)
-	if got := strings.Count(out.String(), "msg=odd"); got != linesMost+1 || !strings.Contains(out.String(), "left out=995") {
+	l.Warn(1000, "odd", io.EOF)
+	if got := strings.Count(out.String(), "msg=odd"); got != maxLinesPerSecond+1 || !strings.Contains(out.String(), "left out=995") {
 		t.Errorf("%d lines: %s", got, out.String())
 	}
 }
 
 // The parts of a budget fit into the limits, and each is enough to work with.
 func TestBudget(t *testing.T) {
-	c := config(t)
+	c := testConfig(t)
 	for _, l := range [][2]int{{32, 256}, {48, 256}, {64, 384}, {192, 1024}, {24, 1024}, {192, 64}} {
 		c.MemoryMB, c.Sockets, c.MostOpen = l[0], l[1], 1e9
 		b := Share(c)
 		conns := b.Clients + b.Caches
-		if used := b.Reads + b.Bodies + conns*perConn + b.Open*perOpen; used > b.Heap || b.Heap+aside > l[0]<<20 || conns > max(32, l[1]-spare) {
+		if used := b.Reads + b.Bodies + conns*memoryPerConn + b.Open*memoryPerDownload; used > b.Heap || b.Heap+reservedMemory > l[0]<<20 || conns > max(32, l[1]-reservedDescriptors) {
 			t.Errorf("%v: %+v is too much", l, b)
 		}
-		if beside := shareBeside(c); beside.Clients+beside.Caches > max(32, l[1]-spare-peersMost(c)) || beside.Clients+beside.Caches < 32 {
-			t.Errorf("%v: beside %d connections of peers %+v", l, peersMost(c), beside)
+		if beside := shareWithQuorum(c); beside.Clients+beside.Caches > max(32, l[1]-reservedDescriptors-maxPeerConns(c)) || beside.Clients+beside.Caches < 32 {
+			t.Errorf("%v: beside %d connections of peers %+v", l, maxPeerConns(c), beside)
 		}
 		if b.Clients < min(c.Sockets/3, 16) || b.Reads < conns*buffer.Size || b.Bodies < 4*240_000 || b.Open < 300 {
 			t.Errorf("%v: %+v is too little", l, b)
@@ -564,7 +564,7 @@
 // The end comes in time for the last download that may still be taken, and what it is told is on its way before the process may be
 // killed: the longest expiry and 0.7 s after the word, 3.7 s at most.
 func TestAnswerBy(t *testing.T) {
-	c := config(t)
+	c := testConfig(t)
 	for _, want := range []struct{ longest, answered, flushed time.Duration }{{6000, 3500, 3650}, {2500, 3000, 3150}, {600, 1100, 1250}, {120, 780, 810}} {
 		c.Types[0].Expiry = float64(want.longest)
 		c.Types = c.Types[:1]
--- a/internal/gateway/council.go
+++ b/internal/gateway/council.go
@@ -33,7 +33,7 @@
 	}
 	failpoint.Set(o.Fails)
 	zone, _ := c.Footprint["zone"].(string)
-	jobs, hands := o.Jobs, map[string]owned.Hand{owner.Warm: warmHand(p), owned.Hold: owned.HoldHand()}
+	jobs, hands := o.Jobs, map[string]owned.Hand{owner.Warm: warmHandler(p), owned.Hold: owned.HoldHand()}
 	crew, err := owned.Open(jobs, b.Store, hands, log)
 	if err != nil {
 		log.WithError(err).Error("jobs: this gateway owns nothing and no effect happens here until it is started anew")
@@ -46,12 +46,12 @@
 	if o.Purges.On {
 		b.Settings.Sight = min(o.Purges.Limits.Delay/8, b.Settings.Lease/6)
 	}
-	peer := corePeer{p: p, known: &known{}}
+	peer := coreProxy{poster: p, knownUntil: &knownUntil{}}
 	peer.Known(-1)
 	yard, sweep := machines.Open(o.Machines, crew, peer, log), purges.Open(o.Purges, crew, peer, log)
-	core.Purges(zone, o.Purges.Held(), o.Purges.On, peer.known.at, p.now)
-	if k.council, err = drive.Open(b, c.Name, zone, peersMost(c), drive.Parts{crew, yard, sweep}, log); err == nil && o.Machines.On {
-		core.Listed(func(there map[string]bool) { k.council.Post(machines.Nodes{There: there}) })
+	core.Purges(zone, o.Purges.Held(), o.Purges.On, peer.knownUntil.at, p.now)
+	if k.council, err = drive.Open(b, c.Name, zone, maxPeerConns(c), drive.Parts{crew, yard, sweep}, log); err == nil && o.Machines.On {
+		core.OnNodesChanged(func(there map[string]bool) { k.council.Post(machines.Nodes{There: there}) })
 	}
 	if err == nil && (o.Machines.On || o.Purges.On) {
 		core.Measure(func(l maintenance.Load, misses float64) {
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -181,14 +181,14 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
-	go func() { s.ended <- Serve(ctx, setup, Reloads{Wanted: s.hup, Load: s.parse}, quiet()) }()
+	go func() { s.ended <- Serve(ctx, setup, Reloads{Wanted: s.hup, Load: s.parse}, discardLogger()) }()
 	until(s.t, "ready", func() bool { return s.health() == 200 })
 }
 
 func (s *scripted) listens() string { return s.config["listen"].(string) }
 
 func (s *scripted) health() int {
-	r, err := clients.Get(context.Background(), s.listens(), map[string]string{"SCRIPT_NAME": health}, nil)
+	r, err := clients.Get(context.Background(), s.listens(), map[string]string{"SCRIPT_NAME": healthPath}, nil)
 	if err != nil {
 		return 0
 	}
--- a/internal/gateway/fairness.go
+++ b/internal/gateway/fairness.go
@@ -148,7 +148,7 @@
 		case fair.Admit:
 			if d := g.downloads[a.ID]; d != nil && !d.answered {
 				d.share.admitted, d.share.let = true, g.now
-				g.let(d)
+				g.proceed(d)
 			}
 		case fair.Throttle:
 			if d := g.downloads[a.ID]; d != nil && !d.answered {
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -42,13 +42,13 @@
 
 // Guard has a core admit downloads by signed links alone. Post brings an event to the core from any goroutine.
 func (g *Core) Guard(door *links.Door, block drive.Block, store Spends, post func(any), now func() float64) {
-	g.desk = &desk{door: door, block: block, store: store, post: post, now: now}
+	g.links = &desk{door: door, block: block, store: store, post: post, now: now}
 }
 
 // Wall tells what the wall clock says, in Unix ms.
 func (g *Core) Wall(now, wall float64) {
-	if g.desk != nil {
-		g.desk.door.Wall(now, wall)
+	if g.links != nil {
+		g.links.door.Wall(now, wall)
 	}
 }
 
@@ -65,9 +65,9 @@
 
 // admit asks whether a download's link is good. A refused one is answered at once, and nothing of why is told.
 func (g *Core) admit(e Asked, d *download) bool {
-	k := g.desk
+	k := g.links
 	v := k.door.Admit(links.Ask{At: e.At, Source: e.Params["REMOTE_ADDR"], Token: k.block.Token(e.Params), ID: d.id, Type: d.typ,
-		Object: d.object, Part: d.part, Write: d.once})
+		Object: d.object, Part: d.part, Write: d.atMostOnce})
 	if v.Reason == links.Admitted {
 		d.link = &linked{spend: v.Spend, client: v.Client}
 		if v.Token != "" {
@@ -79,7 +79,7 @@
 		return true
 	}
 	g.Forbidden++
-	g.scarce.Warn(e.At, "a link is refused", fmt.Errorf("%s (%s)", v.Reason, v.Claim))
+	g.warnings.Warn(e.At, "a link is refused", fmt.Errorf("%s (%s)", v.Reason, v.Claim))
 	e.Body.Release()
 	a := clients.Answer{Status: 403}
 	switch v.Reason {
@@ -92,8 +92,8 @@
 
 // hold has a download wait until what it spends is on the disk: a crash must not make it good again.
 func (g *Core) hold(d *download) {
-	k, id := g.desk, d.id
-	d.link.held = g.timers.push(timer{at: min(d.expiry, g.now+heldMost), dl: d, token: waits})
+	k, id := g.links, d.id
+	d.link.held = g.timers.push(timer{at: min(d.expiry, g.now+heldMost), download: d, token: spendWriteToken})
 	k.store.Write(*d.link.spend, func(err error) { k.post(Written{ID: id, Err: err, At: k.now()}) })
 }
 
@@ -104,7 +104,7 @@
 		return
 	}
 	if e.Err != nil {
-		g.scarce.Warn(e.At, "what a link spends can't be written down", e.Err)
+		g.warnings.Warn(e.At, "what a link spends can't be written down", e.Err)
 		g.unwritten(d)
 		return
 	}
@@ -122,7 +122,7 @@
 
 // unspend tells the door that a download is over; what never ran may be asked for again.
 func (g *Core) unspend(d *download, harmless bool) {
-	k := g.desk
+	k := g.links
 	if k == nil {
 		return
 	}
@@ -132,29 +132,29 @@
 }
 
 func (g *Core) arrived(d *download) {
-	g.event(router.Arrived{ID: d.id, Type: d.typ, Object: d.object, Expiry: d.expiry, Group: d.group, Part: d.part, Only: d.only})
+	g.emit(router.Arrived{ID: d.id, Type: d.typ, Object: d.object, Expiry: d.expiry, Group: d.group, Part: d.part, Only: d.prefetchNode})
 }
 
 // Refusals tells why links were refused, by how often.
 func (g *Core) Refusals() string {
-	if g.desk == nil {
+	if g.links == nil {
 		return ""
 	}
 	var all []string
-	for r, n := range g.desk.door.Reasons {
+	for r, n := range g.links.door.Reasons {
 		if n > 0 {
 			all = append(all, fmt.Sprintf("%s %d", links.Reason(r), n))
 		}
 	}
-	c := g.desk.door.Counters
+	c := g.links.door.Counters
 	return strings.Join(append(all, fmt.Sprintf("signatures %d", c.Checked), fmt.Sprintf("remembered %d", c.Remembered),
 		fmt.Sprintf("successors %d", c.Lived)), ", ")
 }
 
 // forBox adds a link of this gateway's own to what a pull says, where boxes ask for one.
 func (k *desk) forBox(text string, d *download, p *pull, now float64) string {
-	token := k.door.ForBox(links.Sent{At: now, ID: d.id, Pull: p.n, Node: p.node, Source: p.source, Type: d.typ, Object: d.object,
-		Part: d.part, Write: d.once})
+	token := k.door.ForBox(links.Sent{At: now, ID: d.id, Pull: p.index, Node: p.node, Source: p.source, Type: d.typ, Object: d.object,
+		Part: d.part, Write: d.atMostOnce})
 	if token == "" {
 		return text
 	}
--- a/internal/gateway/links_test.go
+++ b/internal/gateway/links_test.go
@@ -187,55 +187,55 @@
 	}
 	for _, c := range []struct {
 		name   string
-		then   func(w *plain, s *slowStore, post func(error))
+		then   func(h *harness, s *slowStore, post func(error))
 		status string
 		sent   int
 		back   int
 	}{
-		{"written", func(w *plain, s *slowStore, post func(error)) { post(nil) }, "", 1, 0},
-		{"fails", func(w *plain, s *slowStore, post func(error)) { post(errors.New("disk full")) }, "503", 0, 1},
-		{"too slow", func(w *plain, s *slowStore, post func(error)) { w.now += 501; w.core.Ring(w.now); post(nil) }, "503", 0, 1},
-		{"its client leaves", func(w *plain, s *slowStore, post func(error)) {
-			w.core.Handle(Closed{Client: w.clients[0], At: w.now})
+		{"written", func(h *harness, s *slowStore, post func(error)) { post(nil) }, "", 1, 0},
+		{"fails", func(h *harness, s *slowStore, post func(error)) { post(errors.New("disk full")) }, "503", 0, 1},
+		{"too slow", func(h *harness, s *slowStore, post func(error)) { h.now += 501; h.core.Ring(h.now); post(nil) }, "503", 0, 1},
+		{"its client leaves", func(h *harness, s *slowStore, post func(error)) {
+			h.core.Handle(ClientClosed{Client: h.clients[0], At: h.now})
 			post(nil)
 		}, "", 0, 1},
 	} {
-		w, store := newWorld(t), &slowStore{}
+		h, store := newHarness(t), &slowStore{}
 		set := links.Defaults()
 		set.Base, set.Stored = linkBase, true
 		block := drive.Block{On: true, From: "header", Name: "X-Link", Settings: set}
 		var events []any
-		w.core.Guard(links.New(set, ring, secret, w.now), block, store, func(e any) { events = append(events, e) }, func() float64 { return w.now })
+		h.core.Guard(links.New(set, ring, secret, h.now), block, store, func(e any) { events = append(events, e) }, func() float64 { return h.now })
 		const object = "00000000000000bb"
-		token, _ := ring.Sign(links.Claims{ID: "w", Issued: w.now / 1000, Expires: w.now/1000 + 100, Write: true, Critical: links.CriticalWrite,
+		token, _ := ring.Sign(links.Claims{ID: "w", Issued: h.now / 1000, Expires: h.now/1000 + 100, Write: true, Critical: links.CriticalWrite,
 			URI: links.Hash(links.URI(linkBase, "renewal", object, 0))})
 		ask := func(id string, number uint16) {
-			w.core.Handle(Asked{Client: w.clients[0], ID: number, At: w.now, Params: map[string]string{"SCRIPT_NAME": "/invoke/renewal",
+			h.core.Handle(Asked{Client: h.clients[0], ID: number, At: h.now, Params: map[string]string{"SCRIPT_NAME": "/invoke/renewal",
 				"HTTP_X_JOB_ID": id, "HTTP_X_ALLOW_MS": "2000", "HTTP_X_ITEM": object, "HTTP_X_N": "0", "HTTP_X_SHARD": "7", "HTTP_X_LINK": token}})
 		}
 		ask("00000000000000aa", 1)
-		if len(w.lines) != 0 || len(store.done) != 1 {
+		if len(h.wires) != 0 || len(store.done) != 1 {
 			t.Errorf("%s: sent before it is written", c.name)
 		}
-		c.then(w, store, func(err error) {
+		c.then(h, store, func(err error) {
 			store.done[0](err)
 			for _, e := range events {
-				w.core.Handle(e)
+				h.core.Handle(e)
 			}
 		})
 		got := ""
-		for _, a := range w.clients[0].answers[1] {
+		for _, a := range h.clients[0].answers[1] {
 			got += fmt.Sprint(a.Status)
 		}
-		if got != c.status || len(w.lines) != c.sent || store.back != c.back {
-			t.Errorf("%s: told %q, %d sent, %d taken back", c.name, got, len(w.lines), store.back)
+		if got != c.status || len(h.wires) != c.sent || store.back != c.back {
+			t.Errorf("%s: told %q, %d sent, %d taken back", c.name, got, len(h.wires), store.back)
 		}
 		if ask("00000000000000ac", 2); (len(store.done) == 2) != (c.sent == 0) {
 			t.Errorf("%s: asked for again, %d written", c.name, len(store.done))
 		}
-		w.core.End(w.now)
-		if w.core.Open() != 0 || len(w.core.downloads) != 0 {
-			t.Errorf("%s: %d owed, %d left over", c.name, w.core.Open(), len(w.core.downloads))
+		h.core.End(h.now)
+		if h.core.Open() != 0 || len(h.core.downloads) != 0 {
+			t.Errorf("%s: %d owed, %d left over", c.name, h.core.Open(), len(h.core.downloads))
 		}
 	}
 }
--- a/internal/gateway/news.go
+++ b/internal/gateway/news.go
@@ -12,9 +12,9 @@
 func (g *Core) news(n channel.News) {
 	if n.Purge {
 		n.Purged.Age = max(0, g.now-n.PurgeTime)
-		g.event(n.Purged)
+		g.emit(n.Purged)
 		g.withdraw(func(p *pull) bool {
-			return n.Purged.Object == p.dl.object || n.Purged.Object == "" && n.Purged.Group == p.dl.group
+			return n.Purged.Object == p.download.object || n.Purged.Object == "" && n.Purged.Group == p.download.group
 		})
 		return
 	}
@@ -22,17 +22,17 @@
 	named := map[string]bool{}
 	for _, node := range n.Nodes {
 		g.nodes[node.Node] = node.Entry
-		list.Entries = append(list.Entries, g.left.entry(node.Entry))
+		list.Entries = append(list.Entries, g.drained.effective(node.Entry))
 		named[node.Node] = true
 		if node.State == router.Gone {
 			g.gone(node.Node)
 			continue
 		}
-		if g.addresses[node.Node] = node.Address; g.boots != nil && node.State == router.Running {
-			g.boots(node.Entry)
+		if g.addresses[node.Node] = node.Address; g.nodeListed != nil && node.State == router.Running {
+			g.nodeListed(node.Entry)
 		}
 		g.pool.List(node.Node, node.Address, node.Booted)
-		if g.left.entry(node.Entry).State == router.Draining {
+		if g.drained.effective(node.Entry).State == router.Draining {
 			g.shun(node.Node) // after it is listed, which would have it asked whether it is there
 		}
 	}
@@ -43,8 +43,8 @@
 			}
 		}
 	}
-	g.event(list)
-	g.tellListed()
+	g.emit(list)
+	g.notifyNodesChanged()
 }
 
 // withdraw takes back pulls that are not yet written; the router hears of it after the news that it is for.
--- a/internal/gateway/ahead_test.go
+++ b/internal/gateway/prefetch_test.go
@@ -13,50 +13,50 @@
 
 // A cache is filled ahead with what it is asked for most, a few at a time, by downloads that nobody gets; how many were filled and how
 // many found no room is told once.
-func TestAhead(t *testing.T) {
-	w := newWorld(t)
+func TestPrefetch(t *testing.T) {
+	h := newHarness(t)
 	for i := range 40 { // what is asked for
-		w.ask(w.clients[i%3], "video", i, 3000)
+		h.sendRequest(h.clients[i%3], "video", i, 3000)
 		for range 3 {
-			for _, l := range w.lines {
-				l.deliver()
+			for _, w := range h.wires {
+				w.deliver()
 			}
-			w.now += 20
-			w.core.Ring(w.now)
-			for _, l := range w.lines {
-				for len(l.open) > 0 {
-					w.answer(l, 0, "DONE")
+			h.now += 20
+			h.core.Ring(h.now)
+			for _, w := range h.wires {
+				for len(w.open) > 0 {
+					h.reply(w, 0, "DONE")
 				}
 			}
 		}
 	}
-	if len(w.core.router.Hot("edge-1", 100)) < 5 {
-		t.Fatalf("hot at edge-1: %v, %+v", w.core.router.Hot("edge-1", 100), w.core.Counters)
+	if len(h.core.router.Hot("edge-1", 100)) < 5 {
+		t.Fatalf("hot at edge-1: %v, %+v", h.core.router.Hot("edge-1", 100), h.core.Counters)
 	}
 	told, filled, refused := 0, 0, 0
-	w.core.Handle(Ahead{Node: "edge-1", Most: 10, At: w.now, Done: func(f, r int) { told, filled, refused = told+1, f, r }})
+	h.core.Handle(Ahead{Node: "edge-1", Most: 10, At: h.now, Done: func(f, r int) { told, filled, refused = told+1, f, r }})
 	for range 200 {
-		if w.core.open > aheadMost {
-			t.Fatalf("%d are under way", w.core.open)
+		if h.core.open > maxPrefetches {
+			t.Fatalf("%d are under way", h.core.open)
 		}
-		for _, l := range w.lines {
-			for range l.queue {
-				if l.node != "edge-1" {
-					t.Errorf("sent to %s", l.node)
+		for _, w := range h.wires {
+			for range w.queue {
+				if w.node != "edge-1" {
+					t.Errorf("sent to %s", w.node)
 				}
 			}
-			l.fill()
+			w.answerAll()
 		}
-		w.now++
-		w.core.Ring(w.now)
+		h.now++
+		h.core.Ring(h.now)
 	}
 	if told != 1 || filled == 0 || filled+refused > 10 {
 		t.Errorf("told %d times, %d filled, %d refused", told, filled, refused)
 	}
-	if len(w.core.clients) != 0 || w.core.open != 0 {
-		t.Errorf("%d are left open", w.core.open)
+	if len(h.core.clients) != 0 || h.core.open != 0 {
+		t.Errorf("%d are left open", h.core.open)
 	}
-	w.core.Handle(Ahead{Node: "no such", Most: 10, At: w.now, Done: func(f, r int) { told, filled, refused = told+1, f, r }})
+	h.core.Handle(Ahead{Node: "no such", Most: 10, At: h.now, Done: func(f, r int) { told, filled, refused = told+1, f, r }})
 	if told != 2 || filled+refused != 0 {
 		t.Errorf("of a node that is not there %d, %d were told", filled, refused)
 	}
@@ -66,21 +66,21 @@
 }
 
 // fill delivers what is queued and answers all of it, whoever asked.
-func (l *line) fill() {
-	queue := l.queue
-	l.queue = nil
+func (w *fakeWire) answerAll() {
+	queue := w.queue
+	w.queue = nil
 	for _, i := range queue {
 		i.Take()
-		id := item(i)
+		id := getID(i)
 		i.Wrote(true)
 		if id != "" {
-			l.w.core.Handle(answered(l, id))
+			w.harness.core.Handle(doneReply(w, id))
 		}
 	}
 }
 
 // item is the id of a GET, or empty.
-func item(i *caches.Item) string {
+func getID(i *caches.Item) string {
 	words := strings.Split(string(bytes.Join(i.Pieces(nil), nil)), "\r\n")
 	if words[2] != "GET" {
 		return ""
@@ -88,8 +88,8 @@
 	return words[4]
 }
 
-func answered(l *line, id string) caches.Answered {
-	r := caches.Reply{Tag: id, Word: "DONE", Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f,gauges=util:0.5", l.w.now), Body: buffer.NewChain(l.w.buffers)}
+func doneReply(w *fakeWire, id string) caches.Answered {
+	r := caches.Reply{Tag: id, Word: "DONE", Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f,gauges=util:0.5", w.harness.now), Body: buffer.NewChain(w.harness.buffers)}
 	r.Body.Append([]byte("body"))
-	return caches.Answered{Wire: l, Reply: r, At: l.w.now}
+	return caches.Answered{Wire: w, Reply: r, At: w.harness.now}
 }
--- /dev/null
+++ b/internal/gateway/purge_bounds.go
@@ -0,0 +1,116 @@
+package gateway
+
+import (
+	"math"
+	"sync/atomic"
+
+	"poppymill/internal/caches"
+	"poppymill/internal/purges"
+	"poppymill/router"
+)
+
+// ApplyMarks asks the core to apply purge marks: copies created before the time of a mark are no longer used as
+// answers, whatever a cache holds. Done is called from the core's goroutine once the marks are in force.
+type ApplyMarks struct {
+	Marks []purges.Mark
+	Index uint64
+	At    float64
+	Done  func(index uint64)
+}
+
+// purgeBounds holds the purges in force (purges.View) and the clocks that they are checked against.
+type purgeBounds struct {
+	view       purges.View
+	now        func() float64 // the real clock: after a freeze of the process, the times of queued events are too old
+	knownUntil func() float64 // up to when all agreed purges are known, by that clock
+}
+
+// knownUntil is the time up to which all agreed purges are known, by the core's clock. The quorum's goroutine writes
+// it, the core reads it.
+type knownUntil struct{ bits atomic.Uint64 }
+
+func (k *knownUntil) set(at float64) { k.bits.Store(math.Float64bits(at)) }
+func (k *knownUntil) at() float64    { return math.Float64frombits(k.bits.Load()) }
+
+// Purges makes the core apply the purges that the gateways agree on. If enabled, copies older than the delay count as
+// purged while the core does not know what has been agreed since.
+func (g *Core) Purges(club string, limits purges.Limits, enabled bool, knownUntil, now func() float64) {
+	g.purges = &purgeBounds{view: purges.View{Shelf: purges.NewShelf(limits.Held), Club: club, Skew: limits.Skew}, now: now, knownUntil: knownUntil}
+	if enabled {
+		g.purges.view.Delay = limits.Delay
+	}
+	g.pool.Oldest = func(q *caches.Pull) float64 {
+		p, _ := q.Owner.(*pull)
+		if p == nil {
+			return 0
+		}
+		return g.purges.oldestAllowed(p.download, p.index)
+	}
+}
+
+// oldestAllowed returns the creation time that a copy must not precede to answer the given pull of a download.
+func (b *purgeBounds) oldestAllowed(d *download, pull int) float64 {
+	return b.view.Oldest(b.now(), b.knownUntil(), d.object, d.group, pull == 0)
+}
+
+// limitAge lowers the maximum age of a pull to what the purges allow.
+func (b *purgeBounds) limitAge(a *router.Pull, d *download, index int, now float64) {
+	if b == nil || !d.cacheable {
+		return
+	}
+	if oldest := b.oldestAllowed(d, index); oldest > 0 {
+		if age := max(1, now-oldest); a.MaxAge == 0 || age < a.MaxAge {
+			a.MaxAge = age
+		}
+	}
+}
+
+// blindCount returns how often a copy was checked without knowing all agreed purges, for the log.
+func (b *purgeBounds) blindCount() int {
+	if b == nil {
+		return 0
+	}
+	return b.view.Blinds
+}
+
+// maxRouterMarks is the largest batch of marks that is also passed to the router, which then forgets what it believes
+// parents to hold. The router scans all that it remembers for each mark, which would delay downloads; for larger
+// batches the bounds alone apply.
+const maxRouterMarks = 64
+
+// applyMarks puts purge marks in force.
+func (g *Core) applyMarks(e ApplyMarks) {
+	named := map[string]bool{}
+	groups := map[int64]bool{}
+	for _, m := range e.Marks {
+		if g.purges.view.Shelf.Put(m); m.Club != "" && m.Club != g.purges.view.Club || m.Stale || len(e.Marks) > maxRouterMarks {
+			continue
+		}
+		switch age := max(0, g.now-m.At); {
+		case m.Grouped:
+			groups[m.Group] = true
+			g.emit(router.Purged{Group: m.Group, Age: age})
+		case m.Object != "":
+			named[m.Object] = true
+			g.emit(router.Purged{Object: m.Object, Age: age})
+		}
+	}
+	if len(named)+len(groups) > 0 { // pulls not written yet accept copies that are now purged
+		g.withdraw(func(p *pull) bool { return named[p.download.object] || groups[p.download.group] })
+	}
+	e.Done(e.Index)
+}
+
+// Void passes purge marks to the core.
+func (c coreProxy) Void(marks []purges.Mark, index uint64, done func(uint64)) {
+	c.poster.post(ApplyMarks{Marks: marks, Index: index, At: c.poster.now(), Done: done})
+}
+
+// Known sets up to when all agreed purges are known: ago ms before now, or never if negative.
+func (c coreProxy) Known(ago float64) {
+	if at := c.poster.now() - ago; ago >= 0 {
+		c.knownUntil.set(at)
+	} else {
+		c.knownUntil.set(math.Inf(-1))
+	}
+}
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -36,7 +36,7 @@
 	running       *footprint.Config // as started
 	follower      *channel.Follower
 	log           logrus.FieldLogger
-	guard         *guard
+	guard         *linkDriver
 	quorum        agreement.Block // as started
 	jobs          owned.Block     // as started
 	machines      machines.Block  // as started
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -65,7 +65,7 @@
 // poster is how the peers reach the core, which reads until the last of them has ended.
 type poster struct {
 	inbox  chan any
-	scarce *scarce
+	scarce *warnLimiter
 	now    func() float64
 }
 
@@ -77,7 +77,7 @@
 func (p *poster) Aborted(c *clients.Conn, id uint16, at float64) {
 	p.post(Aborted{Client: c, ID: id, At: at})
 }
-func (p *poster) Closed(c *clients.Conn, at float64) { p.post(Closed{Client: c, At: at}) }
+func (p *poster) Closed(c *clients.Conn, at float64) { p.post(ClientClosed{Client: c, At: at}) }
 func (p *poster) Malformed(err error) {
 	p.scarce.Warn(p.now(), "a client's connection is closed", err)
 }
@@ -92,11 +92,11 @@
 	clock := newClock()
 	budget := Share(c)
 	if s.Operator.Quorum.On {
-		budget = shareBeside(c)
+		budget = shareWithQuorum(c)
 	}
 	debug.SetMemoryLimit(int64(budget.Heap))
 	buffers, reads := buffer.NewPool(budget.Bodies), buffer.NewPool(budget.Reads)
-	p := &poster{inbox: make(chan any, inboxMost), scarce: &scarce{log: log}, now: clock.now}
+	p := &poster{inbox: make(chan any, inboxMost), scarce: &warnLimiter{log: log}, now: clock.now}
 	dialer := &caches.Dialer{Pool: buffers, Reads: reads, Now: clock.now, Connect: time.Duration(c.Connect * float64(time.Millisecond)),
 		Post: func(e caches.Event) { p.post(e) }}
 	pool := caches.NewPool(caches.Limits{Streams: c.Streams, Idle: c.Idle, Conns: budget.Caches,
@@ -106,7 +106,7 @@
 		f.Settings.Longest = min(f.Settings.Longest, c.Advice)
 		core.Share(fair.New(f.Settings, c.Seed, clock.now()), f)
 	}
-	guard, err := newGuard(s.Operator.Links, core, p, clock)
+	guard, err := newLinkDriver(s.Operator.Links, core, p, clock)
 	if err != nil {
 		listener.Close()
 		return err
@@ -117,7 +117,7 @@
 		return err
 	}
 	server := &clients.Server{Pool: buffers, Reads: reads, Handler: p, Now: clock.now, Most: budget.Clients, Keep: append(s.Operator.Links.Params(), s.Operator.Fair.Params()...)}
-	troubles := &scarce{log: log}
+	troubles := &warnLimiter{log: log}
 	follower := &channel.Follower{Address: c.Channel, Cursor: c.Cursor,
 		Tell:    func(n channel.News) { p.post(Told{News: n, At: clock.now()}) },
 		Trouble: func(err error) { troubles.Warn(clock.now(), "command channel", err) }}
@@ -213,7 +213,7 @@
 				l.count()
 			}
 		}
-		if l.core.ending && shut == nil && l.core.Open() == 0 {
+		if l.core.shuttingDown && shut == nil && l.core.Open() == 0 {
 			return flushed
 		}
 		due := l.watched + watchEvery
@@ -264,7 +264,7 @@
 		l.log.WithField("shares", shares).Info("fair door")
 	}
 	l.log.WithFields(logrus.Fields{
-		"blind": l.core.void.blinds(), "taken": c.Taken, "forbidden": c.Forbidden, "fulfilled": c.Fulfilled, "kept": c.Kept, "throttled": c.Throttled,
+		"blind": l.core.purges.blindCount(), "taken": c.Taken, "forbidden": c.Forbidden, "fulfilled": c.Fulfilled, "kept": c.Kept, "throttled": c.Throttled,
 		"abandoned": c.Abandoned, "left": c.Left, "refused": c.Refused, "turned": c.Turned, "overdue": c.Overdue,
 		"panics": c.Panics, "pulls": c.Pulls, "probes": c.Probes, "open": l.core.Open(),
 		"conns": p.Conns(), "dialled": p.Dialled, "malformed": p.Malformed, "short": p.Short, "late": p.Late, "mute": p.Mute, "old": p.Old,
--- a/internal/gateway/serve_test.go
+++ b/internal/gateway/serve_test.go
@@ -119,10 +119,10 @@
 		s.ended <- Serve(ctx, Setup{Config: c, Operator: settings}, Reloads{Wanted: s.hup, Load: func() (Setup, error) {
 			c, err := s.load()
 			return Setup{Config: c, Operator: settings}, err
-		}}, quiet())
+		}}, discardLogger())
 	}()
 	for i := 0; ; i++ {
-		if r, err := clients.Get(ctx, s.at, map[string]string{"SCRIPT_NAME": health}, nil); err == nil && r.Status == 200 {
+		if r, err := clients.Get(ctx, s.at, map[string]string{"SCRIPT_NAME": healthPath}, nil); err == nil && r.Status == 200 {
 			return s
 		} else if i == 1000 {
 			t.Fatalf("never ready: %v", err)
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -2,28 +2,28 @@
 
 import "poppymill/internal/caches"
 
-// timer is one thing that is due: an alarm of the router's, or the limit of a pull, a probe, a download.
+// timer is an alarm of the router, or the deadline of a pull, a probe or a download.
 type timer struct {
-	at     float64
-	token  int64 // the router's; of a download's timer: waits, where it was not let out yet
-	pull   *pull
-	within *pull // that must be on its way by then
-	probe  *caches.Pull
-	dl     *download
-	filler *filler
-	place  int // in the heap, from 1; 0: it is not there
+	at           float64
+	token        int64 // the router's token; spendWriteToken on the timer of a download that waits for the store
+	pull         *pull
+	sendDeadline *pull // must be sent by then
+	probe        *caches.Pull
+	download     *download
+	prefetcher   *prefetcher
+	heapPos      int // position in the heap, from 1; 0 if not in it
 }
 
-// waits marks the timer of a download that waits before it goes out.
-const waits = 1
+// spendWriteToken marks the timer of a download that waits until the token that it spends is on disk.
+const spendWriteToken = 1
 
-// timers is a heap, the next one first. What is no longer needed leaves at once: until it came up it would hold its
-// download, for seconds after the answer.
+// timers is a min-heap by due time. Timers that are no longer needed are removed at once: left in the heap, they would
+// keep their download in memory for seconds after the answer.
 type timers []*timer
 
 func (t *timers) push(x timer) *timer {
 	*t = append(*t, &x)
-	t.up(len(*t)-1, &x)
+	t.siftUp(len(*t)-1, &x)
 	return &x
 }
 
@@ -33,48 +33,48 @@
 	return first
 }
 
-// remove takes one out; nothing happens where it has left.
+// remove removes a timer; it does nothing if the timer is not in the heap.
 func (t *timers) remove(x *timer) {
-	if x == nil || x.place == 0 {
+	if x == nil || x.heapPos == 0 {
 		return
 	}
 	h := *t
-	i, last := x.place-1, h[len(h)-1]
+	i, last := x.heapPos-1, h[len(h)-1]
 	h[len(h)-1] = nil
 	*t = h[:len(h)-1]
-	x.place = 0
+	x.heapPos = 0
 	if last != x {
-		t.up(i, last)
-		t.down(last.place-1, last)
+		t.siftUp(i, last)
+		t.siftDown(last.heapPos-1, last)
 	}
 }
 
-// up puts one at a place or as far above it as it belongs.
-func (t *timers) up(i int, x *timer) {
+// siftUp places a timer at index i or as far above as it belongs.
+func (t *timers) siftUp(i int, x *timer) {
 	h := *t
-	for up := (i - 1) / 2; i > 0 && x.at < h[up].at; up = (i - 1) / 2 {
-		h[i] = h[up]
-		h[i].place = i + 1
-		i = up
+	for parent := (i - 1) / 2; i > 0 && x.at < h[parent].at; parent = (i - 1) / 2 {
+		h[i] = h[parent]
+		h[i].heapPos = i + 1
+		i = parent
 	}
 	h[i] = x
-	x.place = i + 1
+	x.heapPos = i + 1
 }
 
-// down puts one at a place or as far below it as it belongs.
-func (t *timers) down(i int, x *timer) {
+// siftDown places a timer at index i or as far below as it belongs.
+func (t *timers) siftDown(i int, x *timer) {
 	h := *t
-	for down := 2*i + 1; down < len(h); down = 2*i + 1 {
-		if down+1 < len(h) && h[down+1].at < h[down].at {
-			down++
+	for child := 2*i + 1; child < len(h); child = 2*i + 1 {
+		if child+1 < len(h) && h[child+1].at < h[child].at {
+			child++
 		}
-		if x.at <= h[down].at {
+		if x.at <= h[child].at {
 			break
 		}
-		h[i] = h[down]
-		h[i].place = i + 1
-		i = down
+		h[i] = h[child]
+		h[i].heapPos = i + 1
+		i = child
 	}
 	h[i] = x
-	x.place = i + 1
+	x.heapPos = i + 1
 }
