--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -12,21 +12,22 @@
 	"poppymill/router"
 )
 
+// discardClient discards all answers.
 type discardClient struct{}
 
 func (discardClient) Answer(_ uint16, a clients.Answer) { a.Body.Release() }
 
-// loopback is a wire at whose other end a node answers what comes, as soon as it is asked to.
-type loopback struct{ queue []*caches.Item }
+// instantWire is a connection to a node that answers as soon as the benchmark asks for it.
+type instantWire struct{ queue []*caches.Item }
 
-func (l *loopback) Send(i *caches.Item) bool   { l.queue = append(l.queue, i); return true }
-func (l *loopback) Remove(i *caches.Item) bool { return false }
-func (l *loopback) Heard() (float64, bool)     { return 0, false }
-func (l *loopback) Stuck() bool                { return false }
-func (l *loopback) Close()                     {}
+func (w *instantWire) Send(i *caches.Item) bool   { w.queue = append(w.queue, i); return true }
+func (w *instantWire) Remove(i *caches.Item) bool { return false }
+func (w *instantWire) Heard() (float64, bool)     { return 0, false }
+func (w *instantWire) Stuck() bool                { return false }
+func (w *instantWire) Close()                     {}
 
-// BenchmarkDownload is a download's whole way through the core without sockets: its fields read, its pull decided and
-// written, its answer handed on. A tenth goes on to a second pull.
+// BenchmarkDownload measures a download's path through the core without sockets: parsing the request, deciding and
+// writing the pull, and passing on the answer. A tenth of the downloads need a second pull.
 func BenchmarkDownload(b *testing.B) {
 	for _, nodes := range []int{10, 100} {
 		b.Run(fmt.Sprint(nodes, " nodes"), func(b *testing.B) {
@@ -50,12 +51,12 @@
 				}
 				list.Nodes = append(list.Nodes, channel.Node{Address: fmt.Sprintf("127.0.0.1:%d", 5000+i), Entry: e})
 			}
-			var lines []*loopback
+			var wires []*instantWire
 			pool := caches.NewPool(caches.Limits{Streams: c.Streams, Idle: 1e9, Conns: 2 * nodes, Names: footprint.Report},
 				func(string) caches.Wire {
-					l := &loopback{}
-					lines = append(lines, l)
-					return l
+					w := &instantWire{}
+					wires = append(wires, w)
+					return w
 				})
 			core := NewCore(c, pool, discardLogger(), now)
 			core.Handle(Told{News: list, At: now})
@@ -68,19 +69,19 @@
 				core.Handle(Asked{Client: client, ID: 1, At: now, Params: map[string]string{
 					"SCRIPT_NAME": "/invoke/video", "HTTP_X_JOB_ID": id, "HTTP_X_ALLOW_MS": "2000",
 					"HTTP_X_ITEM": fmt.Sprintf("%016x", i%5000), "HTTP_X_N": "0", "HTTP_X_SHARD": "7"}})
-				for left := 1 + (9-i%10)/9; left > 0; left-- {
+				for pulls := 1 + (9-i%10)/9; pulls > 0; pulls-- {
 					word := "DONE"
-					if left == 2 {
+					if pulls == 2 {
 						word = "LACK"
 					}
-					for _, l := range lines {
-						if len(l.queue) == 0 {
+					for _, w := range wires {
+						if len(w.queue) == 0 {
 							continue
 						}
-						l.queue[0].Take()
-						l.queue[0].Wrote(true)
-						l.queue = l.queue[:0]
-						core.Handle(caches.Answered{Wire: l, At: now + 290, Reply: caches.Reply{Tag: id, Word: word,
+						w.queue[0].Take()
+						w.queue[0].Wrote(true)
+						w.queue = w.queue[:0]
+						core.Handle(caches.Answered{Wire: w, At: now + 290, Reply: caches.Reply{Tag: id, Word: word,
 							Fields: "res=warm,sum=00000000000000ab,t0=999999999999"}})
 						break
 					}
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -129,8 +129,9 @@
 
 // NewCore returns a core whose router has been given the settings and all that is known at the start.
 func NewCore(c *footprint.Config, pool *caches.Pool, log logrus.FieldLogger, now float64) *Core {
-	g := &Core{config: c, log: log, warnings: &warnLimiter{log: log}, router: router.New(), pool: pool, downloads: map[string]*download{},
-		clients: map[Client]map[uint16]*download{}, probes: map[*caches.Pull]*timer{},
+	g := &Core{config: c, log: log, warnings: &warnLimiter{log: log}, router: router.New(), pool: pool,
+		downloads: map[string]*download{},
+		clients:   map[Client]map[uint16]*download{}, probes: map[*caches.Pull]*timer{},
 		addresses: map[string]string{}, nodes: map[string]router.Entry{}, maxOpen: Share(c).Open, now: now}
 	g.emit(router.Started{Seed: c.Seed, Footprint: c.Footprint})
 	for _, n := range c.Known {
--- a/internal/gateway/core_ordering_test.go
+++ b/internal/gateway/core_ordering_test.go
@@ -9,11 +9,11 @@
 	"poppymill/router"
 )
 
-// What waits to be written when its download ends is never sent, also where nothing may be called off: the model finds what comes to
-// a node after the end.
+// A pull that is not written yet when its download ends is never sent, even if sent pulls must not be cancelled. The
+// harness detects commands that reach a node after the end.
 func TestNothingSentAfterEnd(t *testing.T) {
 	for name, end := range map[string]func(h *harness){
-		"the client gives it up": func(h *harness) {
+		"the client aborts it": func(h *harness) {
 			h.core.Handle(Aborted{Client: h.clients[0], ID: 1, At: h.now})
 		},
 		"the client closes": func(h *harness) {
@@ -28,7 +28,7 @@
 		h := newHarnessWithConfig(t, c)
 		h.sendRequest(h.clients[0], "video", 1, 500)
 		if len(h.wires) != 1 || len(h.wires[0].queue) != 1 {
-			t.Fatalf("%s: nothing waits to be written", name)
+			t.Fatalf("%s: no pull is queued", name)
 		}
 		end(h)
 		h.wires[0].deliver()
@@ -41,8 +41,8 @@
 	}
 }
 
-// A repeat that may only go out within a window is taken back at its end, if its connection is not up by then, and the router hears
-// that it never ran; one that is written goes on.
+// A repeat that may only be sent within a window is taken back at the end of the window if its connection is not up by
+// then, and the router is told that it never ran. A repeat that was written continues.
 func TestSendWindow(t *testing.T) {
 	for _, written := range []bool{false, true} {
 		h := newHarness(t)
@@ -56,41 +56,41 @@
 		}
 		h.core.Ring(h.now + 99)
 		if p.cachePull == nil {
-			t.Errorf("written %t: it is over before its window is", written)
+			t.Errorf("written %t: ended before its window", written)
 		}
 		h.core.Ring(h.now + 100)
 		if over := p.cachePull == nil; over == written {
-			t.Errorf("written %t: over %t", written, over)
+			t.Errorf("written %t: ended %t", written, over)
 		}
 		h.core.Ring(h.now + 10_000)
 		if n := len(h.core.downloads); n > 0 {
 			t.Errorf("written %t: %d downloads are left over", written, n)
 		}
-		for _, x := range h.core.timers {
-			if x.sendDeadline != nil {
-				t.Errorf("written %t: a timer holds on to what has ended", written)
+		for _, tm := range h.core.timers {
+			if tm.sendDeadline != nil {
+				t.Errorf("written %t: a timer of an ended pull is left over", written)
 			}
 		}
 	}
 }
 
-// Whatever order lists come in, a pull goes only to what the newest word names, at the address that it names, and by a connection to the
-// process that it names: the model finds what comes to a node that drains or is gone.
+// In whatever order node lists arrive, a pull is sent only to a node of the newest list, at the address given there and
+// on a connection to the process given there. The harness detects commands that reach a node that is draining or gone.
 func TestNodeListOrder(t *testing.T) {
 	c := testConfig(t)
 	nodes := c.Known[0].Nodes
-	told := func(h *harness, scope router.Scope, list ...channel.Node) {
+	sendList := func(h *harness, scope router.Scope, list ...channel.Node) {
 		if scope != router.Changes {
 			for _, n := range nodes {
-				h.drainedNodes[n.Node] = true
+				h.notRunning[n.Node] = true
 			}
 		}
 		for _, n := range list {
-			h.drainedNodes[n.Node] = n.State != router.Running
+			h.notRunning[n.Node] = n.State != router.Running
 		}
 		h.core.Handle(Told{News: channel.News{Scope: scope, Nodes: list}, At: h.now})
 	}
-	state := func(n channel.Node, s router.State) channel.Node {
+	withState := func(n channel.Node, s router.State) channel.Node {
 		n.State = s
 		return n
 	}
@@ -101,49 +101,49 @@
 		}
 	}
 	a, b, rest := nodes[edges[0]], nodes[edges[1]], nodes[edges[1]+1:]
-	for name, lists := range map[string]func(h *harness){
+	for name, sendLists := range map[string]func(h *harness){
 		"a drain, then a whole list without it": func(h *harness) {
-			told(h, router.Changes, state(a, router.Draining))
-			told(h, router.Whole, append([]channel.Node{b}, rest...)...)
+			sendList(h, router.Changes, withState(a, router.Draining))
+			sendList(h, router.Whole, append([]channel.Node{b}, rest...)...)
 		},
 		"a whole list, then a drain that had been overtaken": func(h *harness) {
-			told(h, router.Whole, append([]channel.Node{a, b}, rest...)...)
-			told(h, router.Changes, state(a, router.Draining))
+			sendList(h, router.Whole, append([]channel.Node{a, b}, rest...)...)
+			sendList(h, router.Changes, withState(a, router.Draining))
 		},
-		"a whole list that is empty": func(h *harness) { told(h, router.Whole) },
+		"a whole list that is empty": func(h *harness) { sendList(h, router.Whole) },
 		"gone, and back at another address": func(h *harness) {
-			told(h, router.Changes, state(a, router.Gone))
+			sendList(h, router.Changes, withState(a, router.Gone))
 			other := a
 			other.Address, other.Booted = "127.0.0.1:5999", h.now
-			told(h, router.Changes, other, state(b, router.Gone))
+			sendList(h, router.Changes, other, withState(b, router.Gone))
 		},
 		"a new process at the same address": func(h *harness) {
 			other := a
 			other.Booted = h.now
-			told(h, router.Changes, other, state(b, router.Draining))
+			sendList(h, router.Changes, other, withState(b, router.Draining))
 		},
 		"a new cache at the address of one that has gone": func(h *harness) {
 			other := a
 			other.Node = "edge-9"
-			told(h, router.Changes, state(a, router.Gone), other, state(b, router.Gone))
-			h.drainedNodes[a.Node] = false // the model goes by addresses, and this one is the newcomer's
+			sendList(h, router.Changes, withState(a, router.Gone), other, withState(b, router.Gone))
+			h.notRunning[a.Node] = false // the harness names nodes by address, and this one now belongs to the new cache
 		},
 	} {
 		h := newHarnessWithConfig(t, testConfig(t))
 		for i := range 6 {
 			h.sendRequest(h.clients[0], "video", i, 2000)
 		}
-		other := strings.Contains(name, "address") // of processes: their connections rest, so that one would be used again
+		other := strings.Contains(name, "address") // a process is replaced: keep its connections idle, so that they could be reused
 		for _, w := range h.wires {
 			for w.deliver(); other && len(w.open) > 0; {
 				h.reply(w, 0, "DONE")
 			}
 			if !other {
-				break // the rest wait
+				break // the other pulls stay queued
 			}
 		}
 		before := len(h.wires)
-		lists(h)
+		sendLists(h)
 		for i := range 6 {
 			h.sendRequest(h.clients[1], "video", 10+i, 2000)
 		}
@@ -153,8 +153,8 @@
 		if other {
 			for _, w := range h.wires[:before] {
 				for _, id := range w.open {
-					if a := h.requests[id]; a.client == h.clients[1] {
-						t.Errorf("%s: %s goes by a connection to the process before", name, id)
+					if req := h.requests[id]; req.client == h.clients[1] {
+						t.Errorf("%s: %s was sent on a connection to the previous process", name, id)
 					}
 				}
 			}
@@ -162,14 +162,14 @@
 		if name == "a whole list that is empty" {
 			for n := range 6 {
 				if got := h.statuses(fmt.Sprintf("%016x", 7+n)); got != "" && got != "503" {
-					t.Errorf("%s: told %s", name, got)
+					t.Errorf("%s: answered %s", name, got)
 				}
 			}
 		}
 		h.now += 10_000
 		h.core.Ring(h.now)
 		for _, w := range h.wires {
-			for len(w.open) > 0 && !w.gone {
+			for len(w.open) > 0 && !w.broken {
 				h.reply(w, 0, "DONE")
 			}
 		}
@@ -180,7 +180,8 @@
 	}
 }
 
-// A gateway that starts holds to what is told of the past: a purge is in its first pull's limit, a drain keeps its first pull away.
+// A gateway applies the state known at its start: a past purge limits the age in its first pull, and a drained node gets
+// no pull.
 func TestStartsFromKnownState(t *testing.T) {
 	c := testConfig(t)
 	drained := c.Known[0].Nodes[0]
@@ -189,7 +190,7 @@
 	purge.Purged.Object = fmt.Sprintf("%016x", 3)
 	c.Known = append(c.Known, channel.News{Nodes: []channel.Node{drained}}, purge)
 	h := newHarnessWithConfig(t, c)
-	h.drainedNodes[drained.Node] = true
+	h.notRunning[drained.Node] = true
 	for i := range 8 {
 		h.sendRequest(h.clients[0], "video", i, 500)
 	}
--- a/internal/gateway/core_test.go
+++ b/internal/gateway/core_test.go
@@ -40,7 +40,7 @@
 	return log
 }
 
-// client is a connection that remembers what it was told.
+// client records the answers that it gets.
 type client struct {
 	answers map[uint16][]clients.Answer
 }
@@ -50,14 +50,14 @@
 	a.Body.Release()
 }
 
-// line is a wire whose writing, answers and end the test decides.
+// fakeWire is a connection to a node; the test decides when commands are written and answered and when it breaks.
 type fakeWire struct {
 	harness *harness
 	node    string
 	queue   []*caches.Item
 	closed  bool
-	gone    bool
-	open    []string // ids that are whole at the node and not given up
+	broken  bool
+	open    []string // ids of the commands that the node has received and that were not dropped
 }
 
 func (w *fakeWire) Send(i *caches.Item) bool {
@@ -84,7 +84,7 @@
 func (w *fakeWire) Stuck() bool            { return false }
 func (w *fakeWire) Close()                 { w.closed = true }
 
-// deliver makes what is queued whole at the node.
+// deliver writes all queued commands to the node.
 func (w *fakeWire) deliver() {
 	for _, i := range w.queue {
 		i.Take()
@@ -93,7 +93,7 @@
 		verb, id := words[2], words[4]
 		switch verb {
 		case "GET":
-			w.harness.received(w.node, id, words[6])
+			w.harness.onGet(w.node, id, words[6])
 			w.open = append(w.open, id)
 		case "DROP":
 			for n, o := range w.open {
@@ -109,34 +109,35 @@
 	w.queue = nil
 }
 
-// plain drives a core without sockets, and is a plain model of what it must keep.
+// harness drives a core without sockets and checks its guarantees against a simple model.
 type harness struct {
-	t            *testing.T
-	core         *Core
-	pool         *caches.Pool
-	buffers      *buffer.Pool
-	now          float64
-	wires        []*fakeWire
-	clients      []*client
-	requests     map[string]*request
-	drainedNodes map[string]bool // nodes that were told to drain or to be gone
-	faults       []string
+	t          *testing.T
+	core       *Core
+	pool       *caches.Pool
+	buffers    *buffer.Pool
+	now        float64
+	wires      []*fakeWire
+	clients    []*client
+	requests   map[string]*request
+	notRunning map[string]bool // nodes listed as draining or gone
+	faults     []string
 }
 
+// request is the model's view of a download.
 type request struct {
 	client     *client
 	number     uint16
 	typ        string
 	expiry     float64
 	gone       bool
-	received   int
-	mayHaveRun bool // a pull of it may have run
+	attempts   int
+	mayHaveRun bool // one of its pulls may have run
 }
 
 func newHarness(t *testing.T) *harness { return newHarnessWithConfig(t, testConfig(t)) }
 
 func newHarnessWithConfig(t *testing.T, c *footprint.Config) *harness {
-	h := &harness{t: t, buffers: buffer.NewPool(1 << 24), now: 1e12, requests: map[string]*request{}, drainedNodes: map[string]bool{}}
+	h := &harness{t: t, buffers: buffer.NewPool(1 << 24), now: 1e12, requests: map[string]*request{}, notRunning: map[string]bool{}}
 	names := map[string]string{}
 	for _, n := range c.Known[0].Nodes {
 		names[n.Address] = n.Node
@@ -154,54 +155,57 @@
 	return h
 }
 
+// faultf records a violation of a guarantee.
 func (h *harness) faultf(format string, args ...any) {
 	h.faults = append(h.faults, fmt.Sprintf(format, args...))
 }
 
+// sendRequest sends a request and returns its id.
 func (h *harness) sendRequest(c *client, typ string, object int, allow float64) string {
 	id := fmt.Sprintf("%016x", len(h.requests)+1)
-	a := &request{client: c, number: uint16(len(h.requests) + 1), typ: typ, expiry: h.now + allow}
-	h.requests[id] = a
+	req := &request{client: c, number: uint16(len(h.requests) + 1), typ: typ, expiry: h.now + allow}
+	h.requests[id] = req
 	var body *buffer.Chain
 	if typ == "renewal" {
 		body = buffer.NewChain(h.buffers)
 		body.Append([]byte("write"))
 	}
-	h.core.Handle(Asked{Client: c, ID: a.number, Body: body, At: h.now, Params: map[string]string{
+	h.core.Handle(Asked{Client: c, ID: req.number, Body: body, At: h.now, Params: map[string]string{
 		"SCRIPT_NAME": "/invoke/" + typ, "HTTP_X_JOB_ID": id, "HTTP_X_ALLOW_MS": fmt.Sprint(allow),
 		"HTTP_X_ITEM": fmt.Sprintf("%016x", object), "HTTP_X_N": "0", "HTTP_X_SHARD": "7"}})
 	return id
 }
 
-func (h *harness) received(node, id, fields string) {
-	a := h.requests[id]
-	if a == nil {
-		h.faultf("%s was never asked", id)
+// onGet checks a pull that reaches a node.
+func (h *harness) onGet(node, id, fields string) {
+	req := h.requests[id]
+	if req == nil {
+		h.faultf("pull of unknown download %s", id)
 		return
 	}
 	_, source, _ := strings.Cut(fields, ",next=")
 	source, _, _ = strings.Cut(source, ",")
-	if h.drainedNodes[node] || h.drainedNodes[source] {
-		h.faultf("sent to %s after word of a drain: %s", node, fields)
+	if h.notRunning[node] || h.notRunning[source] {
+		h.faultf("sent to %s after it was listed as draining or gone: %s", node, fields)
 	}
-	if a.received++; a.mayHaveRun && a.typ == "renewal" {
-		h.faultf("a write that may have run is sent again: %s", fields)
+	if req.attempts++; req.mayHaveRun && req.typ == "renewal" {
+		h.faultf("a write that may have run was sent again: %s", fields)
 	}
-	a.mayHaveRun = true
-	if len(a.client.answers[a.number]) > 0 || a.gone {
-		h.faultf("sent after its end: %s", fields)
+	req.mayHaveRun = true
+	if len(req.client.answers[req.number]) > 0 || req.gone {
+		h.faultf("sent after the end of its download: %s", fields)
 	}
 }
 
-// answer lets a node end what it has open.
+// reply makes a node answer its n-th open command.
 func (h *harness) reply(w *fakeWire, n int, word string) {
 	id := w.open[n]
 	w.open = append(w.open[:n], w.open[n+1:]...)
 	r := caches.Reply{Tag: id, Word: word, Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f,gauges=util:0.5", h.now)}
-	if a := h.requests[id]; a == nil {
+	if req := h.requests[id]; req == nil {
 		r.Word = "FIT"
 	} else if word == "LACK" || word == "WAIT" || word == "PAST" {
-		a.mayHaveRun = false
+		req.mayHaveRun = false
 	} else {
 		r.Body = buffer.NewChain(h.buffers)
 		r.Body.Append([]byte("body of " + id))
@@ -209,21 +213,21 @@
 	h.core.Handle(caches.Answered{Wire: w, Reply: r, At: h.now})
 }
 
-// end breaks a connection; what was not written whole never ran.
+// breakWire breaks a connection. Commands that were not written completely never ran.
 func (h *harness) breakWire(w *fakeWire) {
 	for _, i := range w.queue {
 		i.Take()
 		i.Wrote(false)
 	}
-	w.queue, w.open, w.closed, w.gone = nil, nil, true, true
+	w.queue, w.open, w.closed, w.broken = nil, nil, true, true
 	h.core.Handle(caches.Down{Wire: w, Up: true, At: h.now})
 }
 
-// step is one event, by chance.
+// step executes one random event.
 func (h *harness) step(r *rand.Rand) {
 	var alive []*fakeWire
 	for _, w := range h.wires {
-		if !w.gone {
+		if !w.broken {
 			alive = append(alive, w)
 		}
 	}
@@ -244,25 +248,25 @@
 	case n < 78:
 		for n := range len(h.requests) {
 			id := fmt.Sprintf("%016x", n+1)
-			if a := h.requests[id]; a.client == c && !a.gone && len(c.answers[a.number]) == 0 {
-				a.gone = true
-				h.core.Handle(Aborted{Client: c, ID: a.number, At: h.now})
-				if got := c.answers[a.number]; len(got) != 1 || !got[0].None {
-					h.faultf("%s was given up and told %v", id, got)
+			if req := h.requests[id]; req.client == c && !req.gone && len(c.answers[req.number]) == 0 {
+				req.gone = true
+				h.core.Handle(Aborted{Client: c, ID: req.number, At: h.now})
+				if got := c.answers[req.number]; len(got) != 1 || !got[0].None {
+					h.faultf("%s was aborted and answered %v", id, got)
 				}
 				break
 			}
 		}
 	case n < 80:
-		for _, a := range h.requests {
-			a.gone = a.gone || a.client == c
+		for _, req := range h.requests {
+			req.gone = req.gone || req.client == c
 		}
 		h.core.Handle(ClientClosed{Client: c, At: h.now})
 	case n < 83:
 		known := h.core.config.Known[0].Nodes
 		node := known[r.Intn(len(known))]
 		node.State = router.State(r.Intn(3))
-		h.drainedNodes[node.Node] = node.State != router.Running
+		h.notRunning[node.Node] = node.State != router.Running
 		h.core.Handle(Told{News: channel.News{Nodes: []channel.Node{node}}, At: h.now})
 	case n < 85:
 		h.core.Handle(Told{News: channel.News{Purge: true, PurgeTime: h.now - 50,
@@ -273,39 +277,40 @@
 	}
 }
 
-// settled checks that all has come to its end and that nothing is left over.
+// checkSettled checks that every download has ended and no resource is left over.
 func (h *harness) checkSettled() {
-	for id, a := range h.requests {
-		got := a.client.answers[a.number]
-		if len(got) != 1 && !(a.gone && len(got) == 0) {
-			h.faultf("%s, a %s, has %d answers", id, a.typ, len(got))
+	for id, req := range h.requests {
+		got := req.client.answers[req.number]
+		if len(got) != 1 && !(req.gone && len(got) == 0) {
+			h.faultf("%s, a %s, has %d answers", id, req.typ, len(got))
 		}
-		if len(got) == 1 && got[0].Status == 503 && a.mayHaveRun && a.typ == "renewal" {
+		if len(got) == 1 && got[0].Status == 503 && req.mayHaveRun && req.typ == "renewal" {
 			h.faultf("%s may have run and was throttled", id)
 		}
 	}
 	for _, w := range h.wires {
-		if !w.gone {
+		if !w.broken {
 			h.breakWire(w)
 		}
 	}
-	for _, x := range h.core.timers {
-		if x.download != nil || x.pull != nil || x.probe != nil {
-			h.faultf("a timer holds on to what has ended")
+	for _, tm := range h.core.timers {
+		if tm.download != nil || tm.pull != nil || tm.probe != nil {
+			h.faultf("a timer of an ended download, pull or probe is left over")
 		}
 	}
 	if n := len(h.core.downloads); n != 0 || h.core.Open() != 0 || len(h.core.clients) != 0 || len(h.core.probes) != 0 {
-		h.faultf("%d downloads, %d owed, %d probes are left over", n, h.core.Open(), len(h.core.probes))
+		h.faultf("%d downloads, %d open, %d probes are left over", n, h.core.Open(), len(h.core.probes))
 	}
 	if n := h.buffers.Out(); n != 0 || h.pool.Conns() != 0 {
 		h.faultf("%d buffers and %d connections are left over", n, h.pool.Conns())
 	}
 	if n := assert.Broken(); n != 0 || h.core.Panics != 0 || h.core.Overdue != 0 {
-		h.faultf("%d asserts broken, %d panics, %d overdue", n, h.core.Panics, h.core.Overdue)
+		h.faultf("%d failed assertions, %d panics, %d overdue", n, h.core.Panics, h.core.Overdue)
 	}
 }
 
-// Whatever the order of events: one answer a download and none after it, no write twice, nothing left over.
+// For any order of events, each download gets one answer, nothing is sent after it, no write runs twice, and no
+// resource is left over.
 func TestRandomEventOrder(t *testing.T) {
 	holds := func(seed int64) bool {
 		r, h := rand.New(rand.NewSource(seed)), newHarness(t)
@@ -335,16 +340,17 @@
 	}
 }
 
+// statuses returns the statuses of the answers to a request.
 func (h *harness) statuses(id string) string {
-	a := h.requests[id]
+	req := h.requests[id]
 	var out []string
-	for _, got := range a.client.answers[a.number] {
+	for _, got := range req.client.answers[req.number] {
 		out = append(out, fmt.Sprint(got.Status))
 	}
 	return strings.Join(out, " ")
 }
 
-// Of two ends that meet, the one that happened first counts, and the other does no harm.
+// If two events would end a download, the one that happened first counts, and the other has no effect.
 func TestCompetingEnds(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -369,21 +375,21 @@
 			h.core.End(h.now)
 			h.reply(w, 0, "DONE")
 			if late := h.sendRequest(h.clients[0], "video", 2, 500); h.statuses(late) != "503" {
-				h.faultf("asked after the end and told %q", h.statuses(late))
+				h.faultf("a request after the end was answered %q", h.statuses(late))
 			}
 		}, "500"},
-		{"the end of the process, while another waits for a place at a cache", func(h *harness, w *fakeWire) {
+		{"the end of the process, while another download waits for a node", func(h *harness, w *fakeWire) {
 			for _, n := range h.core.config.Known[0].Nodes {
 				n.State = router.Draining
 				h.core.Handle(Told{News: channel.News{Nodes: []channel.Node{n}}, At: h.now})
 			}
-			waits := h.sendRequest(h.clients[0], "renewal", 2, 500)
-			if got := h.statuses(waits); got != "" {
-				h.faultf("it waits for nothing: %q", got)
+			waiting := h.sendRequest(h.clients[0], "renewal", 2, 500)
+			if got := h.statuses(waiting); got != "" {
+				h.faultf("the second download does not wait: %q", got)
 			}
 			h.core.End(h.now)
-			if got := h.statuses(waits); got != "503" {
-				h.faultf("it never went out and is told %q", got)
+			if got := h.statuses(waiting); got != "503" {
+				h.faultf("the second download was never sent and was answered %q", got)
 			}
 		}, "500"},
 		{"the connection breaks, a second pull is answered", func(h *harness, w *fakeWire) {
@@ -399,7 +405,7 @@
 		w.deliver()
 		c.meet(h, w)
 		if got := h.statuses(id); got != c.want {
-			t.Errorf("%s: told %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: answered %q, want %q", c.name, got, c.want)
 		}
 		h.now += 10_000
 		h.core.Ring(h.now)
@@ -410,13 +416,13 @@
 	}
 }
 
-// A request that can't be read gets a failing answer and never reaches a node.
+// A malformed request is answered with an error and never reaches a node.
 func TestMalformedRequests(t *testing.T) {
 	h := newHarness(t)
 	good := map[string]string{"SCRIPT_NAME": "/invoke/video", "HTTP_X_JOB_ID": "00000000000000aa", "HTTP_X_ALLOW_MS": "500",
 		"HTTP_X_ITEM": "00000000000000bb", "HTTP_X_N": "0", "HTTP_X_SHARD": "7", "HTTP_X_MINE": "00000000000000cc"}
 	number := uint16(0)
-	ask := func(name, value string, body ...byte) int {
+	statusOf := func(name, value string, body ...byte) int {
 		params := map[string]string{}
 		for n, v := range good {
 			params[n] = v
@@ -442,31 +448,31 @@
 		{"HTTP_X_ALLOW_MS", "6601"}, {"HTTP_X_ALLOW_MS", "5e2"}, {"HTTP_X_ALLOW_MS", "+500"}, {"HTTP_X_ALLOW_MS", "0500"},
 		{"HTTP_X_ALLOW_MS", " 500"}, {"HTTP_X_ALLOW_MS", "99999999999999999999"}, {"HTTP_X_N", "+1"}, {"HTTP_X_N", "1.0"},
 		{"HTTP_X_N", "2147483648"}, {"CONTENT_LENGTH", "1"}, {"CONTENT_LENGTH", "-0"}, {"CONTENT_LENGTH", "1e0"}} {
-		if got := ask(c[0], c[1]); got != 400 {
+		if got := statusOf(c[0], c[1]); got != 400 {
 			t.Errorf("%s %q: status %d", c[0], c[1], got)
 		}
 	}
-	if got := ask("X", "", 'b'); got != 400 {
-		t.Errorf("a body to read with: status %d", got)
+	if got := statusOf("X", "", 'b'); got != 400 {
+		t.Errorf("a body for a type without bodies: status %d", got)
 	}
-	if h.core.config.Types[0].Parts = false; ask("HTTP_X_N", "1") != 400 {
-		t.Error("a part of what has only one is let through")
+	if h.core.config.Types[0].Parts = false; statusOf("HTTP_X_N", "1") != 400 {
+		t.Error("a part number for a type without parts was accepted")
 	}
 	if len(h.wires) != 0 {
-		t.Error("one reached a node")
+		t.Error("a malformed request reached a node")
 	}
-	if ask("CONTENT_LENGTH", "0"); len(h.wires) != 1 {
-		t.Error("a good one reached no node")
+	if statusOf("CONTENT_LENGTH", "0"); len(h.wires) != 1 {
+		t.Error("a valid request reached no node")
 	}
-	if got := ask("HTTP_X_ALLOW_MS", "6002"); got != 400 || !strings.Contains(fmt.Sprint(h.core.parseDownload(map[string]string{
+	if got := statusOf("HTTP_X_ALLOW_MS", "6002"); got != 400 || !strings.Contains(fmt.Sprint(h.core.parseDownload(map[string]string{
 		"SCRIPT_NAME": "/invoke/video", "HTTP_X_JOB_ID": "00000000000000ab", "HTTP_X_ALLOW_MS": "6002",
 		"HTTP_X_ITEM": "00000000000000bb", "HTTP_X_N": "0", "HTTP_X_SHARD": "7"}, 0)), "<nil>") {
-		t.Error("a little more than the longest expiry is turned away")
+		t.Error("slightly more than the longest expiry was refused")
 	}
-	if got := ask("X", ""); got != 400 {
-		t.Errorf("an id that is open already: status %d", got)
+	if got := statusOf("X", ""); got != 400 {
+		t.Errorf("the id of an open download: status %d", got)
 	}
-	if got := ask("SCRIPT_NAME", "/_health"); got != 200 {
+	if got := statusOf("SCRIPT_NAME", "/_health"); got != 200 {
 		t.Errorf("health: status %d", got)
 	}
 	h.wires[0].deliver()
@@ -475,7 +481,7 @@
 	}
 }
 
-// What a pull says of itself on the wire is what the router said, and nothing else.
+// The fields of a pull command are exactly what the router decided.
 func TestPullFields(t *testing.T) {
 	d := &download{typ: "video", object: "00000000000000bb", part: 3}
 	for _, c := range []struct {
@@ -494,40 +500,40 @@
 			t.Errorf("%+v: %s, want %s", c.a, got, want)
 		}
 	}
-	d.clientSum, d.idempotencyKey = "", "A-0_f" // goes on unchanged, with every pull: caches tell repeats by it
+	d.clientSum, d.idempotencyKey = "", "A-0_f" // passed unchanged with every pull: caches detect repeats by it
 	if got, want := pullFields(d, router.Pull{Node: "a"}, 80.4), "kind=video,obj=00000000000000bb,seg=3,ms=80,token=A-0_f"; got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
 }
 
-// What is due comes in its order, and what is no longer needed is not held on to.
+// Timers fire in order, and removed timers are not kept.
 func TestTimers(t *testing.T) {
 	r := rand.New(rand.NewSource(1))
-	var h timers
+	var heap timers
 	var all []*timer
 	last, n := 0.0, 0
 	for i := range 9000 {
 		switch k := r.Intn(6); {
-		case len(h) == 0 || k < 3 && i < 7000:
-			all = append(all, h.push(timer{at: last + float64(r.Intn(50)), token: int64(i)}))
+		case len(heap) == 0 || k < 3 && i < 7000:
+			all = append(all, heap.push(timer{at: last + float64(r.Intn(50)), token: int64(i)}))
 			n++
 		case k == 3:
 			x := all[r.Intn(len(all))]
 			if x.heapPos > 0 {
 				n--
 			}
-			h.remove(x)
+			heap.remove(x)
 		default:
-			x := h.pop()
-			if n--; x.at < last || n != len(h) || x.heapPos != 0 {
-				t.Fatalf("%v comes after %v, %d left of %d", x.at, last, len(h), n)
+			x := heap.pop()
+			if n--; x.at < last || n != len(heap) || x.heapPos != 0 {
+				t.Fatalf("%v popped after %v; %d timers in the heap, %d expected", x.at, last, len(heap), n)
 			}
 			last = x.at
 		}
 	}
 }
 
-// A flood of lines is counted, not written.
+// A flood of warnings is counted rather than written.
 func TestWarnLimiter(t *testing.T) {
 	var out bytes.Buffer
 	log := logrus.New()
@@ -542,27 +548,27 @@
 	}
 }
 
-// The parts of a budget fit into the limits, and each is enough to work with.
+// The parts of a budget fit into the limits, and each is large enough to work with.
 func TestBudget(t *testing.T) {
-	c := testConfig(t)
-	for _, l := range [][2]int{{32, 256}, {48, 256}, {64, 384}, {192, 1024}, {24, 1024}, {192, 64}} {
-		c.MemoryMB, c.Sockets, c.MostOpen = l[0], l[1], 1e9
-		b := Share(c)
-		conns := b.Clients + b.Caches
-		if used := b.Reads + b.Bodies + conns*memoryPerConn + b.Open*memoryPerDownload; used > b.Heap || b.Heap+reservedMemory > l[0]<<20 || conns > max(32, l[1]-reservedDescriptors) {
-			t.Errorf("%v: %+v is too much", l, b)
+	config := testConfig(t)
+	for _, limits := range [][2]int{{32, 256}, {48, 256}, {64, 384}, {192, 1024}, {24, 1024}, {192, 64}} {
+		config.MemoryMB, config.Sockets, config.MostOpen = limits[0], limits[1], 1e9
+		budget := Share(config)
+		conns := budget.Clients + budget.Caches
+		if used := budget.Reads + budget.Bodies + conns*memoryPerConn + budget.Open*memoryPerDownload; used > budget.Heap || budget.Heap+reservedMemory > limits[0]<<20 || conns > max(32, limits[1]-reservedDescriptors) {
+			t.Errorf("%v: %+v is too much", limits, budget)
 		}
-		if beside := shareWithQuorum(c); beside.Clients+beside.Caches > max(32, l[1]-reservedDescriptors-maxPeerConns(c)) || beside.Clients+beside.Caches < 32 {
-			t.Errorf("%v: beside %d connections of peers %+v", l, maxPeerConns(c), beside)
+		if withQuorum := shareWithQuorum(config); withQuorum.Clients+withQuorum.Caches > max(32, limits[1]-reservedDescriptors-maxPeerConns(config)) || withQuorum.Clients+withQuorum.Caches < 32 {
+			t.Errorf("%v: with %d peer connections %+v", limits, maxPeerConns(config), withQuorum)
 		}
-		if b.Clients < min(c.Sockets/3, 16) || b.Reads < conns*buffer.Size || b.Bodies < 4*240_000 || b.Open < 300 {
-			t.Errorf("%v: %+v is too little", l, b)
+		if budget.Clients < min(config.Sockets/3, 16) || budget.Reads < conns*buffer.Size || budget.Bodies < 4*240_000 || budget.Open < 300 {
+			t.Errorf("%v: %+v is too little", limits, budget)
 		}
 	}
 }
 
-// The end comes in time for the last download that may still be taken, and what it is told is on its way before the process may be
-// killed: the longest expiry and 0.7 s after the word, 3.7 s at most.
+// At shutdown, downloads accepted until the last moment are answered in time, and the answers are flushed before the
+// process may be killed: the longest expiry plus 0.7 s after the signal, 3.7 s at most.
 func TestAnswerBy(t *testing.T) {
 	c := testConfig(t)
 	for _, want := range []struct{ longest, answered, flushed time.Duration }{{6000, 3500, 3650}, {2500, 3000, 3150}, {600, 1100, 1250}, {120, 780, 810}} {
--- a/internal/gateway/load_meter.go
+++ b/internal/gateway/load_meter.go
@@ -29,7 +29,8 @@
 
 // Measure starts the measurements and registers a function that is called with them once a second.
 func (g *Core) Measure(report func(load maintenance.Load, fills float64)) {
-	g.meter = &loadMeter{taken: newLoadRing(), fills: router.NewRing(fillWindow, 8), edges: map[string]*hitCounter{}, report: report}
+	g.meter = &loadMeter{taken: newLoadRing(), fills: router.NewRing(fillWindow, 8), edges: map[string]*hitCounter{},
+		report: report}
 }
 
 // addDownload counts an accepted download.
--- a/internal/gateway/prefetch.go
+++ b/internal/gateway/prefetch.go
@@ -49,13 +49,16 @@
 // next starts as many downloads as the limits allow, and calls done once all have ended.
 func (p *prefetcher) next() {
 	core := p.core
-	for len(p.pending) > 0 && p.open < maxPrefetches && core.open < core.maxOpen/2 && !core.shuttingDown && p.refused <= p.filled+maxPrefetches {
+	for len(p.pending) > 0 && p.open < maxPrefetches && core.open < core.maxOpen/2 && !core.shuttingDown &&
+		p.refused <= p.filled+maxPrefetches {
 		wanted := p.pending[0]
 		p.pending = p.pending[1:]
 		p.lastID++
-		d := &download{typ: wanted.Type, object: wanted.Object, part: wanted.Part, group: wanted.Group, client: p, requestID: p.lastID, cacheable: true, prefetchNode: p.node}
+		d := &download{typ: wanted.Type, object: wanted.Object, part: wanted.Part, group: wanted.Group, client: p, requestID: p.lastID,
+			cacheable: true, prefetchNode: p.node}
 		core.prefetches++
-		d.id = fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprint("ahead ", core.config.Name, " ", core.config.Seed, " ", core.prefetches, " ", int64(core.now))))
+		d.id = fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprint("ahead ", core.config.Name, " ", core.config.Seed, " ",
+			core.prefetches, " ", int64(core.now))))
 		for _, t := range core.config.Types {
 			if t.Name == wanted.Type {
 				d.maxAge, d.expiry = t.Fresh, core.now+t.Expiry
--- a/internal/gateway/prefetch_test.go
+++ b/internal/gateway/prefetch_test.go
@@ -11,11 +11,11 @@
 	"poppymill/internal/owner"
 )
 
-// A cache is filled ahead with what it is asked for most, a few at a time, by downloads that nobody gets; how many were filled and how
-// many found no room is told once.
+// A prefetch fills a cache with the objects that it is asked for most, a few at a time, by downloads without a client.
+// The numbers of objects that were filled and that found no room are reported once.
 func TestPrefetch(t *testing.T) {
 	h := newHarness(t)
-	for i := range 40 { // what is asked for
+	for i := range 40 { // make objects popular
 		h.sendRequest(h.clients[i%3], "video", i, 3000)
 		for range 3 {
 			for _, w := range h.wires {
@@ -33,11 +33,11 @@
 	if len(h.core.router.Hot("edge-1", 100)) < 5 {
 		t.Fatalf("hot at edge-1: %v, %+v", h.core.router.Hot("edge-1", 100), h.core.Counters)
 	}
-	told, filled, refused := 0, 0, 0
-	h.core.Handle(Ahead{Node: "edge-1", Most: 10, At: h.now, Done: func(f, r int) { told, filled, refused = told+1, f, r }})
+	doneCalls, filled, refused := 0, 0, 0
+	h.core.Handle(Ahead{Node: "edge-1", Most: 10, At: h.now, Done: func(f, r int) { doneCalls, filled, refused = doneCalls+1, f, r }})
 	for range 200 {
 		if h.core.open > maxPrefetches {
-			t.Fatalf("%d are under way", h.core.open)
+			t.Fatalf("%d prefetches are open", h.core.open)
 		}
 		for _, w := range h.wires {
 			for range w.queue {
@@ -50,22 +50,22 @@
 		h.now++
 		h.core.Ring(h.now)
 	}
-	if told != 1 || filled == 0 || filled+refused > 10 {
-		t.Errorf("told %d times, %d filled, %d refused", told, filled, refused)
+	if doneCalls != 1 || filled == 0 || filled+refused > 10 {
+		t.Errorf("done called %d times, %d filled, %d refused", doneCalls, filled, refused)
 	}
 	if len(h.core.clients) != 0 || h.core.open != 0 {
-		t.Errorf("%d are left open", h.core.open)
+		t.Errorf("%d downloads are left open", h.core.open)
 	}
-	h.core.Handle(Ahead{Node: "no such", Most: 10, At: h.now, Done: func(f, r int) { told, filled, refused = told+1, f, r }})
-	if told != 2 || filled+refused != 0 {
-		t.Errorf("of a node that is not there %d, %d were told", filled, refused)
+	h.core.Handle(Ahead{Node: "no such", Most: 10, At: h.now, Done: func(f, r int) { doneCalls, filled, refused = doneCalls+1, f, r }})
+	if doneCalls != 2 || filled+refused != 0 {
+		t.Errorf("unknown node: %d filled, %d refused", filled, refused)
 	}
 	if WarmEnd(0, 3) != owner.NeverRan || WarmEnd(1, 3) != owner.Ran || WarmEnd(0, 0) != owner.Ran {
-		t.Error("how a step ended")
+		t.Error("wrong end of a warming step")
 	}
 }
 
-// fill delivers what is queued and answers all of it, whoever asked.
+// answerAll delivers all queued commands and answers the GETs, also those without a request of the harness.
 func (w *fakeWire) answerAll() {
 	queue := w.queue
 	w.queue = nil
@@ -79,7 +79,7 @@
 	}
 }
 
-// item is the id of a GET, or empty.
+// getID returns the id of a GET, or empty for other commands.
 func getID(i *caches.Item) string {
 	words := strings.Split(string(bytes.Join(i.Pieces(nil), nil)), "\r\n")
 	if words[2] != "GET" {
@@ -88,6 +88,7 @@
 	return words[4]
 }
 
+// doneReply returns a successful answer with a fresh copy.
 func doneReply(w *fakeWire, id string) caches.Answered {
 	r := caches.Reply{Tag: id, Word: "DONE", Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f,gauges=util:0.5", w.harness.now), Body: buffer.NewChain(w.harness.buffers)}
 	r.Body.Append([]byte("body"))
--- a/internal/gateway/purge_bounds.go
+++ b/internal/gateway/purge_bounds.go
@@ -35,7 +35,8 @@
 // Purges makes the core apply the purges that the gateways agree on. If enabled, copies older than the delay count as
 // purged while the core does not know what has been agreed since.
 func (g *Core) Purges(club string, limits purges.Limits, enabled bool, knownUntil, now func() float64) {
-	g.purges = &purgeBounds{view: purges.View{Shelf: purges.NewShelf(limits.Held), Club: club, Skew: limits.Skew}, now: now, knownUntil: knownUntil}
+	g.purges = &purgeBounds{view: purges.View{Shelf: purges.NewShelf(limits.Held), Club: club, Skew: limits.Skew},
+		now: now, knownUntil: knownUntil}
 	if enabled {
 		g.purges.view.Delay = limits.Delay
 	}
--- a/internal/gateway/purge_bounds_test.go
+++ b/internal/gateway/purge_bounds_test.go
@@ -11,88 +11,89 @@
 	"poppymill/internal/purges"
 )
 
-// Whatever caches answer with, however old, and whatever is purged or not known meanwhile: no client gets a copy that was born before a bound
-// that this gateway goes by, nor, past three quarters of the delay without sight, one older than that; what is young enough is given. A
-// purge that only makes stale lets an older copy through where the first pull found none newer.
+// Whatever the age of the copies that caches return, and whatever is purged or unknown meanwhile, no client gets a copy
+// that was created before a purge in force. Once the gateway has not known the agreed purges for three quarters of the
+// delay, no client gets a copy older than that either. Copies that are young enough are used. A purge that only marks
+// copies as stale lets an older copy through if the first pull found no newer one.
 func TestPurgeBounds(t *testing.T) {
-	l := purges.Limits{Delay: 4000, Skew: 100, Batch: 1, Held: 1000}
-	given, kept, blind, stale := 0, 0, 0, 0
+	limits := purges.Limits{Delay: 4000, Skew: 100, Batch: 1, Held: 1000}
+	answered, unanswered, blind, stale := 0, 0, 0, 0
 	for seed := range int64(30) {
 		r, h := rand.New(rand.NewSource(seed)), newHarness(t)
-		known, late := h.now, 0.0 // late: what the clock says beyond the time of events, as after a freeze
-		h.core.Purges("amber", l, true, func() float64 { return known }, func() float64 { return h.now + late })
+		known, clockAhead := h.now, 0.0 // clockAhead: how far the clock is ahead of the events' times, as after a freeze
+		h.core.Purges("amber", limits, true, func() float64 { return known }, func() float64 { return h.now + clockAhead })
 		hard, soft := map[string]float64{}, map[string]float64{}
 		for range 1500 {
-			var all []*fakeWire
-			for _, x := range h.wires {
-				if !x.closed {
-					all = append(all, x)
+			var alive []*fakeWire
+			for _, w := range h.wires {
+				if !w.closed {
+					alive = append(alive, w)
 				}
 			}
 			switch n := r.Intn(100); {
 			case n < 25:
 				h.sendRequest(h.clients[r.Intn(3)], "video", r.Intn(4), 3000)
-			case n < 50 && len(all) > 0:
-				all[r.Intn(len(all))].deliver()
-			case n < 75 && len(all) > 0:
-				x := all[r.Intn(len(all))]
-				if len(x.open) == 0 {
+			case n < 50 && len(alive) > 0:
+				alive[r.Intn(len(alive))].deliver()
+			case n < 75 && len(alive) > 0:
+				w := alive[r.Intn(len(alive))]
+				if len(w.open) == 0 {
 					continue
 				}
-				i := r.Intn(len(x.open))
-				id := x.open[i]
-				a, d := h.requests[id], h.core.downloads[id]
-				x.open = append(x.open[:i], x.open[i+1:]...)
-				if a == nil || d == nil {
+				i := r.Intn(len(w.open))
+				id := w.open[i]
+				req, d := h.requests[id], h.core.downloads[id]
+				w.open = append(w.open[:i], w.open[i+1:]...)
+				if req == nil || d == nil {
 					continue
 				}
 				pull := len(d.pulls) - 1
-				for pull > 0 && d.pulls[pull].node != x.node {
+				for pull > 0 && d.pulls[pull].node != w.node {
 					pull--
 				}
-				born := math.Round(h.now - 8000*r.Float64())
-				before := len(a.client.answers[a.number])
+				created := math.Round(h.now - 8000*r.Float64())
+				before := len(req.client.answers[req.number])
 				body := buffer.NewChain(h.buffers)
 				body.Append([]byte("body"))
-				reply := caches.Reply{Tag: id, Word: "DONE", Body: body, Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f,gauges=util:0.5", born)}
-				h.core.Handle(caches.Answered{Wire: x, Reply: reply, At: h.now})
-				if got := a.client.answers[a.number]; len(got) == before || got[before].Status != 200 {
-					kept++
+				reply := caches.Reply{Tag: id, Word: "DONE", Body: body, Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f,gauges=util:0.5", created)}
+				h.core.Handle(caches.Answered{Wire: w, Reply: reply, At: h.now})
+				if got := req.client.answers[req.number]; len(got) == before || got[before].Status != 200 {
+					unanswered++
 					continue
 				}
-				given++
-				if born < hard[d.object] {
-					t.Fatalf("seed %d: %s is answered by a copy born %.0f ms before its bound", seed, d.object, hard[d.object]-born)
+				answered++
+				if created < hard[d.object] {
+					t.Fatalf("seed %d: %s is answered by a copy created %.0f ms before its bound", seed, d.object, hard[d.object]-created)
 				}
-				if now := h.now + late; now-known > 3000 {
-					if blind++; born < now-3000+l.Skew-1 {
-						t.Fatalf("seed %d: blind for %.0f ms, answered by a copy that is %.0f ms old", seed, now-known, now-born)
+				if now := h.now + clockAhead; now-known > 3000 {
+					if blind++; created < now-3000+limits.Skew-1 {
+						t.Fatalf("seed %d: purges unknown for %.0f ms, answered by a copy that is %.0f ms old", seed, now-known, now-created)
 					}
 				}
-				if born < soft[d.object] {
+				if created < soft[d.object] {
 					if stale++; pull == 0 && len(d.pulls) == 1 {
 						t.Fatalf("seed %d: the first pull of %s is answered by a stale copy", seed, d.object)
 					}
 				}
 			case n < 77:
-				m := purges.Mark{Object: fmt.Sprintf("%016x", r.Intn(4)), At: h.now + l.Skew - 3000*r.Float64(), Club: []string{"", "amber", "birch"}[r.Intn(3)], Stale: r.Intn(3) == 0}
-				told := 0
-				h.core.Handle(ApplyMarks{Marks: []purges.Mark{m}, Index: 7, At: h.now, Done: func(index uint64) { told += int(index) }})
-				if told != 7 {
-					t.Fatalf("told of %d", told)
+				mark := purges.Mark{Object: fmt.Sprintf("%016x", r.Intn(4)), At: h.now + limits.Skew - 3000*r.Float64(), Club: []string{"", "amber", "birch"}[r.Intn(3)], Stale: r.Intn(3) == 0}
+				doneIndex := 0
+				h.core.Handle(ApplyMarks{Marks: []purges.Mark{mark}, Index: 7, At: h.now, Done: func(index uint64) { doneIndex += int(index) }})
+				if doneIndex != 7 {
+					t.Fatalf("done called with %d", doneIndex)
 				}
-				if m.Club == "birch" {
+				if mark.Club == "birch" {
 					continue
 				}
-				if m.Stale {
-					soft[m.Object] = max(soft[m.Object], m.At)
+				if mark.Stale {
+					soft[mark.Object] = max(soft[mark.Object], mark.At)
 				} else {
-					hard[m.Object] = max(hard[m.Object], m.At)
+					hard[mark.Object] = max(hard[mark.Object], mark.At)
 				}
 			case n < 78:
-				known, late = h.now, 0
+				known, clockAhead = h.now, 0
 			case n < 79:
-				late = 5000 * r.Float64()
+				clockAhead = 5000 * r.Float64()
 			default:
 				h.now += r.ExpFloat64() * 60
 				h.core.Ring(h.now)
@@ -104,12 +105,13 @@
 			t.Errorf("seed %d: %s", seed, f)
 		}
 	}
-	if given < 500 || kept < 500 || blind < 20 || stale < 5 {
-		t.Errorf("too little was looked at: %d given, %d not, %d blind, %d stale", given, kept, blind, stale)
+	if answered < 500 || unanswered < 500 || blind < 20 || stale < 5 {
+		t.Errorf("too few cases: %d answered, %d not, %d without known purges, %d stale", answered, unanswered, blind, stale)
 	}
 }
 
-// Many marks at once are not told to the router, which looks through all that it remembers for each; the bounds hold all the same.
+// A large batch of marks is not passed to the router, which scans all that it remembers for each mark. The bounds apply
+// all the same.
 func TestManyMarks(t *testing.T) {
 	h := newHarness(t)
 	h.core.Purges("amber", purges.DefaultLimits(), false, func() float64 { return 0 }, func() float64 { return h.now })
@@ -123,20 +125,20 @@
 		t.Errorf("done %t, %d held", done, h.core.purges.view.Shelf.Len())
 	}
 	id, sent := h.sendRequest(h.clients[0], "video", 3, 3000), 0
-	for _, x := range h.wires {
-		x.deliver()
-		for len(x.open) > 0 {
-			x.open = x.open[1:]
+	for _, w := range h.wires {
+		w.deliver()
+		for len(w.open) > 0 {
+			w.open = w.open[1:]
 			sent++
 			body := buffer.NewChain(h.buffers)
-			h.core.Handle(caches.Answered{Wire: x, At: h.now, Reply: caches.Reply{Tag: id, Word: "DONE", Body: body,
+			h.core.Handle(caches.Answered{Wire: w, At: h.now, Reply: caches.Reply{Tag: id, Word: "DONE", Body: body,
 				Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f", h.now-1)}})
 		}
 	}
 	if sent == 0 || h.pool.Old == 0 {
-		t.Fatalf("%d pulls, %d answers were too old: nothing was looked at", sent, h.pool.Old)
+		t.Fatalf("%d pulls, %d answers were too old: nothing was tested", sent, h.pool.Old)
 	}
-	if a := h.requests[id]; len(a.client.answers[a.number]) > 0 && a.client.answers[a.number][0].Status == 200 {
-		t.Error("answered by a copy of before")
+	if req := h.requests[id]; len(req.client.answers[req.number]) > 0 && req.client.answers[req.number][0].Status == 200 {
+		t.Error("answered by a copy from before the purge")
 	}
 }
