--- a/internal/owner/agent.go
+++ b/internal/owner/agent.go
@@ -7,208 +7,214 @@
 	"slices"
 )
 
-// Limits of an agent, in ms where they are times.
+// Limits configures an Agent. Times are in ms.
 type Limits struct {
-	Jobs        int     // remembered by the book
-	Effect      float64 // after which a step's effect is taken for lost
-	Rest        float64 // for which a job rests after a step that did not run; twice as long with each one more
-	LongestRest float64
-	Hold        float64 // for which a member that was lost once is given nothing after its return; twice as long with each loss
-	LongestHold float64
-	WarmRounds  int     // steps of a job that fills a node ahead; 0: none is asked for
-	WarmEach    int     // objects of each
-	Again       float64 // after which what was asked for in vain is asked for anew
+	MaxJobs       int     // remembered by the state machine
+	EffectTimeout float64 // after which an unanswered effect counts as lost
+	Backoff       float64 // pause of a job after a step that did not run; doubles with each further failure
+	MaxBackoff    float64
+	HoldDown      float64 // time without grants for a member that returns after a loss; doubles with each further loss
+	MaxHoldDown   float64
+	WarmRounds    int     // steps of a job that prefills a node; 0: no such jobs
+	WarmEach      int     // objects per step
+	RetryInterval float64 // after which failed proposals are sent again
 }
 
-// DefaultLimits are limits for a site on a local network.
+// DefaultLimits returns limits for a site on a local network.
 func DefaultLimits() Limits {
-	return Limits{Jobs: 256, Effect: 2000, Rest: 100, LongestRest: 5000, Hold: 2000, LongestHold: 60_000, Again: 1000, WarmEach: 24}
+	return Limits{MaxJobs: 256, EffectTimeout: 2000, Backoff: 100, MaxBackoff: 5000, HoldDown: 2000, MaxHoldDown: 60_000, RetryInterval: 1000, WarmEach: 24}
 }
 
-// Agent is one gateway's part in owned work, joined: the book as far as it has followed the log, the planner where it leads, its
-// own steps and the effects that are out. It is pure; its book changes under it, as the log goes on.
+// Agent is one gateway's part in executing jobs. It combines the state machine as far as this gateway has applied
+// the log, the planner (active on the leader), the executor of its own jobs, and the effects in flight. It is
+// pure; the caller applies log entries to Book between calls.
 type Agent struct {
-	Book    *Book
-	set     Limits
-	work    Work
-	planner Planner
-	warmer  Warmer
-	out     map[effect]Do
-	asked   map[string]float64 // grants that are on their way, by job
-	seen    map[string]uint64  // the last token of each job that its own place was told of
-	leads   bool
-	leaving bool
-	again   float64 // when what was asked for in vain is asked for anew
-	vain    bool    // something was
+	Book         *Book
+	limits       Limits
+	executor     Executor
+	planner      Planner
+	warmer       Warmer
+	inFlight     map[effectKey]Do
+	proposed     map[string]float64 // proposed grants and starts, not yet applied: job -> time of the proposal
+	raised       map[string]uint64  // the last token of each job that was raised at the local executing gateway
+	leading      bool
+	leaving      bool
+	retryAt      float64 // when failed proposals are sent again
+	retryPending bool    // a proposal failed and waits for retryAt
 }
 
-type effect struct {
+// effectKey identifies an effect in flight.
+type effectKey struct {
 	job   string
 	token uint64
 	step  int
 }
 
-// Events of an agent.
+// Events that Handle accepts.
 type (
-	// Followed tells that the log went on, or how this gateway stands in it now. Incarnation 0: it may ask for nothing.
+	// Followed reports that log entries were applied, or that this gateway's role changed. Incarnation 0: it may
+	// propose nothing.
 	Followed struct {
 		Name        string
 		Incarnation uint64
 		Leads       bool
 	}
-	// Ended tells how a step's effect ended that was sent under a token.
+	// Ended reports the outcome of a step's effect that was sent under a token.
 	Ended struct {
 		Job   string
 		Token uint64
 		Step  int
 		End   End
 	}
-	// Answered tells that something asked for was agreed, or why not. What was agreed and refused by the book is no matter here.
-	Answered struct{ InVain bool }
-	// Leaving tells that this gateway is about to end.
+	// ProposalDone reports whether a proposal was committed. A committed command that the state machine rejected
+	// does not count as failed.
+	ProposalDone struct{ Failed bool }
+	// Leaving reports that this gateway is about to shut down.
 	Leaving struct{}
-	// Booted tells of a node that has lately started, empty: what this gateway's list says of it.
+	// Booted reports a node that started recently with an empty cache, as seen in this gateway's discovery list.
 	Booted struct {
 		Node, Zone string
-		Start      uint64  // names the start of its process
-		Left       float64 // ms for which it is still cold
+		Start      uint64  // identifies the start of its process
+		Left       float64 // ms for which its cache still counts as cold
 	}
 )
 
-// Raise is an action beside Do and Ask: the agent's own place has to know of a grant that the log made, whatever comes there.
+// Raise is an action besides Do and Ask: the local executing gateway must learn of a grant in the log, whether or
+// not an effect under it arrives there.
 type Raise struct {
 	Job   string
 	Token uint64
 }
 
-// NewAgent makes one with an empty book.
-func NewAgent(set Limits) *Agent {
-	return &Agent{Book: New(set.Jobs), set: set, work: Work{Rest: set.Rest, LongestRest: set.LongestRest},
-		warmer:  Warmer{Rounds: set.WarmRounds, Each: set.WarmEach},
-		planner: Planner{Hold: set.Hold, Longest: set.LongestHold}, out: map[effect]Do{}, asked: map[string]float64{},
-		seen: map[string]uint64{}, again: math.Inf(1)}
+// NewAgent returns an Agent with an empty state machine.
+func NewAgent(limits Limits) *Agent {
+	return &Agent{Book: New(limits.MaxJobs), limits: limits, executor: Executor{Backoff: limits.Backoff, MaxBackoff: limits.MaxBackoff},
+		warmer:  Warmer{Rounds: limits.WarmRounds, Each: limits.WarmEach},
+		planner: Planner{HoldDown: limits.HoldDown, MaxHoldDown: limits.MaxHoldDown}, inFlight: map[effectKey]Do{}, proposed: map[string]float64{},
+		raised: map[string]uint64{}, retryAt: math.Inf(1)}
 }
 
-// Handle takes one event; nil only lets time pass.
-func (a *Agent) Handle(now float64, e any) (do []any) {
+// Handle processes one event and returns the actions to perform; a nil event only advances the time.
+func (a *Agent) Handle(now float64, e any) (actions []any) {
 	switch e := e.(type) {
 	case Followed:
-		if e.Incarnation != a.work.Incarnation || e.Name != a.work.Name {
-			// Another process by the log's word: what this one had in hand ends as it may, and it begins with nothing.
-			a.work = Work{Name: e.Name, Incarnation: e.Incarnation, Rest: a.set.Rest, LongestRest: a.set.LongestRest, leaving: a.leaving}
+		if e.Incarnation != a.executor.Incarnation || e.Name != a.executor.Name {
+			// The log names another process: effects of the old one end on their own, and this one starts with nothing.
+			a.executor = Executor{Name: e.Name, Incarnation: e.Incarnation, Backoff: a.limits.Backoff, MaxBackoff: a.limits.MaxBackoff, leaving: a.leaving}
 		}
-		if e.Leads && !a.leads {
-			clear(a.asked)
+		if e.Leads && !a.leading {
+			clear(a.proposed)
 		}
-		a.leads = e.Leads
-		do = append(do, a.fence()...)
+		a.leading = e.Leads
+		actions = append(actions, a.raiseTokens()...)
 	case Ended:
-		key := effect{e.Job, e.Token, e.Step}
-		sent, known := a.out[key]
-		if delete(a.out, key); !known && e.End != Ran {
-			return nil // it was taken for lost before
+		key := effectKey{e.Job, e.Token, e.Step}
+		sent, known := a.inFlight[key]
+		if delete(a.inFlight, key); !known && e.End != Ran {
+			return nil // already counted as lost
 		}
 		t := sent.Job.Type
 		if j := a.Book.Jobs[e.Job]; !known && j != nil {
 			t = j.Type
 		}
-		do = append(do, a.work.Ended(now, e.Job, e.Token, e.Step, t, e.End)...)
+		actions = append(actions, a.executor.HandleEnd(now, e.Job, e.Token, e.Step, t, e.End)...)
 	case Booted:
-		a.warmer.Booted(now, e)
-	case Answered:
-		if e.InVain && !a.vain {
-			a.vain, a.again = true, now+a.set.Again
+		a.warmer.NodeStarted(now, e)
+	case ProposalDone:
+		if e.Failed && !a.retryPending {
+			a.retryPending, a.retryAt = true, now+a.limits.RetryInterval
 		}
 	case Leaving:
 		a.leaving = true
-		a.work.Leave()
+		a.executor.Leave()
 	}
-	do = append(do, a.late(now)...)
-	if now >= a.again {
-		a.vain, a.again = false, math.Inf(1)
-		do = append(do, a.work.Again()...)
+	actions = append(actions, a.expireEffects(now)...)
+	if now >= a.retryAt {
+		a.retryPending, a.retryAt = false, math.Inf(1)
+		actions = append(actions, a.executor.Resend()...)
 	}
-	if a.leads && !a.leaving {
-		do = append(do, a.plan(now)...)
+	if a.leading && !a.leaving {
+		actions = append(actions, a.planGrants(now)...)
 	}
-	do = append(do, a.work.See(now, a.Book)...)
-	for i, x := range do {
+	actions = append(actions, a.executor.Sync(now, a.Book)...)
+	for i, x := range actions {
 		if x, ok := x.(Do); ok {
-			x.By = now + a.set.Effect
-			a.out[effect{x.Job.Name, x.Token, x.Step}] = x
-			do[i] = x
+			x.By = now + a.limits.EffectTimeout
+			a.inFlight[effectKey{x.Job.Name, x.Token, x.Step}] = x
+			actions[i] = x
 		}
 	}
-	return do
+	return actions
 }
 
-// fence has this gateway's own place refuse what is older than the grants of the log, before any newer effect comes there.
-func (a *Agent) fence() (do []any) {
+// raiseTokens has the local executing gateway refuse tokens older than the grants of the log, before any newer
+// effect arrives there.
+func (a *Agent) raiseTokens() (actions []any) {
 	for _, j := range a.Book.All() {
-		if j.Token > a.seen[j.Name] {
-			a.seen[j.Name] = j.Token
-			do = append(do, Raise{j.Name, j.Token})
+		if j.Token > a.raised[j.Name] {
+			a.raised[j.Name] = j.Token
+			actions = append(actions, Raise{j.Name, j.Token})
 		}
 	}
-	maps.DeleteFunc(a.seen, func(name string, _ uint64) bool { return a.Book.Jobs[name] == nil })
-	return do
+	maps.DeleteFunc(a.raised, func(name string, _ uint64) bool { return a.Book.Jobs[name] == nil })
+	return actions
 }
 
-// late takes effects for lost whose time is over. They may have happened.
-func (a *Agent) late(now float64) (do []any) {
-	var over []Do
-	for _, x := range a.out {
+// expireEffects counts effects as lost once their time is over. They may have run.
+func (a *Agent) expireEffects(now float64) (actions []any) {
+	var expired []Do
+	for _, x := range a.inFlight {
 		if now >= x.By {
-			over = append(over, x)
+			expired = append(expired, x)
 		}
 	}
-	slices.SortFunc(over, func(x, y Do) int {
-		return cmp.Or(cmp.Compare(x.Token, y.Token), cmp.Compare(x.Step, y.Step)) // a token is of one job
+	slices.SortFunc(expired, func(x, y Do) int {
+		return cmp.Or(cmp.Compare(x.Token, y.Token), cmp.Compare(x.Step, y.Step)) // a token belongs to one job
 	})
-	for _, x := range over {
-		delete(a.out, effect{x.Job.Name, x.Token, x.Step})
-		do = append(do, a.work.Ended(now, x.Job.Name, x.Token, x.Step, x.Job.Type, Perhaps)...)
+	for _, x := range expired {
+		delete(a.inFlight, effectKey{x.Job.Name, x.Token, x.Step})
+		actions = append(actions, a.executor.HandleEnd(now, x.Job.Name, x.Token, x.Step, x.Job.Type, Perhaps)...)
 	}
-	return do
+	return actions
 }
 
-// plan asks for grants where this gateway leads, each no more than once in the time after which it is asked for anew.
-func (a *Agent) plan(now float64) (do []any) {
+// planGrants proposes jobs and grants on the leader, each at most once per RetryInterval.
+func (a *Agent) planGrants(now float64) (actions []any) {
 	for _, j := range a.warmer.Plan(now, a.Book) {
-		if at, ok := a.asked[j.Name]; ok && now < at+a.set.Again {
+		if at, ok := a.proposed[j.Name]; ok && now < at+a.limits.RetryInterval {
 			continue
 		}
-		a.asked[j.Name] = now
-		do = append(do, Ask{Kind: Start, Job: &j})
+		a.proposed[j.Name] = now
+		actions = append(actions, Ask{Kind: Start, Job: &j})
 	}
 	for _, c := range a.planner.Plan(now, a.Book) {
-		if at, ok := a.asked[c.Job]; ok && now < at+a.set.Again {
+		if at, ok := a.proposed[c.Job]; ok && now < at+a.limits.RetryInterval {
 			continue
 		}
-		a.asked[c.Job] = now
-		do = append(do, Ask{Kind: Grant, Claim: c})
+		a.proposed[c.Job] = now
+		actions = append(actions, Ask{Kind: Grant, Claim: c})
 	}
-	maps.DeleteFunc(a.asked, func(job string, at float64) bool {
+	maps.DeleteFunc(a.proposed, func(job string, at float64) bool {
 		j := a.Book.Jobs[job]
-		return now >= at+a.set.Again || j != nil && j.Owner != ""
+		return now >= at+a.limits.RetryInterval || j != nil && j.Owner != ""
 	})
-	return do
+	return actions
 }
 
-// Next is when something is due next.
+// Next returns the time of the next deadline.
 func (a *Agent) Next() float64 {
-	next := min(a.again, a.work.Next())
-	for _, x := range a.out {
+	next := min(a.retryAt, a.executor.Next())
+	for _, x := range a.inFlight {
 		next = min(next, x.By)
 	}
-	if a.leads && !a.leaving {
-		next = min(next, a.planner.next)
-		for _, at := range a.asked {
-			next = min(next, at+a.set.Again)
+	if a.leading && !a.leaving {
+		next = min(next, a.planner.nextEligible)
+		for _, at := range a.proposed {
+			next = min(next, at+a.limits.RetryInterval)
 		}
 	}
 	return next
 }
 
-// Idle tells whether nothing of its own is under way: a gateway that leaves may end then.
-func (a *Agent) Idle() bool { return len(a.out) == 0 && len(a.work.jobs) == 0 }
+// Idle reports whether nothing of this gateway's own is in flight; a gateway that leaves may then shut down.
+func (a *Agent) Idle() bool { return len(a.inFlight) == 0 && len(a.executor.jobs) == 0 }
--- a/internal/owner/agent_test.go
+++ b/internal/owner/agent_test.go
@@ -7,20 +7,23 @@
 	"poppymill/internal/canon"
 )
 
-// told plays what an agent's log brings, and words what it does.
-type told struct {
-	a     *Agent
+// agentHarness feeds log entries to an agent.
+type agentHarness struct {
+	agent *Agent
 	index uint64
 }
 
-func (x *told) agree(kind string, c any) { x.index++; x.a.Book.Apply(x.index, kind, canon.Encode(c)) }
-func (x *told) member(name string, w Worker) {
-	x.index++
-	x.a.Book.Member(x.index, name, w)
+func (h *agentHarness) agree(kind string, c any) {
+	h.index++
+	h.agent.Book.Apply(h.index, kind, canon.Encode(c))
+}
+func (h *agentHarness) member(name string, w Worker) {
+	h.index++
+	h.agent.Book.Member(h.index, name, w)
 }
 
-func words(do []any) (text string) {
-	for _, d := range do {
+func describe(actions []any) (text string) {
+	for _, d := range actions {
 		switch d := d.(type) {
 		case Do:
 			text += fmt.Sprintf("do %s/%d under %d; ", d.Job.Name, d.Step, d.Token)
@@ -33,74 +36,76 @@
 	return text
 }
 
-// An agent that leads asks for grants once in a while; one that owns carries steps out, takes those for lost that nobody answers, rests
-// before they go out again, tells its own place of every grant, and gives back what it owns before it leaves, and is granted no more.
+// Tests that a leading agent proposes grants at the retry interval, and that an owner executes steps, counts
+// unanswered ones as lost, backs off before sending them again, raises the token at its own executing gateway on
+// every grant, and, when leaving, releases its jobs and is granted no more.
 func TestAgent(t *testing.T) {
-	x := &told{a: NewAgent(DefaultLimits())}
-	a := x.a
-	check := func(what string, do []any, want string) {
+	h := &agentHarness{agent: NewAgent(DefaultLimits())}
+	a := h.agent
+	check := func(what string, actions []any, want string) {
 		t.Helper()
-		if got := words(do); got != want {
+		if got := describe(actions); got != want {
 			t.Errorf("%s: %q, want %q", what, got, want)
 		}
 	}
-	x.member("a", Worker{Incarnation: 1, There: true})
-	x.agree(Start, Job{Name: "j", Kind: "k", Steps: 2, Type: Safe, Window: 1})
-	leads := Followed{Name: "a", Incarnation: 1, Leads: true}
-	check("it leads", a.Handle(0, leads), "grant j/0; ")
-	check("asked for already", a.Handle(10, leads), "")
-	check("asked for in vain", a.Handle(a.Next(), nil), "grant j/0; ")
-	x.agree(Grant, Claim{Job: "j", Name: "a", Incarnation: 1})
-	check("granted", a.Handle(1100, leads), "raise j to 1; do j/0 under 1; ")
-	check("on its way", a.Handle(1200, leads), "")
-	if next := a.Next(); next != 1100+a.set.Effect {
-		t.Errorf("due at %.0f", next)
+	h.member("a", Worker{Incarnation: 1, There: true})
+	h.agree(Start, Job{Name: "j", Kind: "k", Steps: 2, Type: Safe, Window: 1})
+	leadsEvent := Followed{Name: "a", Incarnation: 1, Leads: true}
+	check("becomes leader", a.Handle(0, leadsEvent), "grant j/0; ")
+	check("already proposed", a.Handle(10, leadsEvent), "")
+	check("proposal timed out", a.Handle(a.Next(), nil), "grant j/0; ")
+	h.agree(Grant, Claim{Job: "j", Name: "a", Incarnation: 1})
+	check("granted", a.Handle(1100, leadsEvent), "raise j to 1; do j/0 under 1; ")
+	check("in flight", a.Handle(1200, leadsEvent), "")
+	if next := a.Next(); next != 1100+a.limits.EffectTimeout {
+		t.Errorf("next deadline %.0f", next)
 	}
-	check("lost: it rests", a.Handle(3100, nil), "")
-	check("rested", a.Handle(3200, nil), "do j/0 under 1; ")
-	check("an answer to what was taken for lost, that it never ran", a.Handle(3210, Ended{"j", 1, 1, NeverRan}), "")
+	check("lost: backs off", a.Handle(3100, nil), "")
+	check("after the back-off", a.Handle(3200, nil), "do j/0 under 1; ")
+	check("late NeverRan for an effect counted as lost", a.Handle(3210, Ended{"j", 1, 1, NeverRan}), "")
 	check("ran", a.Handle(3250, Ended{"j", 1, 0, Ran}), "did j/0; ")
-	check("told in vain", a.Handle(3300, Answered{InVain: true}), "")
-	check("again", a.Handle(3300+a.set.Again, nil), "did j/0; ")
-	x.agree(Did, Claim{Job: "j", Token: 1, Step: 0})
-	check("the next one", a.Handle(4500, leads), "do j/1 under 1; ")
-	check("it leaves, with a step out", a.Handle(4600, Leaving{}), "")
+	check("report lost", a.Handle(3300, ProposalDone{Failed: true}), "")
+	check("report sent again", a.Handle(3300+a.limits.RetryInterval, nil), "did j/0; ")
+	h.agree(Did, Claim{Job: "j", Token: 1, Step: 0})
+	check("next step", a.Handle(4500, leadsEvent), "do j/1 under 1; ")
+	check("leaves with a step in flight", a.Handle(4600, Leaving{}), "")
 	if a.Idle() {
-		t.Error("idle with a step out")
+		t.Error("idle with a step in flight")
 	}
 	check("that step never ran", a.Handle(4700, Ended{"j", 1, 1, NeverRan}), "release j/0; ")
-	x.agree(Release, Claim{Job: "j", Token: 1, Leaving: true})
-	a.Handle(4800, leads)
+	h.agree(Release, Claim{Job: "j", Token: 1, Leaving: true})
+	a.Handle(4800, leadsEvent)
 	if !a.Idle() {
-		t.Error("not idle with nothing of its own")
+		t.Error("not idle with nothing in flight")
 	}
-	if r := a.Book.Apply(99, Grant, canon.Encode(Claim{Job: "j", Name: "a", Incarnation: 1})); r != ErrAbsent {
-		t.Errorf("granted while it leaves: %v", r)
+	if r := a.Book.Apply(99, Grant, canon.Encode(Claim{Job: "j", Name: "a", Incarnation: 1})); r != ErrMemberAbsent {
+		t.Errorf("granted while leaving: %v", r)
 	}
-	x.member("a", Worker{Incarnation: 2, There: true})
+	h.member("a", Worker{Incarnation: 2, There: true})
 	if _, ok := a.Book.Apply(100, Grant, canon.Encode(Claim{Job: "j", Name: "a", Incarnation: 2})).(Job); !ok {
-		t.Error("its next process is granted nothing")
+		t.Error("its next process can't be granted a job")
 	}
 }
 
-// A fence ends a grant, and the next one has a newer token; what was under way is in doubt.
+// Tests that a fence ends a grant, that the next grant has a newer token, and that steps in flight become
+// uncertain.
 func TestFence(t *testing.T) {
-	x := &told{a: NewAgent(DefaultLimits())}
-	x.member("a", Worker{Incarnation: 1, There: true})
-	x.agree(Start, Job{Name: "j", Kind: "k", Steps: 2, Type: Unsafe, Window: 1})
-	x.agree(Grant, Claim{Job: "j", Name: "a", Incarnation: 1})
-	x.agree(Mean, Claim{Job: "j", Token: 1, Step: 0})
-	x.agree(Fence, Claim{Job: "j"})
-	j := x.a.Book.Jobs["j"]
-	if j.Owner != "" || j.Doubt[0] != 1 {
+	h := &agentHarness{agent: NewAgent(DefaultLimits())}
+	h.member("a", Worker{Incarnation: 1, There: true})
+	h.agree(Start, Job{Name: "j", Kind: "k", Steps: 2, Type: Unsafe, Window: 1})
+	h.agree(Grant, Claim{Job: "j", Name: "a", Incarnation: 1})
+	h.agree(Mean, Claim{Job: "j", Token: 1, Step: 0})
+	h.agree(Fence, Claim{Job: "j"})
+	j := h.agent.Book.Jobs["j"]
+	if j.Owner != "" || j.Uncertain[0] != 1 {
 		t.Errorf("fenced: %+v", j)
 	}
-	x.agree(Grant, Claim{Job: "j", Name: "a", Incarnation: 1})
+	h.agree(Grant, Claim{Job: "j", Name: "a", Incarnation: 1})
 	if j.Token != 2 || len(j.History) != 4 {
 		t.Errorf("granted again: %+v", j)
 	}
 	r := j.Report()
 	if len(r.Doubt) != 1 || r.Doubt[0].Owner != "a" || r.Doubt[0].Token != 1 {
-		t.Errorf("told as %+v", r.Doubt)
+		t.Errorf("report of the uncertain step: %+v", r.Doubt)
 	}
 }
--- a/internal/owner/drive/crew.go
+++ b/internal/owner/drive/crew.go
@@ -1,5 +1,6 @@
-// Package drive joins owned work (package owner) to the agreement of the gateways: the book to the log, the agent to the council's
-// loop, effects to their places by the peers' connections. It decides nothing.
+// Package drive connects jobs (package owner) to the replicated log of the gateways: it applies log entries to the
+// state machine, feeds the council's events to the agent, and sends effects to their executing gateways over the
+// peer connections. It makes no decisions of its own.
 package drive
 
 import (
@@ -20,56 +21,60 @@
 	agreement "poppymill/internal/quorum/drive"
 )
 
-// Book is the name under which jobs stand in the log.
+// Book is the name of the jobs' state machine in the log.
 const Book = "jobs"
 
-// Drill is the kind of jobs that rehearse the machinery: each step is a line in the record of its place.
+// Drill is the kind of jobs that exercise the mechanism: each step is an entry in the record of its executing
+// gateway.
 const Drill = "drill"
 
-// Hand carries out the steps of one kind of job at their owner. Do must not wait; done may be called from anywhere, once.
+// Hand executes the steps of one kind of job at their owner. Do must not block; done is called once, from any
+// goroutine.
 type Hand struct {
 	Type  owner.Type
-	Check func(j owner.Job) error // what an operator asks for
+	Check func(j owner.Job) error // validates a job that an operator starts
 	Do    func(e place.Effect, done func(owner.End))
 }
 
-// Crew is one gateway's part in owned work. It belongs to the council's loop.
+// Crew runs jobs on one gateway. All methods are called from the council's loop.
 type Crew struct {
-	block   Block
-	agent   *owner.Agent
-	place   *place.Place
-	council *agreement.Council
-	hands   map[string]Hand
-	log     logrus.FieldLogger
-	stand   agreement.Followed
-	told    uint64 // the last place in the log whose changes were told
-	queue   []any  // events that came while one was handled
-	busy    bool
-	closed  bool
-	now     float64
+	block       Block
+	agent       *owner.Agent
+	place       *place.Place
+	council     *agreement.Council
+	handlers    map[string]Hand
+	log         logrus.FieldLogger
+	followed    agreement.Followed
+	loggedIndex uint64 // log index up to which changes were written to the program's log
+	queue       []any  // events that arrived while another was being handled
+	handling    bool
+	closed      bool
+	now         float64
 }
 
-// book words the log's commands for owner.Book.
-type book struct{ *owner.Book }
+// stateMachine adapts owner.Book to the interface of the log.
+type stateMachine struct{ *owner.Book }
 
-func (b book) Apply(index uint64, c quorum.Command) any { return b.Book.Apply(index, c.Kind, c.Data) }
+func (b stateMachine) Apply(index uint64, c quorum.Command) any {
+	return b.Book.Apply(index, c.Kind, c.Data)
+}
 
-func (b book) Member(index uint64, m quorum.Member) {
+func (b stateMachine) Member(index uint64, m quorum.Member) {
 	b.Book.Member(index, m.Name, owner.Worker{Incarnation: m.Incarnation, There: m.Standing == quorum.Joined, Losses: m.Losses, Zone: m.Zone, Idle: !m.Works})
 }
 
-// Leap has tokens rise above all that can have been given out.
-func (b book) Leap() { b.Book.Last += 1 << 32 }
+// Leap raises the token counter above every token that can have been issued.
+func (b stateMachine) Leap() { b.Book.LastToken += 1 << 32 }
 
-// Books are a gateway's books of owned work alone, to read a store with.
+// Books returns empty state machines for reading a store offline.
 func Books() map[string]quorum.Book {
-	return map[string]quorum.Book{Book: book{owner.New(owner.DefaultLimits().Jobs)}}
+	return map[string]quorum.Book{Book: stateMachine{owner.New(owner.DefaultLimits().MaxJobs)}}
 }
 
-// Open makes the part of a gateway that keeps its record in a folder. Without the block it follows what others do, owns nothing
-// and is no place.
-func Open(b Block, folder string, hands map[string]Hand, log logrus.FieldLogger) (*Crew, error) {
-	c := &Crew{block: b, agent: owner.NewAgent(b.limits()), hands: hands, log: log}
+// Open creates the Crew of a gateway that keeps its record of effects in a folder. Without the block it applies
+// the log, but owns nothing and executes no effects.
+func Open(b Block, folder string, handlers map[string]Hand, log logrus.FieldLogger) (*Crew, error) {
+	c := &Crew{block: b, agent: owner.NewAgent(b.limits()), handlers: handlers, log: log}
 	if b.On {
 		if folder != "" {
 			folder = filepath.Clean(folder)
@@ -83,15 +88,15 @@
 	return c, nil
 }
 
-// Books are what it keeps in the log.
+// Books returns the state machines that this part keeps in the log.
 func (c *Crew) Books() map[string]quorum.Book {
-	return map[string]quorum.Book{Book: book{c.agent.Book}}
+	return map[string]quorum.Book{Book: stateMachine{c.agent.Book}}
 }
 
-// Begin takes the council.
+// Begin sets the council.
 func (c *Crew) Begin(council *agreement.Council) { c.council = council }
 
-// Next is when something is due next.
+// Next returns the time of the next deadline.
 func (c *Crew) Next() float64 {
 	if !c.block.On {
 		return math.Inf(1)
@@ -99,25 +104,26 @@
 	return c.agent.Next()
 }
 
-// Idle tells whether nothing of its own is under way.
+// Idle reports whether nothing of this gateway's own is in flight.
 func (c *Crew) Idle() bool { return c.agent.Idle() }
 
-// Owns tells whether this gateway owns a job, as far as it has followed the log, and under which token.
+// Owns returns the token under which this gateway owns a job, as far as it has applied the log, and whether it
+// does.
 func (c *Crew) Owns(job string) (uint64, bool) {
 	j := c.agent.Book.Jobs[job]
-	if j == nil || j.Owner != c.stand.Name || j.Incarnation != c.stand.Incarnation || c.stand.Incarnation == 0 {
+	if j == nil || j.Owner != c.followed.Name || j.Incarnation != c.followed.Incarnation || c.followed.Incarnation == 0 {
 		return 0, false
 	}
 	return j.Token, true
 }
 
-// Has tells whether a job runs.
+// Has reports whether a job is running.
 func (c *Crew) Has(job string) bool {
 	j := c.agent.Book.Jobs[job]
 	return j != nil && j.State == owner.Running
 }
 
-// Close ends it.
+// Close stops handling events and closes the record of effects.
 func (c *Crew) Close() error {
 	c.closed = true
 	if c.place == nil {
@@ -126,57 +132,57 @@
 	return c.place.Close()
 }
 
-// Handle takes one event of the council's, of its own place or of a hand.
+// Handle processes an event from the council, the local executing gateway or a Hand.
 func (c *Crew) Handle(now float64, e any) {
 	if c.now = now; c.closed || !c.block.On {
 		return
 	}
-	if c.queue = append(c.queue, e); c.busy {
+	if c.queue = append(c.queue, e); c.handling {
 		return
 	}
-	c.busy = true
+	c.handling = true
 	for len(c.queue) > 0 {
 		e := c.queue[0]
 		c.queue = c.queue[1:]
 		c.handle(e)
 	}
-	c.busy = false
+	c.handling = false
 }
 
 func (c *Crew) handle(e any) {
 	switch e := e.(type) {
 	case agreement.Followed:
-		c.stand = e
-		c.tell(e.Restored)
-		c.carry(c.agent.Handle(c.now, owner.Followed{Name: e.Name, Incarnation: e.Incarnation, Leads: e.Leads}))
+		c.followed = e
+		c.logChanges(e.Restored)
+		c.perform(c.agent.Handle(c.now, owner.Followed{Name: e.Name, Incarnation: e.Incarnation, Leads: e.Leads}))
 	case agreement.Leaving:
-		c.carry(c.agent.Handle(c.now, owner.Leaving{}))
+		c.perform(c.agent.Handle(c.now, owner.Leaving{}))
 	case agreement.Asked:
-		c.asked(e)
+		c.handleFrame(e)
 	case nil:
 		if c.now >= c.agent.Next() {
-			c.carry(c.agent.Handle(c.now, nil))
+			c.perform(c.agent.Handle(c.now, nil))
 		}
-	case owner.Ended, owner.Answered, owner.Booted:
-		c.carry(c.agent.Handle(c.now, e))
+	case owner.Ended, owner.ProposalDone, owner.Booted:
+		c.perform(c.agent.Handle(c.now, e))
 	}
 }
 
-// tell writes a line for each change of an owner or a state that the log told of.
-func (c *Crew) tell(restored bool) {
-	last := c.told
+// logChanges logs each new change of a job's owner or state.
+func (c *Crew) logChanges(restored bool) {
+	last := c.loggedIndex
 	for _, j := range c.agent.Book.All() {
 		for _, h := range j.History {
-			if last = max(last, h.Index); h.Index > c.told && !restored {
+			if last = max(last, h.Index); h.Index > c.loggedIndex && !restored {
 				c.log.WithFields(logrus.Fields{"job": j.Name, "owner": h.Owner, "incarnation": h.Incarnation, "token": h.Token, "index": h.Index}).
 					Info("jobs: " + h.What)
 			}
 		}
 	}
-	c.told = last
+	c.loggedIndex = last
 }
 
-func (c *Crew) carry(actions []any) {
+func (c *Crew) perform(actions []any) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case owner.Ask:
@@ -191,8 +197,8 @@
 				data = canon.Encode(a.Job)
 			}
 			c.council.Propose(quorum.Command{Book: Book, Kind: a.Kind, Data: data}, func(o quorum.Outcome) {
-				// Of what its process no longer may ask for nothing comes again.
-				c.Handle(c.now, owner.Answered{InVain: errors.Is(o.Err, quorum.ErrGivenUp) || errors.Is(o.Err, quorum.ErrBusy)})
+				// Any other error means that this process may no longer propose; a retry would not help.
+				c.Handle(c.now, owner.ProposalDone{Failed: errors.Is(o.Err, quorum.ErrGivenUp) || errors.Is(o.Err, quorum.ErrBusy)})
 			})
 		case owner.Raise:
 			c.place.Raise(a.Job, a.Token)
@@ -203,62 +209,62 @@
 	}
 }
 
-// send brings an effect to its place: a hand of this gateway's, its own record, or another gateway's.
-func (c *Crew) send(a owner.Do) {
-	e := place.Effect{Job: a.Job.Name, Kind: a.Job.Kind, Token: a.Token, Step: a.Step, Type: a.Job.Type, Data: a.Job.Data, From: c.stand.Name, Incarnation: c.stand.Incarnation}
+// send delivers an effect: to a Hand of this gateway, to its own record, or to another gateway.
+func (c *Crew) send(do owner.Do) {
+	e := place.Effect{Job: do.Job.Name, Kind: do.Job.Kind, Token: do.Token, Step: do.Step, Type: do.Job.Type, Data: do.Job.Data, From: c.followed.Name, Incarnation: c.followed.Incarnation}
 	ended := func(end owner.End) {
-		if _, hand := c.hands[e.Kind]; end == owner.NeverRan && hand {
-			c.log.WithFields(logrus.Fields{"job": e.Job, "step": e.Step}).Info("jobs: a step finds no room yet")
+		if _, handler := c.handlers[e.Kind]; end == owner.NeverRan && handler {
+			c.log.WithFields(logrus.Fields{"job": e.Job, "step": e.Step}).Info("jobs: step deferred, no capacity yet")
 		} else if end == owner.NeverRan {
-			c.log.WithFields(logrus.Fields{"job": e.Job, "step": e.Step, "place": a.Job.Place(a.Step)}).Warn("jobs: a step could not be sent")
+			c.log.WithFields(logrus.Fields{"job": e.Job, "step": e.Step, "place": do.Job.Place(do.Step)}).Warn("jobs: step was not executed")
 		}
 		c.council.Post(owner.Ended{Job: e.Job, Token: e.Token, Step: e.Step, End: end})
 	}
-	if hand, is := c.hands[e.Kind]; is {
-		hand.Do(e, ended)
+	if handler, registered := c.handlers[e.Kind]; registered {
+		handler.Do(e, ended)
 		return
 	}
-	if to := a.Job.Place(a.Step); to != "" && to != c.stand.Name {
+	if to := do.Job.Place(do.Step); to != "" && to != c.followed.Name {
 		e.Data = nil
 		c.council.Send(to, quorum.Frame{Kind: quorum.Effect, Data: canon.Encode(e)}, func() { ended(owner.NeverRan) })
 		return
 	}
-	c.place.Do(e, func(r place.Effected) { ended(r.End) })
+	c.place.Do(e, func(r place.Result) { ended(r.End) })
 }
 
-// asked is an effect that another gateway sends here, or what became of one of this gateway's.
-func (c *Crew) asked(a agreement.Asked) {
-	if a.Frame.Kind == quorum.Effected {
-		var r place.Effected
-		if canon.Decode(a.Frame.Data, &r) == nil && r.End >= owner.Ran && r.End <= owner.Refused {
+// handleFrame processes an effect from another gateway, or the result of an effect sent by this one.
+func (c *Crew) handleFrame(asked agreement.Asked) {
+	if asked.Frame.Kind == quorum.Effected {
+		var r place.Result
+		if canon.Decode(asked.Frame.Data, &r) == nil && r.End >= owner.Ran && r.End <= owner.Refused {
 			if r.End != owner.Ran {
-				c.log.WithFields(logrus.Fields{"job": r.Job, "step": r.Step, "token": r.Token, "place": a.From}).Warn("jobs: a step did not run: " + r.Why)
+				c.log.WithFields(logrus.Fields{"job": r.Job, "step": r.Step, "token": r.Token, "place": asked.From}).Warn("jobs: step not confirmed as run: " + r.Why)
 			}
-			c.carry(c.agent.Handle(c.now, owner.Ended{Job: r.Job, Token: r.Token, Step: r.Step, End: r.End}))
+			c.perform(c.agent.Handle(c.now, owner.Ended{Job: r.Job, Token: r.Token, Step: r.Step, End: r.End}))
 		}
 		return
 	}
 	var e place.Effect
-	if canon.Decode(a.Frame.Data, &e) != nil {
+	if canon.Decode(asked.Frame.Data, &e) != nil {
 		return
 	}
-	answer := func(r place.Effected) { a.Answer(quorum.Frame{Kind: quorum.Effected, Data: canon.Encode(r)}) }
-	refuse := place.Effected{Job: e.Job, Token: e.Token, Step: e.Step, End: owner.NeverRan}
+	answer := func(r place.Result) { asked.Answer(quorum.Frame{Kind: quorum.Effected, Data: canon.Encode(r)}) }
+	refusal := place.Result{Job: e.Job, Token: e.Token, Step: e.Step, End: owner.NeverRan}
 	switch {
-	case c.stand.Incarnation == 0:
-		// It knows of all grants up to its own start only once it has followed the log so far: a record that was lost is made up
-		// for by that.
-		refuse.Why = "this gateway has not followed the log to its own start"
+	case c.followed.Incarnation == 0:
+		// Until this gateway has applied the log up to its own start, it does not know all grants up to then. Waiting
+		// for that makes up for tokens that were lost with a corrupt record.
+		refusal.Why = "this gateway has not followed the log to its own start"
 	case e.Kind != Drill || e.Type < owner.Safe || e.Type > owner.Unsafe:
-		refuse.Why = "nothing of that kind happens here"
+		refusal.Why = "nothing of that kind happens here"
 	default:
 		c.place.Do(e, answer)
 		return
 	}
-	answer(refuse)
+	answer(refusal)
 }
 
-// Allow tells whether a person may have a command agreed.
+// Allow reports whether an operator may propose a command.
 func (c *Crew) Allow(command quorum.Command) error {
 	switch command.Kind {
 	case owner.Start:
@@ -274,16 +280,16 @@
 }
 
 func (c *Crew) check(j owner.Job) error {
-	hand, is := c.hands[j.Kind]
+	handler, registered := c.handlers[j.Kind]
 	switch {
 	case !c.block.On:
 		return errors.New("jobs: off at this gateway")
-	case j.Kind != Drill && !is:
-		return fmt.Errorf("kind: %q is none of %v", j.Kind, append(slices.Sorted(maps.Keys(c.hands)), Drill))
-	case is && j.Type != hand.Type:
-		return fmt.Errorf("type: steps of %s are %v", j.Kind, hand.Type)
-	case is:
-		return hand.Check(j)
+	case j.Kind != Drill && !registered:
+		return fmt.Errorf("kind: %q is none of %v", j.Kind, append(slices.Sorted(maps.Keys(c.handlers)), Drill))
+	case registered && j.Type != handler.Type:
+		return fmt.Errorf("type: steps of %s are %v", j.Kind, handler.Type)
+	case registered:
+		return handler.Check(j)
 	}
 	for i, name := range j.Places {
 		if _, known := c.agent.Book.Workers[name]; !known {
@@ -293,40 +299,41 @@
 	return nil
 }
 
-// Tell answers a person.
-func (c *Crew) Tell(about, name string) (any, error) {
-	switch about {
+// Tell answers an operator's query.
+func (c *Crew) Tell(subject, name string) (any, error) {
+	switch subject {
 	case "jobs":
-		all := []owner.Report{}
+		list := []owner.Report{}
 		for _, j := range c.agent.Book.All() {
-			all = append(all, j.Report())
+			list = append(list, j.Report())
 		}
-		return all, nil
+		return list, nil
 	case "job":
 		if j := c.agent.Book.Jobs[name]; j != nil {
 			return j.Report(), nil
 		}
-		return nil, fmt.Errorf("job %q: %w", name, owner.ErrUnknown)
+		return nil, fmt.Errorf("job %q: %w", name, owner.ErrUnknownJob)
 	case "effects":
 		if c.place == nil {
 			return nil, errors.New("jobs: off at this gateway")
 		}
-		all := []place.Entry{}
+		list := []place.Entry{}
 		for _, e := range c.place.Entries() {
 			if name == "" || e.Effect.Job == name {
-				all = append(all, e)
+				list = append(list, e)
 			}
 		}
-		return all[max(0, len(all)-mostTold):], nil
+		return list[max(0, len(list)-maxEntriesPerReply):], nil
 	}
 	return nil, agreement.ErrNotMine
 }
 
-// mostTold bounds the effects of one answer, which has to fit a frame.
-const mostTold = 4096
+// maxEntriesPerReply bounds the effects in one reply, which has to fit into a frame.
+const maxEntriesPerReply = 4096
 
-// OnRecord tells what a place's record says of a step that may have run: that it did, or that the place has word of a newer token
-// than the one under which it was sent. With that word and without the step on record, it did not run there and never will.
+// OnRecord checks a step that may have run against the record of its executing gateway: ran means that the step is
+// on record, fenced that the gateway knows a newer token than the one the step was sent under. A step that is
+// fenced and not on record did not run there and never will.
 func OnRecord(entries []place.Entry, job string, d owner.Doubt) (ran, fenced bool) {
 	for _, e := range entries {
 		if e.Effect.Job == job && e.Refused == 0 {
--- a/internal/owner/drive/crew_test.go
+++ b/internal/owner/drive/crew_test.go
@@ -15,8 +15,8 @@
 	agreement "poppymill/internal/quorum/drive"
 )
 
-// A place takes nothing before it has followed the log to its own start, and nothing of an unknown kind; what people may ask for is
-// checked by field.
+// Tests that a gateway executes no effects before it has applied the log up to its own start, and none of an
+// unknown kind, and that each field of an operator's command is checked.
 func TestCrew(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -28,31 +28,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	send := func(e place.Effect) place.Effected {
+	send := func(e place.Effect) place.Result {
 		t.Helper()
-		back := make(chan place.Effected, 1)
+		results := make(chan place.Result, 1)
 		c.Handle(0, agreement.Asked{From: "g", Frame: quorum.Frame{Kind: quorum.Effect, Data: canon.Encode(e)}, Answer: func(f quorum.Frame) {
-			var r place.Effected
+			var r place.Result
 			if err := canon.Decode(f.Data, &r); err != nil {
 				t.Error(err)
 			}
-			back <- r
+			results <- r
 		}})
-		return <-back
+		return <-results
 	}
 	e := place.Effect{Job: "j", Kind: Drill, Token: 3, Type: owner.Unsafe}
 	if r := send(e); r.End != owner.NeverRan || !strings.Contains(r.Why, "has not followed") {
-		t.Errorf("before it has followed: %+v", r)
+		t.Errorf("before it has applied the log: %+v", r)
 	}
 	c.Handle(0, agreement.Followed{Name: "h", Incarnation: 2})
 	if r := send(e); r.End != owner.Ran {
 		t.Errorf("%+v", r)
 	}
 	if r := send(place.Effect{Job: "j", Kind: Drill, Token: 2, Step: 1, Type: owner.Safe}); r.End != owner.Refused || r.Newer != 3 {
-		t.Errorf("an older one: %+v", r)
+		t.Errorf("older token: %+v", r)
 	}
 	if r := send(place.Effect{Job: "j", Kind: "odd", Token: 4}); r.End != owner.NeverRan {
-		t.Errorf("of an unknown kind: %+v", r)
+		t.Errorf("unknown kind: %+v", r)
 	}
 	for _, x := range []struct {
 		kind string
@@ -73,7 +73,7 @@
 		}
 	}
 	if _, err := c.Tell("job", "none"); err == nil {
-		t.Error("an unknown job is told of")
+		t.Error("no error for an unknown job")
 	}
 	if err := c.Close(); err != nil {
 		t.Error(err)
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -11,115 +11,116 @@
 	"poppymill/internal/canon"
 )
 
-// play is a fleet in small: one log, members that follow it as late as chance has it, places that check tokens. It knows the
-// rules apart from the code: who may run what, by the order of the log alone.
-type play struct {
-	log     []func(*Book, uint64) // agreed, in their order
-	books   []*Book               // of each member, as far as it has followed
-	at      []int
-	works   []*Work
-	flight  []flying // effects on their way: they may be as late as can be
-	gates   map[string]*Gate
-	ran     map[string]int    // job and step: how often its effect happened
-	let     map[string]int    // how often the token alone let it happen
-	highest map[string]uint64 // at each place, of each job
-	lossy   bool              // what members ask for is lost now and then
-	t       *rapid.T
+// simulation is a small fleet: one log, members that apply it with random delay, and an executing gateway that
+// checks tokens. It states the rules independently of the code: who may run what follows from the order of the log
+// alone.
+type simulation struct {
+	log       []func(*Book, uint64) // committed entries, in order
+	books     []*Book               // per member, as far as it has applied the log
+	applied   []int
+	executors []*Executor
+	inFlight  []delayedEffect // effects and replies in flight, with unbounded delay
+	checkers  map[string]*TokenChecker
+	ran       map[string]int    // by job and step: how often the effect happened
+	admitted  map[string]int    // how often the token alone allowed it
+	highest   map[string]uint64 // highest accepted token, per job
+	lossy     bool              // proposals are lost at random
+	t         *rapid.T
 }
 
-type flying struct {
-	by   int
-	do   Do
-	back bool // it has happened, and its answer is on its way
-	err  error
+type delayedEffect struct {
+	sender  int
+	effect  Do
+	isReply bool // the effect has happened and its reply is in flight
+	err     error
 }
 
-func (p *play) agree(kind string, data any) {
+func (p *simulation) agree(kind string, data any) {
 	text := canon.Encode(data)
 	p.log = append(p.log, func(b *Book, index uint64) { b.Apply(index, kind, text) })
 }
 
-func (p *play) member(name string, w Worker) {
+func (p *simulation) member(name string, w Worker) {
 	p.log = append(p.log, func(b *Book, index uint64) { b.Member(index, name, w) })
 }
 
-// follow brings a member's view on by so many places, and has it act on what it sees.
-func (p *play) follow(i, places int) {
-	for range min(places, len(p.log)-p.at[i]) {
-		p.log[p.at[i]](p.books[i], uint64(p.at[i]+1))
-		p.at[i]++
+// follow applies up to so many log entries on a member and performs its actions.
+func (p *simulation) follow(i, places int) {
+	for range min(places, len(p.log)-p.applied[i]) {
+		p.log[p.applied[i]](p.books[i], uint64(p.applied[i]+1))
+		p.applied[i]++
 	}
-	p.take(i, p.works[i].See(0, p.books[i]))
+	p.perform(i, p.executors[i].Sync(0, p.books[i]))
 }
 
-func (p *play) take(i int, do []any) {
-	for _, a := range do {
+func (p *simulation) perform(i int, actions []any) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case Ask:
-			if p.lossy && rapid.IntRange(0, 3).Draw(p.t, "asked in vain") == 0 {
+			if p.lossy && rapid.IntRange(0, 3).Draw(p.t, "proposal lost") == 0 {
 				continue
 			}
 			p.agree(a.Kind, a.Claim)
 		case Do:
-			p.flight = append(p.flight, flying{by: i, do: a})
+			p.inFlight = append(p.inFlight, delayedEffect{sender: i, effect: a})
 		}
 	}
 }
 
-// arrive has an effect happen at its place, or its answer come home.
-func (p *play) arrive(n int, lose bool) {
-	f := p.flight[n]
-	p.flight = append(p.flight[:n:n], p.flight[n+1:]...)
-	key := fmt.Sprint(f.do.Job.Name, "/", f.do.Step)
-	if f.back {
+// deliver delivers an effect to the executing gateway, or a reply to its sender.
+func (p *simulation) deliver(n int, lose bool) {
+	msg := p.inFlight[n]
+	p.inFlight = append(p.inFlight[:n:n], p.inFlight[n+1:]...)
+	key := fmt.Sprint(msg.effect.Job.Name, "/", msg.effect.Step)
+	if msg.isReply {
 		end := Ran
 		if lose {
 			end = Perhaps
-		} else if f.err != nil {
+		} else if msg.err != nil {
 			end = Refused
 		}
-		p.take(f.by, p.works[f.by].Ended(0, f.do.Job.Name, f.do.Token, f.do.Step, f.do.Job.Type, end))
+		p.perform(msg.sender, p.executors[msg.sender].HandleEnd(0, msg.effect.Job.Name, msg.effect.Token, msg.effect.Step, msg.effect.Job.Type, end))
 		return
 	}
 	if lose {
-		p.take(f.by, p.works[f.by].Ended(0, f.do.Job.Name, f.do.Token, f.do.Step, f.do.Job.Type, Perhaps))
+		p.perform(msg.sender, p.executors[msg.sender].HandleEnd(0, msg.effect.Job.Name, msg.effect.Token, msg.effect.Step, msg.effect.Job.Type, Perhaps))
 		return
 	}
-	_, again, err := p.gates["place"].Pass(f.do.Job.Name, f.do.Token, f.do.Step, f.do.Job.Type)
-	if f.err, f.back = err, true; err == nil {
-		if f.do.Token < p.highest[f.do.Job.Name] {
-			p.t.Fatalf("%s under token %d after %d", key, f.do.Token, p.highest[f.do.Job.Name])
+	_, again, err := p.checkers["place"].Check(msg.effect.Job.Name, msg.effect.Token, msg.effect.Step, msg.effect.Job.Type)
+	if msg.err, msg.isReply = err, true; err == nil {
+		if msg.effect.Token < p.highest[msg.effect.Job.Name] {
+			p.t.Fatalf("%s under token %d after %d", key, msg.effect.Token, p.highest[msg.effect.Job.Name])
 		}
-		p.highest[f.do.Job.Name] = f.do.Token
-		p.let[key]++
+		p.highest[msg.effect.Job.Name] = msg.effect.Token
+		p.admitted[key]++
 		if !again {
 			p.ran[key]++
 		}
 	}
-	p.flight = append(p.flight, f)
+	p.inFlight = append(p.inFlight, msg)
 }
 
-// Owners are frozen, cut off, replaced and come back; effects and answers are as late as can be, or lost. A token never falls at
-// a place; an unsafe step is let in there once, by the log and the tokens alone, without what the place remembers of steps; in the
-// end, with every doubt settled by what is so, all is done.
-func TestOwnersComeAndGo(t *testing.T) {
+// Owners are frozen, partitioned, replaced and come back; effects and replies are delayed without bound or lost. A
+// token never decreases at the executing gateway; an unsafe step is accepted there once by log and tokens alone,
+// without the record of steps; in the end, once every uncertain step is resolved truthfully, all steps are done.
+func TestRandomOwnerChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		typ := Type(rapid.IntRange(0, 2).Draw(t, "type"))
-		p := &play{t: t, gates: map[string]*Gate{"place": NewGate(4)}, ran: map[string]int{}, let: map[string]int{}, lossy: true, highest: map[string]uint64{}}
+		p := &simulation{t: t, checkers: map[string]*TokenChecker{"place": NewTokenChecker(4)}, ran: map[string]int{}, admitted: map[string]int{}, lossy: true, highest: map[string]uint64{}}
 		names := []string{"a", "b", "c"}
 		inc := uint64(0)
-		there := map[string]Worker{}
+		workers := map[string]Worker{}
 		for i, name := range names {
 			inc++
-			there[name] = Worker{Incarnation: inc, There: true}
-			p.member(name, there[name])
-			p.books, p.at, p.works = append(p.books, New(8)), append(p.at, 0), append(p.works, &Work{Name: name, Incarnation: inc})
+			workers[name] = Worker{Incarnation: inc, There: true}
+			p.member(name, workers[name])
+			p.books, p.applied, p.executors = append(p.books, New(8)), append(p.applied, 0), append(p.executors, &Executor{Name: name, Incarnation: inc})
 			_ = i
 		}
 		p.agree(Start, Job{Name: "j", Kind: "k", Steps: 6, Type: typ, Window: 2})
 		p.agree(Start, Job{Name: "k", Kind: "k", Steps: 4, Type: typ, Window: 3})
-		planner, now := &Planner{Hold: 10, Longest: 100}, 0.0
-		leader := func() *Book { // the whole log, as a leader has it
+		planner, now := &Planner{HoldDown: 10, MaxHoldDown: 100}, 0.0
+		fullState := func() *Book { // the whole log applied, as on a leader
 			b := New(8)
 			for i, c := range p.log {
 				c(b, uint64(i+1))
@@ -128,45 +129,46 @@
 		}
 		plan := func() {
 			now += 50
-			for _, c := range planner.Plan(now, leader()) {
+			for _, c := range planner.Plan(now, fullState()) {
 				p.agree(Grant, c)
 			}
 		}
-		for range rapid.IntRange(5, 60).Draw(t, "deeds") {
-			i := rapid.IntRange(0, 2).Draw(t, "who")
+		for range rapid.IntRange(5, 60).Draw(t, "events") {
+			i := rapid.IntRange(0, 2).Draw(t, "member")
 			name := names[i]
-			switch rapid.IntRange(0, 8).Draw(t, "deed") {
+			switch rapid.IntRange(0, 8).Draw(t, "event") {
 			case 0, 1:
-				p.follow(i, rapid.IntRange(1, 6).Draw(t, "places"))
+				p.follow(i, rapid.IntRange(1, 6).Draw(t, "entries"))
 			case 2, 3, 4:
-				if len(p.flight) > 0 {
-					p.arrive(rapid.IntRange(0, len(p.flight)-1).Draw(t, "which"), rapid.IntRange(0, 5).Draw(t, "lost") == 0)
+				if len(p.inFlight) > 0 {
+					p.deliver(rapid.IntRange(0, len(p.inFlight)-1).Draw(t, "message"), rapid.IntRange(0, 5).Draw(t, "lost") == 0)
 				}
 			case 5:
 				plan()
-			case 6: // said to be lost, whatever it does
-				if w := there[name]; w.There {
+			case 6: // declared lost, whatever it does
+				if w := workers[name]; w.There {
 					w.There, w.Losses = false, w.Losses+1
-					there[name] = w
+					workers[name] = w
 					p.member(name, w)
 				}
-			case 7: // it is back, under the same incarnation
-				if w := there[name]; !w.There {
+			case 7: // back under the same incarnation
+				if w := workers[name]; !w.There {
 					w.There = true
-					there[name] = w
+					workers[name] = w
 					p.member(name, w)
 				}
-			case 8: // a new process; the old one's effects are still on their way
+			case 8: // a new process; effects of the old one are still in flight
 				inc++
-				there[name] = Worker{Incarnation: inc, There: true, Losses: there[name].Losses + 1}
-				p.member(name, there[name])
-				p.works[i] = &Work{Name: name, Incarnation: inc}
+				workers[name] = Worker{Incarnation: inc, There: true, Losses: workers[name].Losses + 1}
+				p.member(name, workers[name])
+				p.executors[i] = &Executor{Name: name, Incarnation: inc}
 			}
 		}
-		// Faults stop: all follow, what is on its way arrives, an operator settles what may have run by what is so.
+		// Faults stop: all members apply the whole log, everything in flight arrives, and an operator resolves
+		// uncertain steps truthfully.
 		p.lossy = false
 		for round := 0; ; round++ {
-			b := leader()
+			b := fullState()
 			if b.Jobs["j"].State == Finished && b.Jobs["k"].State == Finished {
 				break
 			}
@@ -174,21 +176,21 @@
 				t.Fatalf("not done: %+v %+v", b.Jobs["j"], b.Jobs["k"])
 			}
 			for i, name := range names {
-				if !there[name].There {
-					w := there[name]
+				if !workers[name].There {
+					w := workers[name]
 					w.There = true
-					there[name] = w
+					workers[name] = w
 					p.member(name, w)
 				}
 				p.follow(i, len(p.log))
-				p.take(i, p.works[i].Again())
+				p.perform(i, p.executors[i].Resend())
 			}
-			for len(p.flight) > 0 {
-				p.arrive(0, false)
+			for len(p.inFlight) > 0 {
+				p.deliver(0, false)
 			}
 			plan()
-			for _, j := range leader().All() {
-				for step := range j.Doubt {
+			for _, j := range fullState().All() {
+				for step := range j.Uncertain {
 					p.agree(Verdict, Claim{Job: j.Name, Step: step, Ran: p.ran[fmt.Sprint(j.Name, "/", step)] > 0})
 				}
 			}
@@ -199,74 +201,75 @@
 		}{{"j", 6}, {"k", 4}} {
 			for step := range job.steps {
 				n := p.ran[fmt.Sprint(job.name, "/", step)]
-				if n == 0 || n > 1 && typ != Safe || typ == Unsafe && p.let[fmt.Sprint(job.name, "/", step)] != 1 {
+				if n == 0 || n > 1 && typ != Safe || typ == Unsafe && p.admitted[fmt.Sprint(job.name, "/", step)] != 1 {
 					t.Fatalf("step %d of %s, %v, ran %d times", step, job.name, typ, n)
 				}
 			}
 		}
-		// Alike states are written alike, and read back.
-		b, again := leader(), New(8)
+		// Equal states have equal encodings, and an encoded state can be loaded.
+		b, again := fullState(), New(8)
 		if err := again.Load(b.Save()); err != nil || !bytes.Equal(again.Save(), b.Save()) {
-			t.Fatalf("read back: %v", err)
+			t.Fatalf("state after a reload differs: %v", err)
 		}
 	})
 }
 
-// The hard case, by hand: the owner is frozen after it checked that it owns, a successor works, and the old one's effect comes.
-func TestOldOwnerWakesLate(t *testing.T) {
+// The critical case, step by step: the owner is frozen after it checked its ownership, a successor takes over, and
+// then the old owner's effect arrives.
+func TestStaleOwnerFenced(t *testing.T) {
 	for _, typ := range []Type{Safe, Keyed, Unsafe} {
-		b, g := New(4), NewGate(4)
+		b, g := New(4), NewTokenChecker(4)
 		b.Member(1, "a", Worker{Incarnation: 1, There: true})
 		b.Member(2, "b", Worker{Incarnation: 2, There: true})
 		b.Apply(3, Start, canon.Encode(Job{Name: "j", Kind: "k", Steps: 3, Type: typ, Window: 1}))
 		b.Apply(4, Grant, canon.Encode(Claim{Job: "j", Name: "a", Incarnation: 1}))
-		a := &Work{Name: "a", Incarnation: 1}
-		do := a.See(0, b)
+		a := &Executor{Name: "a", Incarnation: 1}
+		actions := a.Sync(0, b)
 		if typ == Unsafe {
-			ask := do[0].(Ask)
+			ask := actions[0].(Ask)
 			b.Apply(5, ask.Kind, canon.Encode(ask.Claim))
-			do = a.See(0, b)
+			actions = a.Sync(0, b)
 		}
-		held := do[0].(Do) // a is frozen with this in hand
-		if r := b.Apply(6, Grant, canon.Encode(Claim{Job: "j", Name: "b", Incarnation: 2})); r != ErrOwned {
-			t.Errorf("%v: a second owner while the first is there: %v", typ, r)
+		held := actions[0].(Do) // frozen before it sends this
+		if r := b.Apply(6, Grant, canon.Encode(Claim{Job: "j", Name: "b", Incarnation: 2})); r != ErrHasOwner {
+			t.Errorf("%v: a second owner while the first is present: %v", typ, r)
 		}
 		b.Member(7, "a", Worker{Incarnation: 1, Losses: 1})
 		if r := b.Apply(8, Grant, canon.Encode(Claim{Job: "j", Name: "b", Incarnation: 2})); r.(Job).Token <= held.Token {
 			t.Errorf("%v: token %d after %d", typ, r.(Job).Token, held.Token)
 		}
-		next := &Work{Name: "b", Incarnation: 2}
+		next := &Executor{Name: "b", Incarnation: 2}
 		step := -1
-		for _, x := range next.See(0, b) {
+		for _, x := range next.Sync(0, b) {
 			if ask, ok := x.(Ask); ok {
 				b.Apply(9, ask.Kind, canon.Encode(ask.Claim))
-				for _, x := range next.See(0, b) {
+				for _, x := range next.Sync(0, b) {
 					step = x.(Do).Step
 				}
 			} else {
 				step = x.(Do).Step
 			}
 		}
-		if _, _, err := g.Pass("j", b.Jobs["j"].Token, max(step, 1), typ); err != nil {
+		if _, _, err := g.Check("j", b.Jobs["j"].Token, max(step, 1), typ); err != nil {
 			t.Errorf("%v: the new owner is refused: %v", typ, err)
 		}
-		var late Late
-		if _, _, err := g.Pass("j", held.Token, held.Step, typ); !errors.As(err, &late) || late.Newer != b.Jobs["j"].Token {
-			t.Errorf("%v: the old one's effect: %v", typ, err)
+		var stale StaleTokenError
+		if _, _, err := g.Check("j", held.Token, held.Step, typ); !errors.As(err, &stale) || stale.Newer != b.Jobs["j"].Token {
+			t.Errorf("%v: effect of the old owner: %v", typ, err)
 		}
-		if _, doubt := b.Jobs["j"].Doubt[held.Step]; doubt != (typ == Unsafe) || typ == Unsafe && step == held.Step {
-			t.Errorf("%v: what may have run is sent again as step %d; in doubt: %t", typ, step, doubt)
+		if _, doubt := b.Jobs["j"].Uncertain[held.Step]; doubt != (typ == Unsafe) || typ == Unsafe && step == held.Step {
+			t.Errorf("%v: a step that may have run: new owner sends step %d; uncertain: %t", typ, step, doubt)
 		}
-		if r := b.Apply(10, Did, canon.Encode(Claim{Job: "j", Token: held.Token, Step: held.Step})); (r == ErrOld) != (typ != Unsafe) {
-			t.Errorf("%v: the old one's late word: %v", typ, r)
+		if r := b.Apply(10, Did, canon.Encode(Claim{Job: "j", Token: held.Token, Step: held.Step})); (r == ErrStaleToken) != (typ != Unsafe) {
+			t.Errorf("%v: late report of the old owner: %v", typ, r)
 		}
 	}
 }
 
-// Work is spread by load; one that is lost again and again is given nothing for twice as long each time; what comes back by
-// itself may have been granted to another meanwhile.
+// Tests that jobs are spread by load, and that the hold-down of a member that is lost repeatedly doubles each
+// time; the jobs of a member that returns may have been granted to others in the meantime.
 func TestPlanner(t *testing.T) {
-	b, p := New(8), &Planner{Hold: 1000, Longest: 8000}
+	b, p := New(8), &Planner{HoldDown: 1000, MaxHoldDown: 8000}
 	for i, name := range []string{"a", "b", "c"} {
 		b.Member(uint64(i+1), name, Worker{Incarnation: uint64(i + 1), There: true})
 	}
@@ -290,45 +293,46 @@
 		b.Member(120+loss, "a", Worker{Incarnation: 1, There: true, Losses: loss})
 		p.Plan(at, b)
 		name := fmt.Sprint("new", loss)
-		for _, other := range []string{"b", "c"} { // both have more to do than a
+		for _, other := range []string{"b", "c"} { // both own more jobs than a
 			if j := b.Jobs["j0"]; j.Owner == "a" {
-				t.Errorf("%s owns beside its loss", other)
+				t.Errorf("a owns j0 after its loss (checked beside %s)", other)
 			}
 		}
-		hold := min(8000, 1000*float64(uint64(1)<<(loss-1)))
+		holdDown := min(8000, 1000*float64(uint64(1)<<(loss-1)))
 		b.Apply(130+loss, Start, canon.Encode(Job{Name: name, Kind: "k", Steps: 1, Window: 1}))
-		if c := p.Plan(at+hold-1, b); len(c) != 1 || c[0].Name == "a" {
-			t.Errorf("after %d losses, within %.0f ms: %v", loss, hold, c)
+		if c := p.Plan(at+holdDown-1, b); len(c) != 1 || c[0].Name == "a" {
+			t.Errorf("after %d losses, within %.0f ms: %v", loss, holdDown, c)
 		}
-		if c := p.Plan(at+hold, b); len(c) != 1 || c[0].Name != "a" {
-			t.Errorf("after %d losses and %.0f ms: %v", loss, hold, c)
+		if c := p.Plan(at+holdDown, b); len(c) != 1 || c[0].Name != "a" {
+			t.Errorf("after %d losses and %.0f ms: %v", loss, holdDown, c)
 		}
 		b.Apply(140+loss, Stop, canon.Encode(Claim{Job: name}))
-		at += hold + 1
+		at += holdDown + 1
 	}
 }
 
-// Where all that are there are held off, a job goes to the one that is for the least time in place of standing still.
-func TestPlannerWithoutChoice(t *testing.T) {
-	b, p := New(8), &Planner{Hold: 1000, Longest: 60_000}
+// Tests that with all members in hold-down a job is granted to the one whose hold-down ends first, rather than to
+// none.
+func TestPlannerAllHeldDown(t *testing.T) {
+	b, p := New(8), &Planner{HoldDown: 1000, MaxHoldDown: 60_000}
 	for i, name := range []string{"a", "b", "c"} {
 		b.Member(uint64(i+1), name, Worker{Incarnation: uint64(i + 1), There: true, Losses: uint64(3 + (i+1)%3)}) // a 4, b 5, c 3
 	}
 	b.Apply(10, Start, canon.Encode(Job{Name: "j", Kind: "k", Steps: 1, Window: 1}))
 	if c := p.Plan(0, b); len(c) != 1 || c[0].Name != "c" {
-		t.Errorf("of three held off: %v", c)
+		t.Errorf("three members in hold-down: %v", c)
 	}
 	b.Member(11, "c", Worker{Incarnation: 3, Losses: 4})
 	if c := p.Plan(10, b); len(c) != 1 || c[0].Name != "a" {
-		t.Errorf("of two held off: %v", c)
+		t.Errorf("two members in hold-down: %v", c)
 	}
 	b.Member(12, "d", Worker{Incarnation: 9, There: true})
 	if c := p.Plan(20, b); len(c) != 1 || c[0].Name != "d" {
-		t.Errorf("beside one that is not: %v", c)
+		t.Errorf("one member not in hold-down: %v", c)
 	}
 }
 
-// What is asked for wrongly changes nothing, by name; memory is bounded.
+// Tests that invalid commands change nothing and return the right error, and that memory is bounded.
 func TestRefusals(t *testing.T) {
 	b := New(2)
 	b.Member(1, "a", Worker{Incarnation: 1, There: true})
@@ -338,48 +342,49 @@
 		data any
 		want error
 	}{
-		{Start, Job{Name: "j", Kind: "k", Steps: 0, Window: 1}, ErrBad}, {Grant, Claim{Job: "j"}, ErrUnknown}, {Start, job, nil}, {Start, job, nil},
-		{Start, Job{Name: "j", Kind: "other", Steps: 2, Type: Unsafe, Window: 2}, ErrOther},
-		{Grant, Claim{Job: "j", Name: "b", Incarnation: 1}, ErrAbsent}, {Grant, Claim{Job: "j", Name: "a", Incarnation: 2}, ErrAbsent},
-		{Mean, Claim{Job: "j", Token: 0}, ErrOld}, {Grant, Claim{Job: "j", Name: "a", Incarnation: 1}, nil},
-		{Did, Claim{Job: "j", Token: 1}, ErrBad}, {Mean, Claim{Job: "j", Token: 1}, nil}, {Mean, Claim{Job: "j", Token: 1}, ErrSent},
-		{Verdict, Claim{Job: "j", Ran: true}, ErrSent}, {Release, Claim{Job: "j", Token: 7}, ErrOld}, {Release, Claim{Job: "j", Token: 1}, nil},
-		{Mean, Claim{Job: "j", Token: 1, Step: 1}, ErrOld}, {Grant, Claim{Job: "j", Name: "a", Incarnation: 1}, nil},
-		{Mean, Claim{Job: "j", Token: 2, Step: 0}, ErrSent}, {Verdict, Claim{Job: "j"}, nil}, {Mean, Claim{Job: "j", Token: 2, Step: 0}, nil},
-		{Unsure, Claim{Job: "j", Token: 1, Step: 0}, ErrOld}, {Did, Claim{Job: "j", Token: 2, Step: 0}, nil}, {Did, Claim{Job: "j", Token: 2, Step: 0}, nil},
+		{Start, Job{Name: "j", Kind: "k", Steps: 0, Window: 1}, ErrMalformed}, {Grant, Claim{Job: "j"}, ErrUnknownJob}, {Start, job, nil}, {Start, job, nil},
+		{Start, Job{Name: "j", Kind: "other", Steps: 2, Type: Unsafe, Window: 2}, ErrConflict},
+		{Grant, Claim{Job: "j", Name: "b", Incarnation: 1}, ErrMemberAbsent}, {Grant, Claim{Job: "j", Name: "a", Incarnation: 2}, ErrMemberAbsent},
+		{Mean, Claim{Job: "j", Token: 0}, ErrStaleToken}, {Grant, Claim{Job: "j", Name: "a", Incarnation: 1}, nil},
+		{Did, Claim{Job: "j", Token: 1}, ErrMalformed}, {Mean, Claim{Job: "j", Token: 1}, nil}, {Mean, Claim{Job: "j", Token: 1}, ErrAlreadySent},
+		{Verdict, Claim{Job: "j", Ran: true}, ErrAlreadySent}, {Release, Claim{Job: "j", Token: 7}, ErrStaleToken}, {Release, Claim{Job: "j", Token: 1}, nil},
+		{Mean, Claim{Job: "j", Token: 1, Step: 1}, ErrStaleToken}, {Grant, Claim{Job: "j", Name: "a", Incarnation: 1}, nil},
+		{Mean, Claim{Job: "j", Token: 2, Step: 0}, ErrAlreadySent}, {Verdict, Claim{Job: "j"}, nil}, {Mean, Claim{Job: "j", Token: 2, Step: 0}, nil},
+		{Unsure, Claim{Job: "j", Token: 1, Step: 0}, ErrStaleToken}, {Did, Claim{Job: "j", Token: 2, Step: 0}, nil}, {Did, Claim{Job: "j", Token: 2, Step: 0}, nil},
 		{Start, Job{Name: "k", Steps: 1, Window: 1}, nil}, {Start, Job{Name: "l", Steps: 1, Window: 1}, ErrFull},
-		{Stop, Claim{Job: "k"}, nil}, {Stop, Claim{Job: "k"}, ErrOver}, {Start, Job{Name: "l", Steps: 1, Window: 1}, nil}, {"odd", Claim{Job: "j"}, ErrBad},
+		{Stop, Claim{Job: "k"}, nil}, {Stop, Claim{Job: "k"}, ErrNotRunning}, {Start, Job{Name: "l", Steps: 1, Window: 1}, nil}, {"odd", Claim{Job: "j"}, ErrMalformed},
 	} {
 		got, _ := b.Apply(uint64(10+i), c.kind, canon.Encode(c.data)).(error)
 		if got != c.want {
 			t.Errorf("%d: %s %+v: %v, want %v", i, c.kind, c.data, got, c.want)
 		}
 	}
-	g := NewGate(2)
+	g := NewTokenChecker(2)
 	for i := range uint64(10) {
-		if _, _, err := g.Pass(fmt.Sprint("j", i), i+1, 0, Safe); err != nil || len(g.seen) > 2 {
-			t.Errorf("job %d: %v, %d remembered", i, err, len(g.seen))
+		if _, _, err := g.Check(fmt.Sprint("j", i), i+1, 0, Safe); err != nil || len(g.jobs) > 2 {
+			t.Errorf("job %d: %v, %d remembered", i, err, len(g.jobs))
 		}
 	}
-	if _, _, err := g.Pass("j0", 1, 0, Safe); err == nil {
-		t.Error("a token of a job that was forgotten passes")
+	if _, _, err := g.Check("j0", 1, 0, Safe); err == nil {
+		t.Error("a token of a forgotten job is accepted")
 	}
-	// After a restart of the place all that was refused before is refused again, forgotten jobs included.
-	again := NewGate(2)
-	again.Restore(g.Kept())
+	// After a restart of the executing gateway everything refused before is refused again, also for forgotten jobs.
+	again := NewTokenChecker(2)
+	again.Restore(g.Snapshot())
 	for i := range uint64(10) {
 		if job := fmt.Sprint("j", i); again.Highest(job) != g.Highest(job) {
 			t.Errorf("%s: %d after a restart, %d before", job, again.Highest(job), g.Highest(job))
 		}
 	}
-	if _, _, err := again.Pass("j9", 9, 0, Safe); err == nil {
-		t.Error("after a restart an old token passes")
+	if _, _, err := again.Check("j9", 9, 0, Safe); err == nil {
+		t.Error("an old token is accepted after a restart")
 	}
 }
 
-// How a step ended decides whether it goes out again: what never ran does, and what may have run only where its type lets it. An
-// owner that leaves sends nothing new and gives its jobs back once what it sent has ended.
-func TestEnds(t *testing.T) {
+// The outcome of a step decides whether it is sent again: a step that never ran is; one that may have run only if
+// its type allows it. An owner that leaves sends nothing new and releases its jobs once its effects in flight have
+// ended.
+func TestStepOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		typ  Type
 		end  End
@@ -392,18 +397,18 @@
 		b.Member(1, "a", Worker{Incarnation: 1, There: true})
 		b.Apply(2, Start, canon.Encode(Job{Name: "j", Kind: "k", Steps: 1, Type: c.typ, Window: 1}))
 		b.Apply(3, Grant, canon.Encode(Claim{Job: "j", Name: "a", Incarnation: 1}))
-		w := &Work{Name: "a", Incarnation: 1}
-		do := w.See(0, b)
-		if ask, ok := do[0].(Ask); ok {
+		w := &Executor{Name: "a", Incarnation: 1}
+		actions := w.Sync(0, b)
+		if ask, ok := actions[0].(Ask); ok {
 			b.Apply(4, ask.Kind, canon.Encode(ask.Claim))
-			do = w.See(0, b)
+			actions = w.Sync(0, b)
 		}
-		if again := w.See(0, b); len(again) != 0 {
+		if again := w.Sync(0, b); len(again) != 0 {
 			t.Errorf("%v: sent twice: %v", c.typ, again)
 		}
-		do = append(w.Ended(0, "j", do[0].(Do).Token, 0, c.typ, c.end), w.See(0, b)...)
+		actions = append(w.HandleEnd(0, "j", actions[0].(Do).Token, 0, c.typ, c.end), w.Sync(0, b)...)
 		got := ""
-		for _, x := range do {
+		for _, x := range actions {
 			switch x := x.(type) {
 			case Do:
 				got += fmt.Sprintf("do %d", x.Step)
@@ -416,44 +421,44 @@
 		}
 		w.Leave()
 		if c.want == "do 0" {
-			if do := w.See(0, b); len(do) != 0 {
-				t.Errorf("leaves with a step under way: %v", do)
+			if actions := w.Sync(0, b); len(actions) != 0 {
+				t.Errorf("leaving with a step in flight: %v", actions)
 			}
-			w.Ended(0, "j", b.Jobs["j"].Token, 0, c.typ, NeverRan)
-			if do := w.See(0, b); len(do) != 1 || do[0].(Ask).Kind != Release {
-				t.Errorf("leaves: %v", do)
+			w.HandleEnd(0, "j", b.Jobs["j"].Token, 0, c.typ, NeverRan)
+			if actions := w.Sync(0, b); len(actions) != 1 || actions[0].(Ask).Kind != Release {
+				t.Errorf("leaving: %v", actions)
 			}
 		}
 	}
 }
 
-// What a member asked for in vain it asks for again, and nothing else goes out for it meanwhile.
-func TestToldAgain(t *testing.T) {
+// Tests that lost proposals are sent again, and that nothing else is sent for the step in the meantime.
+func TestUnconfirmedProposalsResent(t *testing.T) {
 	for _, typ := range []Type{Safe, Keyed, Unsafe} {
 		b := New(2)
 		b.Member(1, "a", Worker{Incarnation: 1, There: true})
 		b.Apply(2, Start, canon.Encode(Job{Name: "j", Kind: "k", Steps: 1, Type: typ, Window: 1}))
 		b.Apply(3, Grant, canon.Encode(Claim{Job: "j", Name: "a", Incarnation: 1}))
-		w := &Work{Name: "a", Incarnation: 1}
-		do := w.See(0, b)
+		w := &Executor{Name: "a", Incarnation: 1}
+		actions := w.Sync(0, b)
 		if typ == Unsafe {
-			if again := w.Again(); len(again) != 1 || again[0] != do[0] {
-				t.Errorf("meant in vain, asked for again: %v", again)
+			if again := w.Resend(); len(again) != 1 || again[0] != actions[0] {
+				t.Errorf("lost Mean proposal sent again: %v", again)
 			}
-			b.Apply(4, Mean, canon.Encode(do[0].(Ask).Claim))
-			do = w.See(0, b)
+			b.Apply(4, Mean, canon.Encode(actions[0].(Ask).Claim))
+			actions = w.Sync(0, b)
 		}
-		told := w.Ended(0, "j", do[0].(Do).Token, 0, typ, Ran)
-		if quiet := w.See(0, b); len(told) != 1 || len(quiet) != 0 {
-			t.Errorf("%v: told %v, then %v", typ, told, quiet)
+		reported := w.HandleEnd(0, "j", actions[0].(Do).Token, 0, typ, Ran)
+		if idle := w.Sync(0, b); len(reported) != 1 || len(idle) != 0 {
+			t.Errorf("%v: reported %v, then %v", typ, reported, idle)
 		}
-		again := w.Again()
-		if len(again) != 1 || again[0] != told[0] {
-			t.Fatalf("%v: told in vain, asked for again: %v", typ, again)
+		again := w.Resend()
+		if len(again) != 1 || again[0] != reported[0] {
+			t.Fatalf("%v: lost report sent again: %v", typ, again)
 		}
 		b.Apply(5, Did, canon.Encode(again[0].(Ask).Claim))
-		if w.See(0, b); b.Jobs["j"].State != Finished || len(w.Again()) != 0 {
-			t.Errorf("%v: %+v, and asks on", typ, b.Jobs["j"])
+		if w.Sync(0, b); b.Jobs["j"].State != Finished || len(w.Resend()) != 0 {
+			t.Errorf("%v: not finished, or still proposing: %+v", typ, b.Jobs["j"])
 		}
 	}
 }
--- a/internal/owner/place/place.go
+++ b/internal/owner/place/place.go
@@ -1,6 +1,6 @@
-// Package place is a place at which effects of owned work happen: a gateway's own record. The check of an effect's token and the
-// effect itself are one write to its disk (go.etcd.io/bbolt), whole or not at all, so that nothing gets between them: neither a
-// process frozen there nor one that is killed. What it has refused it refuses after a restart.
+// Package place keeps the durable record of effects at a gateway that executes them. Checking the fencing token
+// and writing the effect are one transaction on disk (go.etcd.io/bbolt), so nothing gets between them, whether the
+// process is frozen there or killed. A token that was refused is still refused after a restart.
 package place
 
 import (
@@ -21,7 +21,7 @@
 	"poppymill/internal/owner"
 )
 
-// Effect is one step of a job, on its way to its place.
+// Effect is one step of a job on its way to its executing gateway.
 type Effect struct {
 	Job         string     `cbor:"1,keyasint" json:"job"`
 	Kind        string     `cbor:"2,keyasint" json:"kind"`
@@ -29,35 +29,35 @@
 	Step        int        `cbor:"4,keyasint" json:"step"`
 	Type        owner.Type `cbor:"5,keyasint" json:"type"`
 	Data        []byte     `cbor:"6,keyasint,omitempty" json:"data,omitempty"`
-	From        string     `cbor:"7,keyasint" json:"from"` // who sends it
+	From        string     `cbor:"7,keyasint" json:"from"` // sender
 	Incarnation uint64     `cbor:"8,keyasint" json:"incarnation"`
 }
 
-// Effected is what became of it.
-type Effected struct {
+// Result is the outcome of an effect.
+type Result struct {
 	Job   string    `cbor:"1,keyasint"`
 	Token uint64    `cbor:"2,keyasint"`
 	Step  int       `cbor:"3,keyasint"`
 	End   owner.End `cbor:"4,keyasint"`
-	Newer uint64    `cbor:"5,keyasint,omitempty"` // the token that was seen here, of one refused
+	Newer uint64    `cbor:"5,keyasint,omitempty"` // if refused: the newer token seen here
 	Why   string    `cbor:"6,keyasint,omitempty"`
 }
 
-// Entry is an effect that happened here, or one that was refused, in the order of this place.
+// Entry is an effect that happened or was refused here, numbered in the order of this record.
 type Entry struct {
 	Number  uint64 `cbor:"1,keyasint" json:"number"`
 	Effect  Effect `cbor:"2,keyasint" json:"effect"`
 	Refused uint64 `cbor:"3,keyasint,omitempty" json:"refused,omitempty"` // the newer token; 0: it happened
-	Again   bool   `cbor:"4,keyasint,omitempty" json:"again,omitempty"`   // it had happened before and did not happen twice
-	Told    bool   `cbor:"5,keyasint,omitempty" json:"told,omitempty"`    // no effect: the log told of that token
+	Again   bool   `cbor:"4,keyasint,omitempty" json:"again,omitempty"`   // it had happened before and was not repeated
+	Told    bool   `cbor:"5,keyasint,omitempty" json:"told,omitempty"`    // not an effect: a token learned from the log
 }
 
-// Bounds of a place.
+// Limits of a Place.
 const (
-	mostWaiting = 512  // effects that wait for its disk
-	mostJobs    = 1024 // whose tokens it remembers one by one
-	mostEntries = 8192 // kept for people; the record of steps that ran goes by owner.Gate's own bound
-	version     = 1
+	maxQueued  = 512  // effects waiting for the disk
+	maxJobs    = 1024 // jobs whose tokens are remembered individually
+	maxEntries = 8192 // kept for operators; owner.TokenChecker bounds the steps remembered on its own
+	version    = 1
 )
 
 var (
@@ -68,25 +68,26 @@
 	floorKey      = []byte("floor")
 )
 
-// Place is one gateway's. Its disk has a goroutine of its own: nobody waits for it.
+// Place is the record of one gateway. A goroutine of its own writes to the disk, so callers never wait for it.
 type Place struct {
-	db    *bolt.DB // nil: no disk; only safe effects happen here
-	log   logrus.FieldLogger
-	step  func(string) // called at each step of a write
-	inbox chan func()
-	ended chan bool
+	db        *bolt.DB // nil: no disk, only safe effects happen here
+	log       logrus.FieldLogger
+	writeHook func(string) // called at each stage of a write
+	queue     chan func()
+	stopped   chan bool
 
-	gate   *owner.Gate
-	broken error
-	last   uint64
+	checker    *owner.TokenChecker
+	failure    error
+	lastNumber uint64
 
-	mu      sync.Mutex // entries alone: people look at them
+	mu      sync.Mutex // guards entries only, which operators query
 	entries []Entry
 }
 
-// Open reads a record, or begins one; no folder: only safe effects happen here, and nothing is kept.
+// Open reads or creates the record in a folder. Without a folder only safe effects happen here, and nothing is
+// kept.
 func Open(folder string, log logrus.FieldLogger) (*Place, error) {
-	p := &Place{log: log, step: func(string) {}, inbox: make(chan func(), mostWaiting), ended: make(chan bool), gate: owner.NewGate(mostJobs)}
+	p := &Place{log: log, writeHook: func(string) {}, queue: make(chan func(), maxQueued), stopped: make(chan bool), checker: owner.NewTokenChecker(maxJobs)}
 	if folder == "" {
 		return p, nil
 	}
@@ -96,12 +97,12 @@
 	path := filepath.Join(folder, "effects")
 	db, err := p.open(path)
 	if checked.Spoilt(err) {
-		// Tokens that it told to others are lost with it: the log makes up for them, as nothing happens here before this gateway has
-		// followed it to its own start. Which keyed steps ran here is lost for good.
+		// The tokens in the record are lost. The log makes up for them, as nothing happens here before this gateway
+		// has applied it up to its own start. Which keyed steps ran here is lost for good.
 		aside := fmt.Sprintf("%s.spoilt-%d", path, time.Now().Unix())
-		log.WithError(err).WithField("aside", aside).Error("jobs: the record of effects is spoilt: another is begun")
+		log.WithError(err).WithField("aside", aside).Error("jobs: the record of effects is corrupt; moving it aside and starting a new one")
 		if err = os.Rename(path, aside); err == nil {
-			p.gate, p.last, p.entries = owner.NewGate(mostJobs), 0, nil
+			p.checker, p.lastNumber, p.entries = owner.NewTokenChecker(maxJobs), 0, nil
 			db, err = p.open(path)
 		}
 	}
@@ -142,96 +143,96 @@
 		meta := tx.Bucket(metaBucket)
 		floor, err := checked.Number(meta, floorKey)
 		if err != nil {
-			return fmt.Errorf("%w: its floor: %v", checked.ErrSpoilt, err)
+			return fmt.Errorf("%w: token floor: %v", checked.ErrSpoilt, err)
 		}
 		tokens := map[string]uint64{}
 		if err := tx.Bucket(tokensBucket).ForEach(func(k, _ []byte) (err error) {
 			if tokens[string(k)], err = checked.Number(tx.Bucket(tokensBucket), k); err != nil {
-				err = fmt.Errorf("%w: the token of job %q: %v", checked.ErrSpoilt, k, err)
+				err = fmt.Errorf("%w: token of job %q: %v", checked.ErrSpoilt, k, err)
 			}
 			return err
 		}); err != nil {
 			return err
 		}
-		p.gate.Restore(floor, tokens)
+		p.checker.Restore(floor, tokens)
 		return tx.Bucket(entriesBucket).ForEach(func(k, _ []byte) error {
 			var e Entry
 			v, err := checked.Get(tx.Bucket(entriesBucket), k)
 			if err == nil {
 				err = canon.Decode(v, &e)
 			}
-			if err != nil || binary.BigEndian.Uint64(k) != e.Number || p.last != 0 && e.Number != p.last+1 {
+			if err != nil || binary.BigEndian.Uint64(k) != e.Number || p.lastNumber != 0 && e.Number != p.lastNumber+1 {
 				return fmt.Errorf("%w: entry %x", checked.ErrSpoilt, k)
 			}
-			p.last = e.Number
+			p.lastNumber = e.Number
 			p.entries = append(p.entries, e)
 			if e.Refused == 0 && !e.Told && e.Effect.Type != owner.Safe {
-				p.gate.Ran(e.Effect.Job, e.Effect.Step)
+				p.checker.RestoreStep(e.Effect.Job, e.Effect.Step)
 			}
 			return nil
 		})
 	})
 }
 
-// Run carries effects out until Close.
+// Run executes queued effects until Close.
 func (p *Place) Run() {
-	defer close(p.ended)
-	for do := range p.inbox {
-		do()
+	defer close(p.stopped)
+	for task := range p.queue {
+		task()
 	}
 }
 
-// Close ends it, with all that waits done.
+// Close executes all queued effects, then stops.
 func (p *Place) Close() error {
-	close(p.inbox)
-	<-p.ended
+	close(p.queue)
+	<-p.stopped
 	if p.db == nil {
 		return nil
 	}
 	return p.db.Close()
 }
 
-// Do has an effect happen, or refuses it; done is called from the place's goroutine, or at once where there is no room. It must not
-// be called after Close.
-func (p *Place) Do(e Effect, done func(Effected)) {
+// Do executes or refuses an effect. done is called from the Place's goroutine, or immediately if the queue is
+// full. Do must not be called after Close.
+func (p *Place) Do(e Effect, done func(Result)) {
 	select {
-	case p.inbox <- func() { done(p.do(e)) }:
+	case p.queue <- func() { done(p.execute(e)) }:
 	default:
-		done(Effected{Job: e.Job, Token: e.Token, Step: e.Step, End: owner.NeverRan, Why: "too much waits there"})
+		done(Result{Job: e.Job, Token: e.Token, Step: e.Step, End: owner.NeverRan, Why: "too much waits there"})
 	}
 }
 
-// Raise has older tokens refused from now on.
+// Raise has tokens older than the given one refused from now on.
 func (p *Place) Raise(job string, token uint64) {
 	select {
-	case p.inbox <- func() {
-		if p.broken == nil && p.gate.Raise(job, token) {
+	case p.queue <- func() {
+		if p.failure == nil && p.checker.Raise(job, token) {
 			p.write(&Entry{Effect: Effect{Job: job, Token: token}, Told: true})
 		}
 	}:
-	default: // the next effect, or the next word of the log, raises it
+	default: // the next effect, or the next grant in the log, raises it
 	}
 }
 
-func (p *Place) do(e Effect) Effected {
-	r := Effected{Job: e.Job, Token: e.Token, Step: e.Step}
+func (p *Place) execute(e Effect) Result {
+	r := Result{Job: e.Job, Token: e.Token, Step: e.Step}
 	switch {
-	case p.broken != nil:
-		r.End, r.Why = owner.NeverRan, p.broken.Error()
+	case p.failure != nil:
+		r.End, r.Why = owner.NeverRan, p.failure.Error()
 		return r
 	case p.db == nil && e.Type != owner.Safe:
 		r.End, r.Why = owner.NeverRan, "this gateway has no disk, and keeps no record of what ran"
 		return r
 	}
-	_, again, err := p.gate.Pass(e.Job, e.Token, e.Step, e.Type)
+	_, again, err := p.checker.Check(e.Job, e.Token, e.Step, e.Type)
 	entry := &Entry{Effect: e, Again: again}
 	entry.Effect.Data = nil // the log has it
-	var late owner.Late
-	if errors.As(err, &late) {
-		entry.Refused = late.Newer
-		r.End, r.Newer, r.Why = owner.Refused, late.Newer, late.Error()
-		p.log.WithFields(logrus.Fields{"job": e.Job, "step": e.Step, "token": e.Token, "newer": late.Newer, "from": e.From}).
-			Warn("jobs: a late effect is refused")
+	var stale owner.StaleTokenError
+	if errors.As(err, &stale) {
+		entry.Refused = stale.Newer
+		r.End, r.Newer, r.Why = owner.Refused, stale.Newer, stale.Error()
+		p.log.WithFields(logrus.Fields{"job": e.Job, "step": e.Step, "token": e.Token, "newer": stale.Newer, "from": e.From}).
+			Warn("jobs: refused an effect with a stale token")
 	}
 	if err := p.write(entry); err != nil && r.End != owner.Refused {
 		r.End, r.Why = owner.Perhaps, err.Error()
@@ -239,22 +240,22 @@
 	return r
 }
 
-// write puts an entry and the tokens on the disk in one act: the effect is the entry.
+// write stores an entry and the tokens in one transaction; the entry is the effect.
 func (p *Place) write(e *Entry) error {
-	p.last++
-	e.Number = p.last
+	p.lastNumber++
+	e.Number = p.lastNumber
 	p.mu.Lock()
-	if p.entries = append(p.entries, *e); len(p.entries) > mostEntries {
-		p.entries = append([]Entry(nil), p.entries[len(p.entries)-mostEntries/2:]...)
+	if p.entries = append(p.entries, *e); len(p.entries) > maxEntries {
+		p.entries = append([]Entry(nil), p.entries[len(p.entries)-maxEntries/2:]...)
 	}
 	p.mu.Unlock()
 	if p.db == nil {
 		return nil
 	}
-	p.step("before")
+	p.writeHook("before")
 	failpoint.Here(failpoint.Checked)
 	err := p.db.Update(func(tx *bolt.Tx) error {
-		floor, tokens := p.gate.Kept()
+		floor, tokens := p.checker.Snapshot()
 		if err := checked.Put(tx.Bucket(metaBucket), floorKey, checked.Key(floor)); err != nil {
 			return err
 		}
@@ -275,31 +276,31 @@
 				return err
 			}
 		}
-		all := tx.Bucket(entriesBucket)
-		if err := checked.Put(all, checked.Key(e.Number), canon.Encode(e)); err != nil {
+		entries := tx.Bucket(entriesBucket)
+		if err := checked.Put(entries, checked.Key(e.Number), canon.Encode(e)); err != nil {
 			return err
 		}
-		if e.Number > mostEntries {
-			if err := all.Delete(checked.Key(e.Number - mostEntries)); err != nil {
+		if e.Number > maxEntries {
+			if err := entries.Delete(checked.Key(e.Number - maxEntries)); err != nil {
 				return err
 			}
 		}
-		p.step("written")
+		p.writeHook("written")
 		failpoint.Here(failpoint.Written)
 		return nil
 	})
 	if err != nil {
-		// What is on the disk can't be known any more, so nothing happens here until a new start has read it.
-		p.broken = fmt.Errorf("record of effects: %w", err)
-		p.log.WithError(p.broken).Error("jobs: no effect happens here any more until this gateway is started anew")
-		return p.broken
+		// The content of the disk is unknown from here on, so nothing happens here until a restart has read it again.
+		p.failure = fmt.Errorf("record of effects: %w", err)
+		p.log.WithError(p.failure).Error("jobs: writing the record of effects failed; no effects are executed here until this gateway restarts")
+		return p.failure
 	}
-	p.step("synced")
+	p.writeHook("synced")
 	failpoint.Here(failpoint.Synced)
 	return nil
 }
 
-// Entries are the last effects that happened or were refused here, in their order.
+// Entries returns the latest effects that happened or were refused here, in order.
 func (p *Place) Entries() []Entry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/owner/report.go
+++ b/internal/owner/report.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Report is a job for people and for scripts.
+// Report describes a job to operators and scripts.
 type Report struct {
 	Name        string   `json:"name"`
 	Kind        string   `json:"kind"`
@@ -26,27 +26,27 @@
 	History     []Change `json:"history"`
 }
 
-// Doubt is a step that may have run, with all that the log knows of it.
+// Doubt is a step that may have run, with everything the log knows about it.
 type Doubt struct {
 	Step  int    `json:"step"`
 	Token uint64 `json:"token"`           // under which it was sent
-	Owner string `json:"owner,omitempty"` // who sent it; empty: so long ago that it is forgotten
-	Place string `json:"place,omitempty"` // at which it would have happened; empty: at its owner
+	Owner string `json:"owner,omitempty"` // who sent it; empty: no longer in the history
+	Place string `json:"place,omitempty"` // executing gateway; empty: its owner
 }
 
-// Report tells of a job.
+// Report returns the report of a job.
 func (j *Job) Report() Report {
 	r := Report{Name: j.Name, Kind: j.Kind, Type: j.Type.String(), State: j.State.String(), Owner: j.Owner, Incarnation: j.Incarnation,
 		Token: j.Token, Steps: j.Steps, Done: j.Next + len(j.Done), Next: j.Next, Window: j.Window, Places: j.Places,
-		Meant: slices.Sorted(maps.Keys(j.Meant)), Grants: j.Grants, Since: j.Since, History: slices.Clone(j.History)}
-	for _, step := range slices.Sorted(maps.Keys(j.Doubt)) {
-		d := Doubt{Step: step, Token: j.Doubt[step], Place: j.Place(step)}
-		for _, h := range j.History {
-			if h.Token == d.Token && h.Owner != "" {
-				d.Owner = h.Owner
+		Meant: slices.Sorted(maps.Keys(j.Intended)), Grants: j.Grants, Since: j.Since, History: slices.Clone(j.History)}
+	for _, step := range slices.Sorted(maps.Keys(j.Uncertain)) {
+		doubt := Doubt{Step: step, Token: j.Uncertain[step], Place: j.Place(step)}
+		for _, change := range j.History {
+			if change.Token == doubt.Token && change.Owner != "" {
+				doubt.Owner = change.Owner
 			}
 		}
-		r.Doubt = append(r.Doubt, d)
+		r.Doubt = append(r.Doubt, doubt)
 	}
 	return r
 }
