--- a/internal/quorum/door.go
+++ b/internal/quorum/api.go
@@ -40,9 +40,9 @@
 // Store is what a gateway keeps on its disk. The zero value is an empty store.
 type Store struct {
 	Identity Identity
-	Starts   uint64          // how often it was opened to take part
-	Marks    map[uint64]Mark // what others were seen to hold, by identity
-	Founding *Founding       // nil: it belongs to no fleet yet
+	Starts   uint64                   // how often it was opened to take part
+	Marks    map[uint64]HighWaterMark // what others were seen to hold, by identity
+	Founding *Founding                // nil: it belongs to no fleet yet
 	Hard     *raftpb.HardState
 	Snapshot *raftpb.Snapshot
 	Entries  []*raftpb.Entry // after the snapshot, without a gap
@@ -57,13 +57,13 @@
 
 // Founding is how a fleet began: once, by the founder whose name comes first, when all founders said that they had nothing.
 type Founding struct {
-	Cluster uint64            `cbor:"1,keyasint"`
-	Voters  map[string]uint64 `cbor:"2,keyasint"`           // identities by name
-	Was     []uint64          `cbor:"3,keyasint,omitempty"` // the fleets that this one took the place of, by an operator's hand
+	Cluster      uint64            `cbor:"1,keyasint"`
+	Voters       map[string]uint64 `cbor:"2,keyasint"`           // identities by name
+	Predecessors []uint64          `cbor:"3,keyasint,omitempty"` // the fleets that this one took the place of, by an operator's hand
 }
 
 // Mark is the least that an identity must hold, as it has told: a store that holds less is an old copy.
-type Mark struct {
+type HighWaterMark struct {
 	Term    uint64 `cbor:"1,keyasint"` // of what it sent
 	LogTerm uint64 `cbor:"2,keyasint"` // of the last entry that it said to hold, and the place of that entry
 	Index   uint64 `cbor:"3,keyasint"`
@@ -130,8 +130,8 @@
 // Record is one write to the disk, whole or not at all.
 type Record struct {
 	Identity *Identity
-	Starts   uint64          // 0: as before
-	Marks    map[uint64]Mark // nil: as before
+	Starts   uint64                   // 0: as before
+	Marks    map[uint64]HighWaterMark // nil: as before
 	Founding *Founding
 	Hard     *raftpb.HardState
 	Snapshot *raftpb.Snapshot
@@ -160,21 +160,21 @@
 
 // Hearer is a Book that has to know of members as well. Word of one comes in its place in the log, as commands do; Standing Unknown
 // is a name that was forgotten.
-type Hearer interface {
+type MembershipObserver interface {
 	Member(index uint64, m Member)
 }
 
 // Standing is how a member stands, as the log says.
-type Standing int
+type MemberState int
 
 // The standings.
 const (
-	Unknown Standing = iota // never heard of
-	Joined                  // it is there
-	Left                    // it said goodbye
-	Silent                  // its lease ran out
+	Unknown MemberState = iota // never heard of
+	Joined                     // it is there
+	Left                       // it said goodbye
+	Silent                     // its lease ran out
 )
 
-func (s Standing) String() string {
+func (s MemberState) String() string {
 	return [...]string{"unknown", "joined", "left", "silent"}[s]
 }
--- a/internal/quorum/fuzz_test.go
+++ b/internal/quorum/fuzz_test.go
@@ -10,9 +10,9 @@
 // Whatever bytes come as a frame are refused or read as what they say; what is read harms neither a gateway that belongs to no
 // fleet nor one that follows.
 func FuzzFrame(f *testing.F) {
-	for _, x := range []Frame{{Kind: Hello, ID: 7, Nonce: 3, Echo: 1}, {Kind: Found, Founding: &Founding{Cluster: 5, Voters: map[string]uint64{"v0": 1}}},
-		{Kind: Renew, Nonce: 9, Renewals: []Renewal{{Incarnation: 1, Name: "f0"}}}, {Kind: Follow, Leader: "v0", Applied: 3, Entries: [][]byte{{1}}, Voters: []uint64{1}},
-		{Kind: Follow, Snapshot: []byte("no state"), Applied: 9}, {Kind: Ask, Commands: []Command{{Book: "members", Kind: joins}}}, {Kind: Yield}, {Kind: Removed, Voters: []uint64{4}}} {
+	for _, x := range []Frame{{Kind: Hello, ID: 7, Nonce: 3, EchoNonce: 1}, {Kind: KindFounding, Founding: &Founding{Cluster: 5, Voters: map[string]uint64{"v0": 1}}},
+		{Kind: KindRenew, Nonce: 9, Renewals: []Renewal{{Incarnation: 1, Name: "f0"}}}, {Kind: KindLog, Leader: "v0", Applied: 3, Entries: [][]byte{{1}}, Voters: []uint64{1}},
+		{Kind: KindLog, Snapshot: []byte("no state"), Applied: 9}, {Kind: KindPropose, Commands: []Command{{Book: "members", Kind: cmdJoin}}}, {Kind: KindYield}, {Kind: KindRemoved, Voters: []uint64{4}}} {
 		f.Add(x.Append(nil)[FrameHead:], uint32(0))
 	}
 	f.Add([]byte{0xa1, 0x01}, uint32(1))
@@ -44,9 +44,9 @@
 				t.Fatal(err)
 			}
 			n.Handle(1, Saved{})
-			n.host = "v0"
+			n.upstream = "v0"
 			for i := range 3 {
-				if x.Kind != Raft { // raft itself takes only what its own peers say
+				if x.Kind != KindRaft { // raft itself takes only what its own peers say
 					n.Handle(float64(2+i), Received{From: "v0", Frame: x})
 				}
 				n.Handle(float64(2+i), Saved{})
@@ -56,9 +56,9 @@
 }
 
 // A large frame goes out in pieces and comes back whole, with others in between; pieces that don't fit are refused.
-func TestPieces(t *testing.T) {
-	large := Frame{Kind: Follow, Applied: 9, Snapshot: make([]byte, 3*MostPiece+17)}
-	large.Snapshot[MostPiece] = 7
+func TestFragments(t *testing.T) {
+	large := Frame{Kind: KindLog, Applied: 9, Snapshot: make([]byte, 3*MaxFragmentSize+17)}
+	large.Snapshot[MaxFragmentSize] = 7
 	var j Joiner
 	var got Frame
 	pieces := large.Pieces()
@@ -72,7 +72,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if x, whole, err := j.Join(Frame{Kind: Yield, Nonce: 3}); err != nil || !whole || x.Nonce != 3 {
+		if x, whole, err := j.Join(Frame{Kind: KindYield, Nonce: 3}); err != nil || !whole || x.Nonce != 3 {
 			t.Fatalf("in between: %+v, %v", x, err)
 		}
 		x, whole, err := j.Join(f)
@@ -84,8 +84,8 @@
 	if string(got.Append(nil)) != string(large.Append(nil)) || len(pieces) < 4 {
 		t.Errorf("%d pieces make something else", len(pieces))
 	}
-	for _, f := range []Frame{{Kind: Piece}, {Kind: Piece, Applied: MostWhole + 1, Data: []byte{1}}, {Kind: Piece, Applied: 5, Data: make([]byte, 9)},
-		{Kind: Piece, Applied: MostPiece + 1, Data: make([]byte, MostPiece+1)}} {
+	for _, f := range []Frame{{Kind: KindFragment}, {Kind: KindFragment, Applied: MostWhole + 1, Data: []byte{1}}, {Kind: KindFragment, Applied: 5, Data: make([]byte, 9)},
+		{Kind: KindFragment, Applied: MaxFragmentSize + 1, Data: make([]byte, MaxFragmentSize+1)}} {
 		var j Joiner
 		if _, whole, err := j.Join(f); err == nil || whole {
 			t.Errorf("a piece of %d bytes of %d is taken", len(f.Data), f.Applied)
--- a/internal/quorum/linear_test.go
+++ b/internal/quorum/linearizability_test.go
@@ -49,9 +49,9 @@
 	return did{Value: c.Value}
 }
 
-func (c *cell) Apply(_ uint64, x Command) any {
+func (c *cell) Apply(_ uint64, member Command) any {
 	var d deed
-	if canon.Decode(x.Data, &d) != nil {
+	if canon.Decode(member.Data, &d) != nil {
 		return ErrUnknown
 	}
 	return c.do(d)
@@ -136,7 +136,7 @@
 				}
 			}
 			for i, name := range s.names {
-				if g := s.all[name]; g.up && !g.frozen && g.node.inc != 0 && s.chance.Next()%3 == 0 {
+				if g := s.all[name]; g.up && !g.frozen && g.node.incarnation != 0 && s.chance.Next()%3 == 0 {
 					d := deed{Kind: []string{"read", "write", "take", "give"}[s.chance.Next()%4], Who: name, Value: fmt.Sprint(n, name)}
 					s.made++
 					token := uint64(s.made)
--- a/internal/quorum/goeson_test.go
+++ b/internal/quorum/liveness_test.go
@@ -9,7 +9,7 @@
 // Four commands of a gateway are always under way, and the first four are lost, one after another, as while there is no leader. What
 // follows does not come out of turn for good, four in each Retry: seen on processes, where a job of 400 steps stood almost still after a
 // change of leader.
-func TestLostAsksSlowNothingForLong(t *testing.T) {
+func TestLostProposalsDoNotStallLaterOnes(t *testing.T) {
 	for _, name := range []string{"a voter", "a follower"} {
 		s := begun(t, 61, 3, 1)
 		s.delay = [2]float64{2, 2}
@@ -41,7 +41,7 @@
 
 // Clocks that run 1% fast and slow, and jump ahead by more than a lease, the leader's too: no two gateways hold different commands at one
 // place, nobody is lost by the 1%, and who was said to be silent for a jump is there again by itself.
-func TestClocksApart(t *testing.T) {
+func TestClockSkew(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newSim(t, 700+seed, 3, 2)
 		for i, name := range s.names {
@@ -91,12 +91,12 @@
 // A sync that took long once, as one amid which a machine stood still, bars nobody for good. All voters had one and nobody leads: their disks
 // are tried again, and one does. One of three had one, and lost its vote meanwhile: it finds out, and follows as somebody else. Seen on
 // processes: it stayed a voter of its own belief, with what it had asked for, until it was started anew.
-func TestSlowOnceIsTriedAgain(t *testing.T) {
+func TestSlowDiskIsRetried(t *testing.T) {
 	for _, all := range []bool{true, false} {
 		s := begun(t, 63, 3, 2)
 		for _, g := range s.all {
 			g.set.Replace = 2500
-			g.node.set.Replace = 2500
+			g.node.settings.Replace = 2500
 		}
 		lead := s.leaders()[0]
 		slow := slices.DeleteFunc([]string{"v0", "v1", "v2"}, func(x string) bool { return !all && x == lead })
@@ -117,7 +117,7 @@
 		}
 		s.play(12_000, nil)
 		for _, name := range slow {
-			if !s.all[name].node.slow {
+			if !s.all[name].node.diskSlow {
 				t.Fatalf("%s was not slow", name)
 			}
 			s.all[name].took = 1
@@ -125,7 +125,7 @@
 		s.heal()
 		if !s.play(20_000, func() bool {
 			for _, name := range slow {
-				if g := s.all[name].node; g.inc == 0 || !all && g.raft != nil && g.votes(g.id.ID) == votes {
+				if g := s.all[name].node; g.incarnation == 0 || !all && g.raft != nil && g.roleOf(g.id.ID) == roleVoter {
 					return false
 				}
 			}
--- a/internal/quorum/members.go
+++ b/internal/quorum/members.go
@@ -11,31 +11,31 @@
 
 // Member is one name of the fleet, as the log tells of it.
 type Member struct {
-	Name        string   `cbor:"1,keyasint"`
-	Zone        string   `cbor:"2,keyasint"`
-	Address     string   `cbor:"3,keyasint"`
-	Incarnation uint64   `cbor:"4,keyasint"` // of its newest process; each start is a new one, and they only rise
-	Nonce       uint64   `cbor:"5,keyasint"` // drawn by that process, so that a join that comes twice counts once
-	Identity    uint64   `cbor:"6,keyasint"` // of its store; 0: it has none, and can't vote
-	Standing    Standing `cbor:"7,keyasint"`
-	Since       uint64   `cbor:"8,keyasint"`  // the place in the log from which it stands so
-	Losses      uint64   `cbor:"9,keyasint"`  // how often its lease ran out, or it was replaced without a goodbye
-	Doubled     uint64   `cbor:"10,keyasint"` // the newest of its older processes that was heard of after it was replaced
-	Seq         uint64   `cbor:"11,keyasint"` // the last of its commands that counted
-	Works       bool     `cbor:"12,keyasint"` // it takes part in owned work
-	Starts      uint64   `cbor:"13,keyasint"` // of its store
+	Name        string      `cbor:"1,keyasint"`
+	Zone        string      `cbor:"2,keyasint"`
+	Address     string      `cbor:"3,keyasint"`
+	Incarnation uint64      `cbor:"4,keyasint"` // of its newest process; each start is a new one, and they only rise
+	Nonce       uint64      `cbor:"5,keyasint"` // drawn by that process, so that a join that comes twice counts once
+	Identity    uint64      `cbor:"6,keyasint"` // of its store; 0: it has none, and can't vote
+	Standing    MemberState `cbor:"7,keyasint"`
+	Since       uint64      `cbor:"8,keyasint"`  // the place in the log from which it stands so
+	Losses      uint64      `cbor:"9,keyasint"`  // how often its lease ran out, or it was replaced without a goodbye
+	Doubled     uint64      `cbor:"10,keyasint"` // the newest of its older processes that was heard of after it was replaced
+	Seq         uint64      `cbor:"11,keyasint"` // the last of its commands that counted
+	Works       bool        `cbor:"12,keyasint"` // it takes part in owned work
+	Starts      uint64      `cbor:"13,keyasint"` // of its store
 }
 
 // What the book of members hears.
 const (
 	membersBook = "members"
-	nothing     = "nothing" // takes a number in its sender's order
+	cmdNoop     = "nothing" // takes a number in its sender's order
 	// All but nothing hold a Member, of which they say no more than what is named here.
-	joins   = "join"    // name, zone, address, nonce, identity; incarnation: the one of that name that it knew of
-	leaves  = "leave"   // name, incarnation
-	silent  = "silent"  // the same, and since: how it stood when that was said
-	returns = "return"  // the same
-	doubled = "doubled" // name, and the incarnation of the older process that was heard of
+	cmdJoin    = "join"    // name, zone, address, nonce, identity; incarnation: the one of that name that it knew of
+	cmdLeave   = "leave"   // name, incarnation
+	cmdSilent  = "silent"  // the same, and since: how it stood when that was said
+	cmdReturn  = "return"  // the same
+	cmdDoubled = "doubled" // name, and the incarnation of the older process that was heard of
 )
 
 // Errors of commands that were agreed and change nothing. They are results, the same at every gateway.
@@ -50,20 +50,22 @@
 
 // Members is the state that this package itself keeps in the log.
 type Members struct {
-	Most  int                `cbor:"-"`
-	Last  uint64             `cbor:"1,keyasint"` // the last incarnation given out; it only rises
-	Names map[string]*Member `cbor:"2,keyasint"`
+	MaxNames        int                `cbor:"-"`
+	LastIncarnation uint64             `cbor:"1,keyasint"` // the last incarnation given out; it only rises
+	Names           map[string]*Member `cbor:"2,keyasint"`
 
-	forgot string // the name that the last join took the place of
+	evicted string // the name that the last join took the place of
 }
 
-func newMembers(most int) *Members { return &Members{Most: most, Names: map[string]*Member{}} }
+func newMembers(maxNames int) *Members {
+	return &Members{MaxNames: maxNames, Names: map[string]*Member{}}
+}
 
 // By finds the member whose newest process an incarnation is.
-func (m *Members) By(incarnation uint64) *Member {
-	for _, x := range m.Names {
-		if x.Incarnation == incarnation {
-			return x
+func (m *Members) ByIncarnation(incarnation uint64) *Member {
+	for _, member := range m.Names {
+		if member.Incarnation == incarnation {
+			return member
 		}
 	}
 	return nil
@@ -79,98 +81,98 @@
 }
 
 // counts tells whether a command of a member counts: those of a process that was replaced, or that come again, do not.
-func (m *Members) counts(c Command) error {
+func (m *Members) checkSequence(c Command) error {
 	if c.From == 0 {
 		return nil
 	}
-	x := m.By(c.From)
-	if x == nil {
+	member := m.ByIncarnation(c.From)
+	if member == nil {
 		return ErrReplaced
 	}
-	if c.Seq <= x.Seq {
+	if c.Seq <= member.Seq {
 		return ErrRepeated
-	} else if c.Seq != x.Seq+1 {
+	} else if c.Seq != member.Seq+1 {
 		return ErrEarly
 	}
-	x.Seq = c.Seq
+	member.Seq = c.Seq
 	return nil
 }
 
 // Apply takes a command of this book.
 func (m *Members) Apply(index uint64, c Command) any {
-	var said Member
-	if c.Kind == nothing || canon.Decode(c.Data, &said) != nil {
+	var reported Member
+	if c.Kind == cmdNoop || canon.Decode(c.Data, &reported) != nil {
 		return ErrUnknown
 	}
-	x := m.Names[said.Name]
+	member := m.Names[reported.Name]
 	switch {
-	case c.Kind == joins:
-		return m.join(index, said)
-	case x == nil:
+	case c.Kind == cmdJoin:
+		return m.join(index, reported)
+	case member == nil:
 		return ErrUnknown
-	case c.Kind == doubled:
-		if said.Incarnation >= x.Incarnation || said.Incarnation <= x.Doubled {
+	case c.Kind == cmdDoubled:
+		if reported.Incarnation >= member.Incarnation || reported.Incarnation <= member.Doubled {
 			return ErrRepeated
 		}
-		x.Doubled = said.Incarnation
-		return *x
-	case said.Incarnation != x.Incarnation:
+		member.Doubled = reported.Incarnation
+		return *member
+	case reported.Incarnation != member.Incarnation:
 		return ErrReplaced
-	case c.Kind != leaves && said.Since != x.Since:
+	case c.Kind != cmdLeave && reported.Since != member.Since:
 		return ErrRepeated // it stands otherwise since that was said: a word that comes late, or again, says nothing of now
 	}
-	to := map[string]Standing{leaves: Left, silent: Silent, returns: Joined}[c.Kind]
+	next := map[string]MemberState{cmdLeave: Left, cmdSilent: Silent, cmdReturn: Joined}[c.Kind]
 	// Who has said goodbye does not come back under the same incarnation, whatever is late on its way.
-	if to == Unknown || x.Standing == to || x.Standing == Left || c.Kind == silent && x.Standing != Joined {
+	if next == Unknown || member.Standing == next || member.Standing == Left || c.Kind == cmdSilent && member.Standing != Joined {
 		return ErrRepeated
 	}
-	if c.Kind == silent {
-		x.Losses++
+	if c.Kind == cmdSilent {
+		member.Losses++
 	}
-	x.Standing, x.Since = to, index
-	return *x
+	member.Standing, member.Since = next, index
+	return *member
 }
 
-func (m *Members) join(index uint64, j Member) any {
-	x := m.Names[j.Name]
-	if x == nil {
-		if !m.room() {
+func (m *Members) join(index uint64, joining Member) any {
+	member := m.Names[joining.Name]
+	if member == nil {
+		if !m.makeRoom() {
 			return ErrFull
 		}
-		x = &Member{Name: j.Name}
-		m.Names[j.Name] = x
-	} else if x.Nonce == j.Nonce {
-		return *x
-	} else if x.Identity == j.Identity && j.Identity != 0 && j.Starts <= x.Starts {
+		member = &Member{Name: joining.Name}
+		m.Names[joining.Name] = member
+	} else if member.Nonce == joining.Nonce {
+		return *member
+	} else if member.Identity == joining.Identity && joining.Identity != 0 && joining.Starts <= member.Starts {
 		return ErrOldStore // put back, or copied: two of it must not vote
-	} else if x.Incarnation != j.Incarnation {
+	} else if member.Incarnation != joining.Incarnation {
 		// It knew of an older one: a join that was late on its way would else replace the one that came after it.
 		return ErrReplaced
-	} else if x.Standing == Joined {
-		x.Losses++
+	} else if member.Standing == Joined {
+		member.Losses++
 	}
-	m.Last++
-	x.Zone, x.Address, x.Identity, x.Nonce, x.Works, x.Starts = j.Zone, j.Address, j.Identity, j.Nonce, j.Works, j.Starts
-	x.Incarnation, x.Standing, x.Since, x.Seq = m.Last, Joined, index, 0
-	return *x
+	m.LastIncarnation++
+	member.Zone, member.Address, member.Identity, member.Nonce, member.Works, member.Starts = joining.Zone, joining.Address, joining.Identity, joining.Nonce, joining.Works, joining.Starts
+	member.Incarnation, member.Standing, member.Since, member.Seq = m.LastIncarnation, Joined, index, 0
+	return *member
 }
 
 // room makes a place for a new name, at the cost of the one that has been gone for longest.
-func (m *Members) room() bool {
-	if len(m.Names) < m.Most {
+func (m *Members) makeRoom() bool {
+	if len(m.Names) < m.MaxNames {
 		return true
 	}
-	var old *Member
-	for _, x := range m.All() {
-		if x.Standing != Joined && (old == nil || x.Since < old.Since) {
-			old = x
+	var oldest *Member
+	for _, member := range m.All() {
+		if member.Standing != Joined && (oldest == nil || member.Since < oldest.Since) {
+			oldest = member
 		}
 	}
-	if old == nil {
+	if oldest == nil {
 		return false
 	}
-	delete(m.Names, old.Name)
-	m.forgot = old.Name
+	delete(m.Names, oldest.Name)
+	m.evicted = oldest.Name
 	return true
 }
 
@@ -179,13 +181,13 @@
 
 // Load takes the place of all that was there.
 func (m *Members) Load(b []byte) error {
-	n := newMembers(m.Most)
-	if err := canon.Decode(b, n); err != nil {
+	loaded := newMembers(m.MaxNames)
+	if err := canon.Decode(b, loaded); err != nil {
 		return err
 	}
-	if n.Names == nil || len(n.Names) > 1<<13 {
-		return fmt.Errorf("members: %w: %d of them", canon.ErrUnreadable, len(n.Names))
+	if loaded.Names == nil || len(loaded.Names) > 1<<13 {
+		return fmt.Errorf("members: %w: %d of them", canon.ErrUnreadable, len(loaded.Names))
 	}
-	*m = *n
+	*m = *loaded
 	return nil
 }
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -17,82 +17,82 @@
 
 // Node is one gateway's part in the agreement. It belongs to one goroutine.
 type Node struct {
-	set     Settings
-	now     float64
-	chance  chance.Chance
-	nonce   uint64 // of this process
-	id      Identity
-	founded *Founding
-	raft    *raft.RawNode // nil where this gateway only follows
-	log     *raft.MemoryStorage
-	conf    *raftpb.ConfState
-	members *Members
-	books   map[string]Book
-	applied uint64
-	inc     uint64 // this process's incarnation; 0: not agreed yet
-	seq     uint64
-	joining float64 // when its join goes out again
-	open    []*proposal
-	early   bool    // one of its commands came to its place before an earlier one
-	inTurn  float64 // when all that wait may go out again in their order for that
-	out     []Action
-	saving  func()  // what goes on once the disk has it; nil: nothing is on its way there
-	begun   float64 // when that was handed over
-	hangs   bool    // it was said that the disk does not answer
-	after   []func()
-	dead    bool // its disk failed: it votes no more
-	slow    bool // its disk was too slow: it does not lead
-	yielded bool // a newer process of this name is there
-	gone    bool // it has said goodbye
-	leader  string
-	beatAt  float64
-	led     bool    // it led when it last looked
-	voteAt  float64 // when it looks for another leader itself
-	heard   float64 // when it last heard of one
-	forgot  bool    // that it did not hear of one for long
-	renewAt float64
-	renewOn float64 // when it last did
-	host    string  // the voter that it follows
-	hosted  float64
-	hosts   int
-	fresh   map[string]hello   // founders that said they have nothing
-	renewed map[uint64]float64 // when each was last heard of; the leader's
-	gather  map[uint64]Renewal // on their way to the leader
-	council council            // changes of who votes; the leader's
-	said    map[said]float64   // the leader's own commands that are on their way
-	names   map[uint64]string  // who was heard of, by identity: a gateway that lags knows no more of a voter that is new
-	strange map[string]bool    // peers of which it was said that they belong to another fleet
-	retire  map[string]bool    // who is about to go for a while
-	starts  uint64             // of its store, this one counted
-	marks   map[uint64]Mark    // what others were seen to hold, by identity
-	proof   *proof             // it asks others about its store, and takes no part yet
-	sight   sight              // until when it knows all that was agreed
-	spent   string             // why its identity is of no use any more: it is given up as soon as the disk is free
+	settings         Settings
+	now              float64
+	rng              chance.Chance
+	nonce            uint64 // of this process
+	id               Identity
+	founding         *Founding
+	raft             *raft.RawNode // nil where this gateway only follows
+	storage          *raft.MemoryStorage
+	conf             *raftpb.ConfState
+	members          *Members
+	books            map[string]Book
+	applied          uint64
+	incarnation      uint64 // this process's incarnation; 0: not agreed yet
+	seq              uint64
+	joinAt           float64 // when its join goes out again
+	pending          []*proposal
+	outOfOrder       bool    // one of its commands came to its place before an earlier one
+	reorderAt        float64 // when all that wait may go out again in their order for that
+	actions          []Action
+	onSaved          func()  // what goes on once the disk has it; nil: nothing is on its way there
+	saveStarted      float64 // when that was handed over
+	diskHung         bool    // it was said that the disk does not answer
+	saveQueue        []func()
+	broken           bool // its disk failed: it votes no more
+	diskSlow         bool // its disk was too slow: it does not lead
+	yielded          bool // a newer process of this name is there
+	left             bool // it has said goodbye
+	leader           string
+	heartbeatAt      float64
+	wasLeader        bool    // it led when it last looked
+	electionAt       float64 // when it looks for another leader itself
+	leaderHeardAt    float64 // when it last heard of one
+	leaderForgotten  bool    // that it did not hear of one for long
+	renewAt          float64
+	renewedAt        float64 // when it last did
+	upstream         string  // the voter that it follows
+	upstreamHeardAt  float64
+	upstreamPicks    int
+	emptyFounders    map[string]founderHello    // founders that said they have nothing
+	lastRenewal      map[uint64]float64         // when each was last heard of; the leader's
+	pendingRenewals  map[uint64]Renewal         // on their way to the leader
+	voterChange      voterChange                // changes of who votes; the leader's
+	proposedByLeader map[leaderProposal]float64 // the leader's own commands that are on their way
+	peerNames        map[uint64]string          // who was heard of, by identity: a gateway that lags knows no more of a voter that is new
+	foreignPeers     map[string]bool            // peers of which it was said that they belong to another fleet
+	retiring         map[string]bool            // who is about to go for a while
+	starts           uint64                     // of its store, this one counted
+	highWaterMarks   map[uint64]HighWaterMark   // what others were seen to hold, by identity
+	storeCheck       *storeCheck                // it asks others about its store, and takes no part yet
+	readIndex        readIndexState             // until when it knows all that was agreed
+	revokedReason    string                     // why its identity is of no use any more: it is given up as soon as the disk is free
 }
 
 // said is a command that the leader gives of itself.
-type said struct {
+type leaderProposal struct {
 	incarnation uint64
 	kind        string
 }
 
-type hello struct {
-	id uint64
-	at float64
+type founderHello struct {
+	id      uint64
+	heardAt float64
 }
 
 type proposal struct {
-	token    uint64
-	c        Command
-	sent, by float64
+	token            uint64
+	command          Command
+	sentAt, deadline float64
 }
 
 // late is when it is given up; what was given up waits without an end.
-func (p *proposal) late() float64 {
+func (p *proposal) expiresAt() float64 {
 	if p.token == 0 {
 		return math.Inf(1)
 	}
-	return p.by
+	return p.deadline
 }
 
 // ErrGivenUp and the others are outcomes of what was not agreed.
@@ -104,266 +104,266 @@
 )
 
 // mostCommand bounds the bytes of one command, so that a frame holds it beside others.
-const mostCommand = 256 << 10
+const maxCommandSize = 256 << 10
 
 // giveUp is the ms after which a command that could not be agreed is told as such.
-const giveUp = 15_000.0
+const proposalTimeoutMS = 15_000.0
 
 // initial is the place in the log at which every fleet begins, the same at all founders.
-const initial = 1
+const initialIndex = 1
 
 // New makes a node of what its store holds. Nonce is drawn anew for each process.
-func New(set Settings, store Store, books map[string]Book, nonce uint64, now float64) (*Node, error) {
-	n := &Node{set: set, now: now, chance: chance.Chance((set.Seed^nonce)>>1 | 1), nonce: nonce, id: store.Identity, founded: store.Founding,
-		members: newMembers(set.Members), books: books, fresh: map[string]hello{}, renewed: map[uint64]float64{},
-		gather: map[uint64]Renewal{}, said: map[said]float64{}, names: map[uint64]string{}, strange: map[string]bool{}, renewAt: now, joining: now,
-		starts: store.Starts + 1, marks: map[uint64]Mark{}, retire: map[string]bool{}}
-	maps.Copy(n.marks, store.Marks)
-	n.chance.Next()
+func New(settings Settings, store Store, books map[string]Book, nonce uint64, now float64) (*Node, error) {
+	n := &Node{settings: settings, now: now, rng: chance.Chance((settings.Seed^nonce)>>1 | 1), nonce: nonce, id: store.Identity, founding: store.Founding,
+		members: newMembers(settings.Members), books: books, emptyFounders: map[string]founderHello{}, lastRenewal: map[uint64]float64{},
+		pendingRenewals: map[uint64]Renewal{}, proposedByLeader: map[leaderProposal]float64{}, peerNames: map[uint64]string{}, foreignPeers: map[string]bool{}, renewAt: now, joinAt: now,
+		starts: store.Starts + 1, highWaterMarks: map[uint64]HighWaterMark{}, retiring: map[string]bool{}}
+	maps.Copy(n.highWaterMarks, store.Marks)
+	n.rng.Next()
 	if n.id.ID == 0 {
-		n.id = Identity{ID: n.draw(), Name: set.Name}
+		n.id = Identity{ID: n.randomID(), Name: settings.Name}
 		n.save(Record{Identity: &n.id, Starts: n.starts}, nil)
-	} else if n.id.Name != set.Name {
+	} else if n.id.Name != settings.Name {
 		return nil, fmt.Errorf("the store is that of %q", n.id.Name)
 	} else {
 		n.save(Record{Starts: n.starts}, nil) // before anything goes out: of two copies of one store the log takes one
 	}
 	if store.Snapshot != nil || store.Hard != nil {
-		if err := n.begin(store); err != nil {
+		if err := n.startRaft(store); err != nil {
 			return nil, err
 		}
-		n.prove()
+		n.startStoreCheck()
 	}
 	return n, nil
 }
 
 // draw makes a number for what must not be taken for anything else.
-func (n *Node) draw() uint64 { return uint64(n.chance.Next())<<31 | uint64(n.chance.Next())>>1 | 1 }
+func (n *Node) randomID() uint64 { return uint64(n.rng.Next())<<31 | uint64(n.rng.Next())>>1 | 1 }
 
 // begin starts raft from what the store holds.
-func (n *Node) begin(store Store) error {
-	n.log = raft.NewMemoryStorage()
+func (n *Node) startRaft(store Store) error {
+	n.storage = raft.NewMemoryStorage()
 	if s := store.Snapshot; s != nil && s.GetMetadata().GetIndex() > 0 {
-		if err := n.log.ApplySnapshot(s); err != nil {
+		if err := n.storage.ApplySnapshot(s); err != nil {
 			return fmt.Errorf("store: snapshot: %w", err)
 		}
-		if err := n.restore(s.GetData(), s.GetMetadata().GetIndex()); err != nil {
+		if err := n.restoreState(s.GetData(), s.GetMetadata().GetIndex()); err != nil {
 			return fmt.Errorf("store: snapshot: %w", err)
 		}
 		n.conf = s.GetMetadata().GetConfState()
 	}
 	if store.Hard != nil {
-		n.log.SetHardState(store.Hard)
+		n.storage.SetHardState(store.Hard)
 	}
-	if err := n.log.Append(store.Entries); err != nil {
+	if err := n.storage.Append(store.Entries); err != nil {
 		return fmt.Errorf("store: entries: %w", err)
 	}
-	r, err := raft.NewRawNode(&raft.Config{ID: n.id.ID, ElectionTick: max(5, int(n.set.Election/n.set.Beat)), HeartbeatTick: 1,
-		Storage: n.log, Applied: n.applied, MaxSizePerMsg: 256 << 10, MaxCommittedSizePerReady: 1 << 20,
+	r, err := raft.NewRawNode(&raft.Config{ID: n.id.ID, ElectionTick: max(5, int(n.settings.Election/n.settings.Beat)), HeartbeatTick: 1,
+		Storage: n.storage, Applied: n.applied, MaxSizePerMsg: 256 << 10, MaxCommittedSizePerReady: 1 << 20,
 		MaxUncommittedEntriesSize: 4 << 20, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true,
-		DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: quiet{}})
+		DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: discardLogger{}})
 	if err != nil {
 		return fmt.Errorf("raft: %w", err)
 	}
 	n.raft = r
-	n.postpone()
+	n.resetElectionTimer()
 	return nil
 }
 
-func (n *Node) restore(data []byte, index uint64) error {
-	var s saved
-	if err := canon.Decode(data, &s); err != nil {
+func (n *Node) restoreState(data []byte, index uint64) error {
+	var state replicatedState
+	if err := canon.Decode(data, &state); err != nil {
 		return err
 	}
-	if err := n.members.Load(s.Members); err != nil {
+	if err := n.members.Load(state.Members); err != nil {
 		return err
 	}
-	for name, b := range n.books {
-		text, ok := s.Books[name]
-		if err := b.Load(text); err != nil {
+	for name, book := range n.books {
+		saved, found := state.Books[name]
+		if err := book.Load(saved); err != nil {
 			return fmt.Errorf("book %s: %w", name, err)
 		}
-		if h, hears := b.(Hearer); hears && !ok { // the book is newer than that state
+		if observer, ok := book.(MembershipObserver); ok && !found { // the book is newer than that state
 			for _, m := range n.members.All() {
-				h.Member(index, *m)
+				observer.Member(index, *m)
 			}
 		}
 	}
 	n.applied = index
-	n.do(Restored{Index: index})
-	if m := n.members.Names[n.set.Name]; m != nil {
-		n.own(*m)
+	n.emit(Restored{Index: index})
+	if m := n.members.Names[n.settings.Name]; m != nil {
+		n.ownMemberChanged(*m)
 	}
 	return nil
 }
 
 // saved is all state that commands have brought about.
-type saved struct {
+type replicatedState struct {
 	Members []byte            `cbor:"1,keyasint"`
 	Books   map[string][]byte `cbor:"2,keyasint"`
 }
 
-func (n *Node) state() []byte {
-	s := saved{Members: n.members.Save(), Books: map[string][]byte{}}
-	for name, b := range n.books {
-		s.Books[name] = b.Save()
+func (n *Node) encodeState() []byte {
+	state := replicatedState{Members: n.members.Save(), Books: map[string][]byte{}}
+	for name, book := range n.books {
+		state.Books[name] = book.Save()
 	}
-	return canon.Encode(s)
+	return canon.Encode(state)
 }
 
 // Handle takes one event; nil only lets time pass.
 func (n *Node) Handle(now float64, e any) []Action {
 	n.now = max(n.now, now)
-	if r, ok := e.(Received); (n.proof != nil || n.spent != "") && ok && r.Frame.Kind != Prove && r.Frame.Kind != Proof && r.Frame.Kind != Found {
+	if r, ok := e.(Received); (n.storeCheck != nil || n.revokedReason != "") && ok && r.Frame.Kind != KindStoreQuery && r.Frame.Kind != KindStoreReply && r.Frame.Kind != KindFounding {
 		e = nil // it takes no part yet
 	}
 	switch e := e.(type) {
 	case Received:
-		n.received(e.From, e.Frame)
+		n.handleFrame(e.From, e.Frame)
 	case Lost:
-		if id := n.voter(e.To); n.raft != nil && id != 0 {
+		if id := n.voterID(e.To); n.raft != nil && id != 0 {
 			n.raft.ReportUnreachable(id)
 			n.raft.ReportSnapshot(id, raft.SnapshotFailure)
 		}
-		if e.To == n.host {
-			n.host = ""
+		if e.To == n.upstream {
+			n.upstream = ""
 		}
 	case Saved:
-		n.saved(e.Took)
+		n.handleSaved(e.Took)
 	case Broken:
-		n.dead, n.saving, n.raft, n.after = true, nil, nil, nil
-		n.say("this gateway's store can't be written: it votes no more until it is started anew", "error", e.Err)
+		n.broken, n.onSaved, n.raft, n.saveQueue = true, nil, nil, nil
+		n.logInfo("this gateway's store can't be written: it votes no more until it is started anew", "error", e.Err)
 	case Propose:
 		n.propose(e)
 	case Leave:
 		n.leave()
 	}
-	if n.spent != "" && n.saving == nil {
-		n.anew(n.conf, nil)
+	if n.revokedReason != "" && n.onSaved == nil {
+		n.resetIdentity(n.conf, nil)
 	}
-	if n.proof != nil && n.spent == "" {
-		n.proving()
+	if n.storeCheck != nil && n.revokedReason == "" {
+		n.runStoreCheck()
 	}
-	if n.proof == nil && n.spent == "" {
-		n.ring()
-		n.settle()
+	if n.storeCheck == nil && n.revokedReason == "" {
+		n.runTimers()
+		n.processReady()
 	}
-	n.catchUp()
-	out := n.out
-	n.out = nil
-	return out
+	n.advanceFreshness()
+	actions := n.actions
+	n.actions = nil
+	return actions
 }
 
 // Next is when something is due next.
 func (n *Node) Next() float64 {
-	if n.spent != "" {
+	if n.revokedReason != "" {
 		return math.Inf(1) // the disk wakes it
 	}
-	if n.proof != nil {
-		return max(n.now, min(n.proof.again, n.proof.until))
+	if n.storeCheck != nil {
+		return max(n.now, min(n.storeCheck.nextQuery, n.storeCheck.deadline))
 	}
-	due := min(n.renewDue(), n.joining)
-	if n.raft != nil && n.saving == nil {
-		if n.leads() {
-			due = min(due, n.beatAt)
-		} else if due = min(due, n.voteAt); !n.forgot {
-			due = min(due, n.heard+n.set.Election)
+	due := min(n.nextRenewal(), n.joinAt)
+	if n.raft != nil && n.onSaved == nil {
+		if n.isLeader() {
+			due = min(due, n.heartbeatAt)
+		} else if due = min(due, n.electionAt); !n.leaderForgotten {
+			due = min(due, n.leaderHeardAt+n.settings.Election)
 		}
 	}
-	if n.saving != nil && !n.hangs {
-		due = min(due, n.begun+n.set.SlowDisk)
+	if n.onSaved != nil && !n.diskHung {
+		due = min(due, n.saveStarted+n.settings.SlowDisk)
 	}
-	if n.raft != nil && n.saving != nil && n.leads() {
-		due = min(due, n.beatAt)
+	if n.raft != nil && n.onSaved != nil && n.isLeader() {
+		due = min(due, n.heartbeatAt)
 	}
-	for _, p := range n.open {
-		if n.inc != 0 && (n.saving == nil || !n.leads()) {
-			due = min(due, p.sent+n.set.Retry)
+	for _, p := range n.pending {
+		if n.incarnation != 0 && (n.onSaved == nil || !n.isLeader()) {
+			due = min(due, p.sentAt+n.settings.Retry)
 		}
-		due = min(due, p.late())
+		due = min(due, p.expiresAt())
 	}
-	if at, is := n.sightDue(); is {
+	if at, ok := n.readIndexDue(); ok {
 		due = min(due, at)
 	}
-	if n.early && n.inc != 0 && (n.saving == nil || !n.leads()) {
-		due = min(due, n.inTurn)
+	if n.outOfOrder && n.incarnation != 0 && (n.onSaved == nil || !n.isLeader()) {
+		due = min(due, n.reorderAt)
 	}
 	return max(due, n.now)
 }
 
-func (n *Node) do(a Action) { n.out = append(n.out, a) }
-func (n *Node) say(text string, fields ...any) {
+func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
+func (n *Node) logInfo(message string, fields ...any) {
 	f := map[string]any{}
 	for i := 0; i+1 < len(fields); i += 2 {
 		f[fields[i].(string)] = fields[i+1]
 	}
-	n.do(Say{Text: text, Fields: f})
+	n.emit(Say{Text: message, Fields: f})
 }
 
 func (n *Node) send(to string, f Frame) {
-	if to == "" || to == n.set.Name {
+	if to == "" || to == n.settings.Name {
 		return
 	}
-	f.ID, f.Follows = n.id.ID, n.raft == nil
-	if n.founded != nil {
-		f.Cluster = n.founded.Cluster
+	f.ID, f.FromFollower = n.id.ID, n.raft == nil
+	if n.founding != nil {
+		f.Cluster = n.founding.Cluster
 	}
-	n.do(Send{To: to, Frame: f})
+	n.emit(Send{To: to, Frame: f})
 }
 
 // save hands something to the disk; then goes on once it is there.
-func (n *Node) save(r Record, then func()) {
-	if then == nil {
-		then = func() {}
+func (n *Node) save(record Record, onSaved func()) {
+	if onSaved == nil {
+		onSaved = func() {}
 	}
-	if n.saving != nil {
-		n.after = append(n.after, func() { n.save(r, then) })
+	if n.onSaved != nil {
+		n.saveQueue = append(n.saveQueue, func() { n.save(record, onSaved) })
 		return
 	}
-	n.saving, n.begun, n.hangs = then, n.now, false
-	n.do(Save{Record: r})
+	n.onSaved, n.saveStarted, n.diskHung = onSaved, n.now, false
+	n.emit(Save{Record: record})
 }
 
-func (n *Node) saved(took float64) {
-	if n.saving == nil {
+func (n *Node) handleSaved(tookMS float64) {
+	if n.onSaved == nil {
 		return
 	}
-	if slow := took > n.set.SlowDisk; slow != n.slow {
-		n.slow = slow
+	if slow := tookMS > n.settings.SlowDisk; slow != n.diskSlow {
+		n.diskSlow = slow
 		if slow {
-			n.say("this gateway's disk is too slow to lead", "took_ms", math.Round(took), "most_ms", n.set.SlowDisk)
+			n.logInfo("this gateway's disk is too slow to lead", "took_ms", math.Round(tookMS), "most_ms", n.settings.SlowDisk)
 		}
 	}
-	then := n.saving
-	n.saving = nil
-	then()
-	for n.saving == nil && len(n.after) > 0 {
-		next := n.after[0]
-		n.after = n.after[1:]
+	onSaved := n.onSaved
+	n.onSaved = nil
+	onSaved()
+	for n.onSaved == nil && len(n.saveQueue) > 0 {
+		next := n.saveQueue[0]
+		n.saveQueue = n.saveQueue[1:]
 		next()
 	}
 }
 
 // renewDue is when this gateway renews its lease. One that follows sees what it asked for agreed only when it asks how the log goes
 // on: while it waits for something it does so at every beat.
-func (n *Node) renewDue() float64 {
-	if n.raft == nil && n.founded != nil && len(n.open) > 0 {
-		return min(n.renewAt, n.renewOn+n.set.Beat)
+func (n *Node) nextRenewal() float64 {
+	if n.raft == nil && n.founding != nil && len(n.pending) > 0 {
+		return min(n.renewAt, n.renewedAt+n.settings.Beat)
 	}
 	return n.renewAt
 }
 
 // handOver gives the lead to the voter that has most of the log.
-func (n *Node) handOver() {
-	if !n.leads() {
+func (n *Node) transferLeadership() {
+	if !n.isLeader() {
 		return
 	}
 	best, match := uint64(0), uint64(0)
-	all := n.raft.Status().Progress
-	for _, id := range slices.Sorted(maps.Keys(all)) {
-		p := all[id]
-		if id != n.id.ID && !p.IsLearner && p.RecentActive && p.Match > match {
-			best, match = id, p.Match
+	progress := n.raft.Status().Progress
+	for _, id := range slices.Sorted(maps.Keys(progress)) {
+		peerProgress := progress[id]
+		if id != n.id.ID && !peerProgress.IsLearner && peerProgress.RecentActive && peerProgress.Match > match {
+			best, match = id, peerProgress.Match
 		}
 	}
 	if best != 0 {
@@ -372,24 +372,24 @@
 }
 
 // Leads tells whether this gateway leads, as far as it knows.
-func (n *Node) Leads() bool { return n.leads() }
+func (n *Node) Leads() bool { return n.isLeader() }
 
 // Incarnation is that of this process; 0 before the log has given it one, and once it asks for nothing more.
 func (n *Node) Incarnation() uint64 {
-	if n.yielded || n.gone {
+	if n.yielded || n.left {
 		return 0
 	}
-	return n.inc
+	return n.incarnation
 }
 
-func (n *Node) leads() bool {
+func (n *Node) isLeader() bool {
 	return n.raft != nil && n.raft.BasicStatus().RaftState == raft.StateLeader
 }
 
 // voter is the identity of a name that votes; 0: it does not.
-func (n *Node) voter(name string) uint64 {
+func (n *Node) voterID(name string) uint64 {
 	for _, id := range n.conf.GetVoters() {
-		if n.name(id) == name {
+		if n.nameOf(id) == name {
 			return id
 		}
 	}
@@ -397,155 +397,155 @@
 }
 
 // name is whose an identity is, as far as anybody has said; empty: unknown.
-func (n *Node) name(id uint64) string {
-	if m := n.of(id); m != nil {
+func (n *Node) nameOf(id uint64) string {
+	if m := n.memberByIdentity(id); m != nil {
 		return m.Name
 	}
-	if n.founded != nil {
-		for name, x := range n.founded.Voters {
-			if x == id {
+	if n.founding != nil {
+		for name, voter := range n.founding.Voters {
+			if voter == id {
 				return name
 			}
 		}
 	}
-	return n.names[id]
+	return n.peerNames[id]
 }
 
 // postpone puts off the look for another leader, as one was heard of.
-func (n *Node) postpone() {
-	n.heard, n.forgot = n.now, false
-	n.voteAt = n.now + n.set.Election*(1.1+n.chance.Below())
+func (n *Node) resetElectionTimer() {
+	n.leaderHeardAt, n.leaderForgotten = n.now, false
+	n.electionAt = n.now + n.settings.Election*(1.1+n.rng.Below())
 }
 
-func (n *Node) ring() {
-	if n.saving != nil && !n.hangs && n.now >= n.begun+n.set.SlowDisk {
-		n.hangs = true
-		n.say("this gateway's disk does not answer", "for_ms", math.Round(n.now-n.begun))
+func (n *Node) runTimers() {
+	if n.onSaved != nil && !n.diskHung && n.now >= n.saveStarted+n.settings.SlowDisk {
+		n.diskHung = true
+		n.logInfo("this gateway's disk does not answer", "for_ms", math.Round(n.now-n.saveStarted))
 	}
-	if n.raft != nil && (n.saving == nil || n.leads()) {
-		if led := n.leads(); led && !n.led {
+	if n.raft != nil && (n.onSaved == nil || n.isLeader()) {
+		if leads := n.isLeader(); leads && !n.wasLeader {
 			// Its beats begin now: those that it owed as a leader of long ago would have it find no majority at once.
-			n.beatAt, n.led = n.now, true
+			n.heartbeatAt, n.wasLeader = n.now, true
 		} else {
-			n.led = led
+			n.wasLeader = leads
 		}
-		if n.leads() {
+		if n.isLeader() {
 			// It goes on while the disk is at work, so that one that hangs costs the lead. A process that was frozen owes no more than what lets it find out that it leads no more.
-			for n.now >= n.beatAt && n.leads() {
-				if n.beatAt += n.set.Beat; n.beatAt < n.now-2*n.set.Election {
-					n.beatAt = n.now
+			for n.now >= n.heartbeatAt && n.isLeader() {
+				if n.heartbeatAt += n.settings.Beat; n.heartbeatAt < n.now-2*n.settings.Election {
+					n.heartbeatAt = n.now
 				}
 				n.raft.Tick()
-				if n.slow && n.raft.BasicStatus().LeadTransferee == 0 {
-					n.handOver() // again, as nobody may have answered lately
+				if n.diskSlow && n.raft.BasicStatus().LeadTransferee == 0 {
+					n.transferLeadership() // again, as nobody may have answered lately
 				}
 			}
-			if n.leads() {
-				n.postpone()
+			if n.isLeader() {
+				n.resetElectionTimer()
 			}
 		} else {
-			if n.now >= n.heard+n.set.Election && !n.forgot {
+			if n.now >= n.leaderHeardAt+n.settings.Election && !n.leaderForgotten {
 				// Only now does it let others look for a leader: before, it held to the one that it had heard of.
-				n.forgot = true
+				n.leaderForgotten = true
 				n.raft.ForgetLeader()
 			}
-			if n.now >= n.voteAt {
-				n.voteAt = n.now + n.set.Election*(0.5+n.chance.Below())
-				if n.votes(n.id.ID) != votes {
+			if n.now >= n.electionAt {
+				n.electionAt = n.now + n.settings.Election*(0.5+n.rng.Below())
+				if n.roleOf(n.id.ID) != roleVoter {
 					// It was being brought up, or had its vote taken, and hears of nobody: it asks whether it still belongs.
-					n.pickHost()
-					n.send(n.host, Frame{Kind: Removed})
-				} else if !n.slow {
+					n.pickUpstream()
+					n.send(n.upstream, Frame{Kind: KindRemoved})
+				} else if !n.diskSlow {
 					n.raft.Campaign()
 				} else {
 					// Its last sync was slow, long ago maybe, or it was frozen amid it. It tries its disk again, else of slow ones alone nobody
 					// would ever stand; and it asks whether it still belongs, as it would find out by standing.
 					n.save(Record{Starts: n.starts}, nil)
-					n.pickHost()
-					n.send(n.host, Frame{Kind: Removed})
+					n.pickUpstream()
+					n.send(n.upstream, Frame{Kind: KindRemoved})
 				}
 			}
 		}
 	}
-	if n.now >= n.renewDue() {
-		n.renewAt, n.renewOn = n.now+n.set.Lease/6, n.now
+	if n.now >= n.nextRenewal() {
+		n.renewAt, n.renewedAt = n.now+n.settings.Lease/6, n.now
 		n.renew()
 	}
-	if n.now >= n.joining {
-		n.joining = n.now + n.set.Retry
-		n.join()
+	if n.now >= n.joinAt {
+		n.joinAt = n.now + n.settings.Retry
+		n.proposeJoin()
 	}
-	n.retry()
-	n.lookOut()
+	n.sendPending()
+	n.pollReadIndex()
 }
 
 // settle carries what raft has to say to the disk, then to the others and into the books, until nothing is left.
-func (n *Node) settle() {
-	for n.raft != nil && n.saving == nil && n.raft.HasReady() {
-		r := n.raft.Ready()
-		if r.SoftState != nil {
-			n.leaderIs(r.SoftState.Lead)
+func (n *Node) processReady() {
+	for n.raft != nil && n.onSaved == nil && n.raft.HasReady() {
+		ready := n.raft.Ready()
+		if ready.SoftState != nil {
+			n.setLeader(ready.SoftState.Lead)
 		}
-		rec := Record{Hard: r.HardState, Entries: r.Entries}
-		if len(rec.Entries) > 0 {
-			rec.Marks = maps.Clone(n.marks) // along with what is synced anyway
+		record := Record{Hard: ready.HardState, Entries: ready.Entries}
+		if len(record.Entries) > 0 {
+			record.Marks = maps.Clone(n.highWaterMarks) // along with what is synced anyway
 		}
-		if r.Snapshot != nil && r.Snapshot.GetMetadata().GetIndex() > 0 {
-			rec.Snapshot = r.Snapshot
+		if ready.Snapshot != nil && ready.Snapshot.GetMetadata().GetIndex() > 0 {
+			record.Snapshot = ready.Snapshot
 		}
-		done := func() { n.ready(r, rec) }
-		if rec.Hard == nil && len(rec.Entries) == 0 && rec.Snapshot == nil {
+		done := func() { n.finishReady(ready, record) }
+		if record.Hard == nil && len(record.Entries) == 0 && record.Snapshot == nil {
 			done()
 			continue
 		}
-		n.save(rec, done)
+		n.save(record, done)
 	}
 }
 
-func (n *Node) ready(r raft.Ready, rec Record) {
+func (n *Node) finishReady(ready raft.Ready, record Record) {
 	if n.raft == nil {
 		return
 	}
-	if rec.Snapshot != nil {
-		if err := n.log.ApplySnapshot(rec.Snapshot); err == nil {
-			if err := n.restore(rec.Snapshot.GetData(), rec.Snapshot.GetMetadata().GetIndex()); err != nil {
-				n.dead, n.raft = true, nil
-				n.say("a snapshot can't be read: this gateway votes no more until it is started anew", "error", err)
+	if record.Snapshot != nil {
+		if err := n.storage.ApplySnapshot(record.Snapshot); err == nil {
+			if err := n.restoreState(record.Snapshot.GetData(), record.Snapshot.GetMetadata().GetIndex()); err != nil {
+				n.broken, n.raft = true, nil
+				n.logInfo("a snapshot can't be read: this gateway votes no more until it is started anew", "error", err)
 				return
 			}
-			n.conf = rec.Snapshot.GetMetadata().GetConfState()
+			n.conf = record.Snapshot.GetMetadata().GetConfState()
 		}
 	}
-	if rec.Hard != nil {
-		n.log.SetHardState(rec.Hard)
+	if record.Hard != nil {
+		n.storage.SetHardState(record.Hard)
 	}
-	if err := n.log.Append(rec.Entries); err != nil {
-		n.dead, n.raft = true, nil
-		n.say("entries don't fit the log: this gateway votes no more until it is started anew", "error", err)
+	if err := n.storage.Append(record.Entries); err != nil {
+		n.broken, n.raft = true, nil
+		n.logInfo("entries don't fit the log: this gateway votes no more until it is started anew", "error", err)
 		return
 	}
-	for _, m := range r.Messages {
+	for _, m := range ready.Messages {
 		b, err := proto.Marshal(m)
 		if err != nil {
 			continue
 		}
-		n.send(n.name(m.GetTo()), Frame{Kind: Raft, Data: b})
+		n.send(n.nameOf(m.GetTo()), Frame{Kind: KindRaft, Data: b})
 		if m.GetType() == raftpb.MessageType_MsgSnap {
 			n.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 		}
 	}
-	for _, e := range r.CommittedEntries {
-		n.commit(e)
+	for _, e := range ready.CommittedEntries {
+		n.applyEntry(e)
 	}
-	for _, s := range r.ReadStates {
-		n.confirmed(s.RequestCtx, s.Index)
+	for _, readState := range ready.ReadStates {
+		n.readIndexConfirmed(readState.RequestCtx, readState.Index)
 	}
-	n.raft.Advance(r)
+	n.raft.Advance(ready)
 	n.compact()
 }
 
 // commit takes one entry that is agreed.
-func (n *Node) commit(e *raftpb.Entry) {
+func (n *Node) applyEntry(e *raftpb.Entry) {
 	switch e.GetType() {
 	case raftpb.EntryType_EntryConfChangeV2:
 		var c raftpb.ConfChangeV2
@@ -553,7 +553,7 @@
 			n.conf = n.raft.ApplyConfChange(&c)
 		}
 		n.applied = e.GetIndex()
-		n.welcome()
+		n.snapshotForLearner()
 	case raftpb.EntryType_EntryConfChange:
 		var c raftpb.ConfChange
 		if proto.Unmarshal(e.Data, &c) == nil {
@@ -561,12 +561,12 @@
 		}
 		n.applied = e.GetIndex()
 	default:
-		n.apply(e.GetIndex(), e.Data)
+		n.applyCommand(e.GetIndex(), e.Data)
 	}
 }
 
 // apply takes one command in its place. What every gateway does here must be a function of the log alone.
-func (n *Node) apply(index uint64, data []byte) {
+func (n *Node) applyCommand(index uint64, data []byte) {
 	if index <= n.applied {
 		return
 	}
@@ -579,26 +579,26 @@
 		return
 	}
 	var result any
-	if err := n.members.counts(c); err != nil {
+	if err := n.members.checkSequence(c); err != nil {
 		result = err
 	} else if c.Book == membersBook {
 		result = n.members.Apply(index, c)
-		n.told(c, result)
+		n.memberChanged(c, result)
 		if result == ErrOldStore {
-			n.oldStore(c)
+			n.storeRejected(c)
 		}
 	} else if b := n.books[c.Book]; b != nil {
 		result = b.Apply(index, c)
 	} else {
 		result = ErrUnknown
 	}
-	n.early = n.early || result == ErrEarly && c.From == n.inc
-	n.do(Agreed{Index: index, Command: c, Result: result})
-	for i, p := range n.open {
-		if c.From == n.inc && c.Seq == p.c.Seq && c.From != 0 && result != ErrEarly {
-			n.open = slices.Delete(n.open, i, i+1)
+	n.outOfOrder = n.outOfOrder || result == ErrEarly && c.From == n.incarnation
+	n.emit(Agreed{Index: index, Command: c, Result: result})
+	for i, p := range n.pending {
+		if c.From == n.incarnation && c.Seq == p.command.Seq && c.From != 0 && result != ErrEarly {
+			n.pending = slices.Delete(n.pending, i, i+1)
 			if err, _ := result.(error); p.token != 0 {
-				n.do(Outcome{Token: p.token, Index: index, Result: result, Err: err})
+				n.emit(Outcome{Token: p.token, Index: index, Result: result, Err: err})
 			}
 			break
 		}
@@ -606,87 +606,87 @@
 }
 
 // told is what a member's change means here.
-func (n *Node) told(c Command, result any) {
+func (n *Node) memberChanged(c Command, result any) {
 	m, ok := result.(Member)
 	if !ok {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(n.books)) {
-		if h, hears := n.books[name].(Hearer); hears {
-			if n.members.forgot != "" {
-				h.Member(n.applied, Member{Name: n.members.forgot})
+		if observer, ok := n.books[name].(MembershipObserver); ok {
+			if n.members.evicted != "" {
+				observer.Member(n.applied, Member{Name: n.members.evicted})
 			}
-			h.Member(n.applied, m)
+			observer.Member(n.applied, m)
 		}
 	}
-	n.members.forgot = ""
-	n.say("member", "name", m.Name, "incarnation", m.Incarnation, "is", m.Standing.String(), "index", m.Since)
-	n.renewed[m.Incarnation] = n.now
-	if c.Kind == doubled {
-		n.say("a name is doubled: the older process is told to yield", "name", m.Name, "older", m.Doubled, "newer", m.Incarnation)
+	n.members.evicted = ""
+	n.logInfo("member", "name", m.Name, "incarnation", m.Incarnation, "is", m.Standing.String(), "index", m.Since)
+	n.lastRenewal[m.Incarnation] = n.now
+	if c.Kind == cmdDoubled {
+		n.logInfo("a name is doubled: the older process is told to yield", "name", m.Name, "older", m.Doubled, "newer", m.Incarnation)
 	}
-	if m.Name == n.set.Name {
-		n.own(m)
+	if m.Name == n.settings.Name {
+		n.ownMemberChanged(m)
 	}
 }
 
 // own is what the log says of this gateway's own name.
-func (n *Node) own(m Member) {
-	if m.Nonce == n.nonce && n.inc == 0 {
-		n.inc = m.Incarnation
-		for _, p := range n.open { // what was asked before this process had a name for itself
+func (n *Node) ownMemberChanged(m Member) {
+	if m.Nonce == n.nonce && n.incarnation == 0 {
+		n.incarnation = m.Incarnation
+		for _, pending := range n.pending { // what was asked before this process had a name for itself
 			n.seq++
-			p.c.From, p.c.Seq, p.sent = n.inc, n.seq, math.Inf(-1)
+			pending.command.From, pending.command.Seq, pending.sentAt = n.incarnation, n.seq, math.Inf(-1)
 		}
-	} else if m.Incarnation > n.inc && n.inc != 0 {
-		n.yield()
+	} else if m.Incarnation > n.incarnation && n.incarnation != 0 {
+		n.yieldToNewer()
 	}
 }
 
-func (n *Node) yield() {
+func (n *Node) yieldToNewer() {
 	if n.yielded {
 		return
 	}
 	n.yielded = true
-	n.say("a newer process of this name is there: this one asks for nothing more", "name", n.set.Name)
-	for _, p := range n.open {
-		if p.token != 0 {
-			n.do(Outcome{Token: p.token, Err: ErrYielded})
+	n.logInfo("a newer process of this name is there: this one asks for nothing more", "name", n.settings.Name)
+	for _, pending := range n.pending {
+		if pending.token != 0 {
+			n.emit(Outcome{Token: pending.token, Err: ErrYielded})
 		}
 	}
-	n.open = nil
+	n.pending = nil
 }
 
 // compact lets go of entries that nobody needs, once enough have come together.
 func (n *Node) compact() {
-	first, err := n.log.FirstIndex()
-	if n.set.Keep <= 0 || err != nil || n.applied < first+uint64(2*n.set.Keep) || n.conf == nil {
+	first, err := n.storage.FirstIndex()
+	if n.settings.Keep <= 0 || err != nil || n.applied < first+uint64(2*n.settings.Keep) || n.conf == nil {
 		return
 	}
-	to := n.applied - uint64(n.set.Keep)
-	s, err := n.log.CreateSnapshot(n.applied, n.conf, n.state())
-	if err != nil || n.log.Compact(to) != nil {
+	compactIndex := n.applied - uint64(n.settings.Keep)
+	snapshot, err := n.storage.CreateSnapshot(n.applied, n.conf, n.encodeState())
+	if err != nil || n.storage.Compact(compactIndex) != nil {
 		return
 	}
-	n.save(Record{Snapshot: s, Compact: to}, nil)
+	n.save(Record{Snapshot: snapshot, Compact: compactIndex}, nil)
 }
 
-func (n *Node) leaderIs(id uint64) {
-	name := n.name(id)
+func (n *Node) setLeader(id uint64) {
+	name := n.nameOf(id)
 	if id == n.id.ID && id != 0 {
-		name = n.set.Name
+		name = n.settings.Name
 		if n.leader != name {
 			// Nobody is lost for a change of leader: all have a whole lease from now on.
-			n.renewed, n.said = map[uint64]float64{}, map[said]float64{}
+			n.lastRenewal, n.proposedByLeader = map[uint64]float64{}, map[leaderProposal]float64{}
 			for _, m := range n.members.Names {
-				n.renewed[m.Incarnation] = n.now
+				n.lastRenewal[m.Incarnation] = n.now
 			}
-			n.council = council{began: n.now}
-			n.sight.asks, n.sight.under = nil, nil // what another was asked comes again
+			n.voterChange = voterChange{leaderSince: n.now}
+			n.readIndex.waiting, n.readIndex.inFlight = nil, nil // what another was asked comes again
 		}
 	}
 	if name != n.leader {
 		n.leader = name
-		n.say("leader", "name", name, "term", n.raft.BasicStatus().GetTerm())
+		n.logInfo("leader", "name", name, "term", n.raft.BasicStatus().GetTerm())
 	}
 }
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -25,7 +25,7 @@
 
 // A fleet founds, elects, gives each an incarnation, and agrees on lines from everybody in one order, each once, over a network
 // that loses and doubles.
-func TestAgrees(t *testing.T) {
+func TestReplicatesInOrder(t *testing.T) {
 	for seed := range uint64(5) {
 		s := begun(t, seed, 3, 3)
 		s.loss, s.twice = 0.1, 0.1
@@ -61,7 +61,7 @@
 }
 
 // standing is how a name stands at every gateway that is up; they must agree.
-func (s *sim) standing(name string) Standing {
+func (s *sim) standing(name string) MemberState {
 	s.t.Helper()
 	at, found := Unknown, ""
 	for _, x := range s.names {
@@ -81,7 +81,7 @@
 
 // A member is joined, silent once its lease ran out, returned under the same incarnation, left when it says so, and a new
 // incarnation when it starts anew; all gateways say the same at the same place of the log.
-func TestMembersComeAndGo(t *testing.T) {
+func TestMemberStates(t *testing.T) {
 	s := begun(t, 7, 3, 3)
 	s.play(10_000, nil)
 	for _, name := range s.names {
@@ -89,15 +89,15 @@
 			t.Errorf("%s is %v", name, s.standing(name))
 		}
 	}
-	first := s.all["f1"].node.inc
+	first := s.all["f1"].node.incarnation
 	s.freeze("f1")
 	if !s.play(6_000, func() bool { return s.all["v0"].node.members.Names["f1"].Standing == Silent }) {
 		t.Error("frozen, f1 is not said to be silent")
 	}
 	s.wake("f1")
 	s.play(3_000, nil)
-	if s.standing("f1") != Joined || s.all["f1"].node.inc != first || s.all["v0"].node.members.Names["f1"].Losses != 1 {
-		t.Errorf("awake, f1 is %v, incarnation %d then %d", s.standing("f1"), first, s.all["f1"].node.inc)
+	if s.standing("f1") != Joined || s.all["f1"].node.incarnation != first || s.all["v0"].node.members.Names["f1"].Losses != 1 {
+		t.Errorf("awake, f1 is %v, incarnation %d then %d", s.standing("f1"), first, s.all["f1"].node.incarnation)
 	}
 	s.all["f1"].handle(Leave{})
 	s.play(1_000, nil)
@@ -108,21 +108,21 @@
 	s.play(5_000, nil)
 	s.start("f1")
 	s.play(3_000, nil)
-	if s.standing("f1") != Joined || s.all["f1"].node.inc <= first {
-		t.Errorf("started anew, f1 is %v, incarnation %d after %d", s.standing("f1"), s.all["f1"].node.inc, first)
+	if s.standing("f1") != Joined || s.all["f1"].node.incarnation <= first {
+		t.Errorf("started anew, f1 is %v, incarnation %d after %d", s.standing("f1"), s.all["f1"].node.incarnation, first)
 	}
 	s.same()
 }
 
 // A change of leader says nobody to be silent, however often it comes.
-func TestChangeOfLeaderLengthensLeases(t *testing.T) {
+func TestLeaderChangeRenewsLeases(t *testing.T) {
 	s := begun(t, 8, 5, 4)
 	for range 6 {
 		lead := s.leaders()
 		if len(lead) != 1 {
 			t.Fatalf("leaders: %v", lead)
 		}
-		s.all[lead[0]].node.handOver()
+		s.all[lead[0]].node.transferLeadership()
 		s.all[lead[0]].handle(nil)
 		s.play(2_500, nil)
 	}
@@ -135,22 +135,22 @@
 
 // Two processes under one name: the older is told to yield, asks for nothing more, and what it still had on its way does not
 // count; the log says that the name was doubled.
-func TestDoubled(t *testing.T) {
+func TestDuplicateName(t *testing.T) {
 	s := begun(t, 9, 3, 2)
 	old := s.all["f0"]
 	old.node.propose(Propose{Token: 900, Command: Command{Book: "ledger", Data: []byte("late")}})
-	late := old.node.open[0].c // on its way, as it were
-	old.node.open = nil
+	late := old.node.pending[0].command // on its way, as it were
+	old.node.pending = nil
 	// Its successor starts under the same name beside it.
 	twin := &gate{s: s, set: old.set, took: 1, fast: 1, outcome: map[uint64]Outcome{}}
 	s.all["f0"] = twin
 	s.start("f0")
-	if !s.play(5_000, func() bool { return twin.node.inc > old.node.inc }) {
+	if !s.play(5_000, func() bool { return twin.node.incarnation > old.node.incarnation }) {
 		t.Fatal("the newer has no incarnation")
 	}
-	s.all["v0"].node.ask([]Command{late})
-	s.all["v1"].node.ask([]Command{late})
-	s.all["v2"].node.ask([]Command{late})
+	s.all["v0"].node.forward([]Command{late})
+	s.all["v1"].node.forward([]Command{late})
+	s.all["v2"].node.forward([]Command{late})
 	s.play(500, nil)
 	if slices.Contains(s.lines(), "late") {
 		t.Error("a command of a replaced process counted")
@@ -158,14 +158,14 @@
 	// What the older still says reaches a voter, whichever it is, which tells it; and the leader, which says so in the log.
 	for _, name := range []string{"v0", "v1", "v2"} {
 		host := s.all[name]
-		host.handle(Received{From: "f0", Frame: Frame{Kind: Renew, Cluster: host.node.founded.Cluster, ID: old.node.id.ID, Nonce: old.node.nonce,
-			Follows: true, Renewals: []Renewal{{Incarnation: old.node.inc, Name: "f0"}}}})
+		host.handle(Received{From: "f0", Frame: Frame{Kind: KindRenew, Cluster: host.node.founding.Cluster, ID: old.node.id.ID, Nonce: old.node.nonce,
+			FromFollower: true, Renewals: []Renewal{{Incarnation: old.node.incarnation, Name: "f0"}}}})
 	}
 	// The yield went to the name, and so to the newer one, which it does not concern; the older reads it on its own connection.
-	old.handle(Received{From: "v0", Frame: Frame{Kind: Yield, Nonce: old.node.nonce}})
+	old.handle(Received{From: "v0", Frame: Frame{Kind: KindYield, Nonce: old.node.nonce}})
 	s.play(3000, nil)
 	for _, m := range s.all["v1"].node.members.All() {
-		if want := map[string]uint64{"f0": old.node.inc}[m.Name]; m.Doubled != want {
+		if want := map[string]uint64{"f0": old.node.incarnation}[m.Name]; m.Doubled != want {
 			t.Errorf("%s is doubled by %d, want %d", m.Name, m.Doubled, want)
 		}
 	}
@@ -195,7 +195,7 @@
 	s.start("v1")
 	s.play(5_000, nil)
 	g := s.all["v1"]
-	if g.disk.identity.ID == was.ID || g.node.raft != nil || g.node.inc == 0 || !slices.Equal(g.book.Lines, []string{"one"}) {
+	if g.disk.identity.ID == was.ID || g.node.raft != nil || g.node.incarnation == 0 || !slices.Equal(g.book.Lines, []string{"one"}) {
 		t.Errorf("identity %v after %v, votes %t, lines %v", g.disk.identity, was, g.node.raft != nil, g.book.Lines)
 	}
 	s.kill("v2")
@@ -213,20 +213,20 @@
 }
 
 // All founders but one have lost their stores, or all but one are away: nobody founds a second fleet.
-func TestFoundsOnce(t *testing.T) {
+func TestFleetIsFoundedOnce(t *testing.T) {
 	s := begun(t, 11, 3, 0)
-	fleet := s.all["v2"].node.founded.Cluster
+	fleet := s.all["v2"].node.founding.Cluster
 	s.kill("v0", "v1", "v2")
 	s.all["v0"].disk, s.all["v1"].disk = disk{}, disk{}
 	s.start("v0", "v1")
 	s.play(20_000, nil)
-	if s.all["v0"].node.founded != nil || s.all["v1"].node.founded != nil {
+	if s.all["v0"].node.founding != nil || s.all["v1"].node.founding != nil {
 		t.Error("two of three with empty stores founded a fleet")
 	}
 	s.start("v2")
 	s.play(5_000, nil)
 	for _, name := range s.names {
-		if f := s.all[name].node.founded; f == nil || f.Cluster != fleet {
+		if f := s.all[name].node.founding; f == nil || f.Cluster != fleet {
 			t.Errorf("%s belongs to %v", name, f)
 		}
 	}
@@ -236,7 +236,7 @@
 }
 
 // A disk that fails ends a gateway's vote and nothing else; one that is slow hands over the lead.
-func TestDisks(t *testing.T) {
+func TestFailedAndSlowDisks(t *testing.T) {
 	s := begun(t, 12, 3, 1)
 	lead := s.leaders()[0]
 	s.all[lead].took = 700 // too slow by the setting, and not so slow that the others would miss it
@@ -249,7 +249,7 @@
 	s.all[next].fails = true
 	s.propose(next, "full")
 	s.play(15_000, nil)
-	if l := s.leaders(); len(l) != 1 || l[0] == next || !s.all[next].node.dead || s.all[next].node.Report(s.now).Role != "broken" {
+	if l := s.leaders(); len(l) != 1 || l[0] == next || !s.all[next].node.broken || s.all[next].node.Report(s.now).Role != "broken" {
 		t.Errorf("leaders %v after the disk of %s failed", l, next)
 	}
 	s.same()
@@ -297,9 +297,9 @@
 				}
 			}
 			for _, name := range s.names {
-				if g := s.all[name]; g.up && !g.frozen && g.node.inc != 0 {
+				if g := s.all[name]; g.up && !g.frozen && g.node.incarnation != 0 {
 					n++
-					s.propose(name, fmt.Sprintf("%s-%d-%05d", name, g.node.inc, n))
+					s.propose(name, fmt.Sprintf("%s-%d-%05d", name, g.node.incarnation, n))
 				}
 			}
 			s.play(100+1500*s.chance.Below(), nil)
@@ -329,27 +329,27 @@
 }
 
 // Word from before this process began founds nothing: who said it may have a fleet by now.
-func TestOldWordFoundsNothing(t *testing.T) {
+func TestStaleHelloDoesNotFoundFleet(t *testing.T) {
 	s := newSim(t, 13, 3, 0)
 	s.start("v0")
 	s.play(50, nil) // its identity is on its disk
 	for _, name := range []string{"v1", "v2"} {
-		s.all["v0"].handle(Received{From: name, Frame: Frame{Kind: Hello, ID: 77, Nonce: 5, Echo: s.all["v0"].node.nonce + 2}})
+		s.all["v0"].handle(Received{From: name, Frame: Frame{Kind: Hello, ID: 77, Nonce: 5, EchoNonce: s.all["v0"].node.nonce + 2}})
 	}
-	if f := s.all["v0"].node.founded; f != nil {
+	if f := s.all["v0"].node.founding; f != nil {
 		t.Errorf("founded %v", f)
 	}
 }
 
 // Who has said goodbye stays gone under that incarnation, whatever is late on its way; a name that starts anew is there again.
-func TestGoodbyeHolds(t *testing.T) {
+func TestLeftMemberStaysLeft(t *testing.T) {
 	m := newMembers(2)
 	join := func(index uint64, name string, nonce uint64) any {
-		return m.Apply(index, Command{Kind: joins, Data: canon.Encode(Member{Name: name, Nonce: nonce})})
+		return m.Apply(index, Command{Kind: cmdJoin, Data: canon.Encode(Member{Name: name, Nonce: nonce})})
 	}
 	join(1, "a", 1)
-	m.Apply(2, Command{Kind: leaves, Data: canon.Encode(Member{Name: "a", Incarnation: 1})})
-	for i, kind := range []string{returns, silent, leaves} {
+	m.Apply(2, Command{Kind: cmdLeave, Data: canon.Encode(Member{Name: "a", Incarnation: 1})})
+	for i, kind := range []string{cmdReturn, cmdSilent, cmdLeave} {
 		if r := m.Apply(uint64(3+i), Command{Kind: kind, Data: canon.Encode(Member{Name: "a", Incarnation: 1, Since: 2})}); r != ErrRepeated || m.Names["a"].Standing != Left {
 			t.Errorf("%s after the goodbye: %v, %v", kind, r, m.Names["a"].Standing)
 		}
@@ -367,7 +367,7 @@
 }
 
 // The same events bring the same actions: a day with losses and a change of leader plays alike to the last line.
-func TestPlaysAlike(t *testing.T) {
+func TestSimulationIsDeterministic(t *testing.T) {
 	day := func() string {
 		s := begun(t, 21, 5, 3)
 		s.loss, s.twice = 0.1, 0.1
@@ -393,7 +393,7 @@
 
 // Idle, the agreement costs each gateway a few frames a second and the log does not grow, at 3, 30 and 300 gateways; the leader
 // hears its voters alone.
-func TestIdle(t *testing.T) {
+func TestIdleTraffic(t *testing.T) {
 	for _, c := range []struct{ voters, followers int }{{3, 0}, {5, 25}, {7, 293}} {
 		s := begun(t, 31, c.voters, c.followers)
 		s.play(5000, nil)
@@ -419,7 +419,7 @@
 
 // One that was away for longer than the log reaches back is brought up by the state itself, in one piece, and by entries in
 // bounded ones where the log still has them; the others' commands go on meanwhile.
-func TestLagging(t *testing.T) {
+func TestLaggingGatewayCatchesUp(t *testing.T) {
 	s := begun(t, 32, 3, 2)
 	s.kill("f0", "v2")
 	s.freeze("f1")
@@ -431,7 +431,7 @@
 	if len(s.all["v0"].book.Lines) != 300 {
 		t.Fatalf("%d lines agreed while three are away", len(s.all["v0"].book.Lines))
 	}
-	if first, _ := s.all["v0"].node.log.FirstIndex(); first < 100 {
+	if first, _ := s.all["v0"].node.storage.FirstIndex(); first < 100 {
 		t.Errorf("the log still begins at %d", first)
 	}
 	s.start("f0", "v2")
@@ -448,7 +448,7 @@
 }
 
 // One gateway may agree with itself, and others follow it.
-func TestAlone(t *testing.T) {
+func TestSingleVoter(t *testing.T) {
 	s := begun(t, 33, 1, 2)
 	token := s.propose("f0", "one")
 	s.play(2000, nil)
@@ -480,7 +480,7 @@
 		s.kill(lost)
 		voting := func(name string) bool {
 			g := s.all[name]
-			return g.up && g.node.raft != nil && g.node.votes(g.node.id.ID) == votes
+			return g.up && g.node.raft != nil && g.node.roleOf(g.node.id.ID) == roleVoter
 		}
 		count := func() (n int) {
 			for _, name := range s.names {
@@ -546,7 +546,7 @@
 		t.Errorf("after a restart of all: %v", c)
 	}
 	for _, name := range s.names[:5] {
-		if s.all[name].node.votes(s.all[name].node.id.ID) != votes {
+		if s.all[name].node.roleOf(s.all[name].node.id.ID) != roleVoter {
 			t.Errorf("%s votes no more", name)
 		}
 	}
@@ -554,26 +554,26 @@
 
 // What was said of a member holds as long as it stands as it did then: a second copy of a word that it is silent, late, does not
 // count after its return; a join that was late on its way does not replace the process that came after it.
-func TestLateWords(t *testing.T) {
+func TestDelayedMemberCommands(t *testing.T) {
 	m := newMembers(4)
 	apply := func(index uint64, kind string, x Member) any {
 		return m.Apply(index, Command{Kind: kind, Data: canon.Encode(x)})
 	}
-	apply(1, joins, Member{Name: "a", Nonce: 1})
+	apply(1, cmdJoin, Member{Name: "a", Nonce: 1})
 	lost := Member{Name: "a", Incarnation: 1, Since: 1}
-	apply(2, silent, lost)
-	apply(3, returns, Member{Name: "a", Incarnation: 1, Since: 2})
-	if r := apply(4, silent, lost); r != ErrRepeated || m.Names["a"].Standing != Joined || m.Names["a"].Losses != 1 {
+	apply(2, cmdSilent, lost)
+	apply(3, cmdReturn, Member{Name: "a", Incarnation: 1, Since: 2})
+	if r := apply(4, cmdSilent, lost); r != ErrRepeated || m.Names["a"].Standing != Joined || m.Names["a"].Losses != 1 {
 		t.Errorf("said twice: %v, %+v", r, m.Names["a"])
 	}
-	apply(5, joins, Member{Name: "a", Nonce: 2, Incarnation: 1})
-	if r := apply(6, joins, Member{Name: "a", Nonce: 3, Incarnation: 1}); r != ErrReplaced || m.Names["a"].Nonce != 2 {
+	apply(5, cmdJoin, Member{Name: "a", Nonce: 2, Incarnation: 1})
+	if r := apply(6, cmdJoin, Member{Name: "a", Nonce: 3, Incarnation: 1}); r != ErrReplaced || m.Names["a"].Nonce != 2 {
 		t.Errorf("a late join: %v, %+v", r, m.Names["a"])
 	}
-	if r := apply(7, leaves, Member{Name: "a", Incarnation: 1}); r != ErrReplaced || m.Names["a"].Standing != Joined {
+	if r := apply(7, cmdLeave, Member{Name: "a", Incarnation: 1}); r != ErrReplaced || m.Names["a"].Standing != Joined {
 		t.Errorf("a late goodbye: %v, %+v", r, m.Names["a"])
 	}
-	if r, ok := apply(8, joins, Member{Name: "a", Nonce: 3, Incarnation: 2}).(Member); !ok || r.Incarnation != 3 {
+	if r, ok := apply(8, cmdJoin, Member{Name: "a", Nonce: 3, Incarnation: 2}).(Member); !ok || r.Incarnation != 3 {
 		t.Errorf("a join that knows of the last: %v", r)
 	}
 }
@@ -584,15 +584,15 @@
 	lead := s.leaders()[0]
 	g := s.all[map[bool]string{true: "v1", false: "v0"}[lead == "v0"]]
 	s.kill(lead)
-	s.play(1500, func() bool { return g.node.forgot })
+	s.play(1500, func() bool { return g.node.leaderForgotten })
 	kind, from, to, term, index := raftpb.MessageType_MsgPreVote, uint64(999), g.node.id.ID, uint64(1000), uint64(1000)
 	b, err := proto.Marshal(&raftpb.Message{Type: &kind, From: &from, To: &to, Term: &term, LogTerm: &term, Index: &index})
 	if err != nil {
 		t.Fatal(err)
 	}
 	answered := false
-	for _, a := range g.node.Handle(s.now, Received{From: "new", Frame: Frame{Kind: Raft, Cluster: g.node.founded.Cluster, ID: from, Data: b}}) {
-		if a, ok := a.(Send); ok && a.To == "new" && a.Frame.Kind == Raft {
+	for _, a := range g.node.Handle(s.now, Received{From: "new", Frame: Frame{Kind: KindRaft, Cluster: g.node.founding.Cluster, ID: from, Data: b}}) {
+		if a, ok := a.(Send); ok && a.To == "new" && a.Frame.Kind == KindRaft {
 			var m raftpb.Message
 			answered = proto.Unmarshal(a.Frame.Data, &m) == nil && m.GetType() == raftpb.MessageType_MsgPreVoteResp && !m.GetReject()
 		}
@@ -611,8 +611,8 @@
 	if !s.play(15_000, func() bool { l := s.leaders(); return len(l) == 1 && l[0] != lead }) {
 		t.Errorf("leaders %v while a disk hangs", s.leaders())
 	}
-	if g := s.all[lead]; !g.node.hangs || g.node.Report(s.now).Majority && g.node.leads() {
-		t.Errorf("hangs %t, %+v", g.node.hangs, g.node.Report(s.now))
+	if g := s.all[lead]; !g.node.diskHung || g.node.Report(s.now).Majority && g.node.isLeader() {
+		t.Errorf("hangs %t, %+v", g.node.diskHung, g.node.Report(s.now))
 	}
 	if token := s.propose(s.leaders()[0], "goes on"); !s.play(5000, func() bool { return s.all[s.leaders()[0]].outcome[token].Index > 0 }) {
 		t.Error("nothing is agreed beside a disk that hangs")
@@ -621,7 +621,7 @@
 }
 
 // One that broke follows on, and so hears what becomes of its vote; what is too large for a frame is refused by name.
-func TestBrokenFollows(t *testing.T) {
+func TestBrokenGatewayFollows(t *testing.T) {
 	s := begun(t, 36, 3, 0)
 	g := s.all["v1"]
 	g.handle(Broken{Err: errors.New("read-only")})
@@ -629,14 +629,14 @@
 	if !s.play(10_000, func() bool { return slices.Contains(g.book.Lines, "after") }) {
 		t.Errorf("broken, it has %v", g.book.Lines)
 	}
-	if g.handle(Propose{Token: 7000, Command: Command{Book: "ledger", Data: make([]byte, mostCommand+1)}}); g.outcome[7000].Err != ErrLarge {
+	if g.handle(Propose{Token: 7000, Command: Command{Book: "ledger", Data: make([]byte, maxCommandSize+1)}}); g.outcome[7000].Err != ErrLarge {
 		t.Errorf("too large: %v", g.outcome[7000])
 	}
 }
 
 // Whoever is elected leads on. The first election of a fleet is the last, too: an elected one that found no majority at once, by
 // beats that it owed from before, would cost another.
-func TestElectedLeadsOn(t *testing.T) {
+func TestElectedLeaderStaysLeader(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newSim(t, 400+seed, 5, 0)
 		s.start(s.names...)
@@ -660,15 +660,15 @@
 
 // One whose vote was given to another while it was away gives up what it had waiting: it may have been agreed, and would count once
 // more under another incarnation.
-func TestRemovedDropsWhatWaits(t *testing.T) {
+func TestRemovedVoterDropsPending(t *testing.T) {
 	s := begun(t, 37, 3, 0)
 	g := s.all["v1"]
 	s.part([]string{"v1"}, []string{"v0", "v2"})
 	token := s.propose("v1", "waits")
-	g.handle(Received{From: "v0", Frame: Frame{Kind: Removed, Cluster: g.node.founded.Cluster, Voters: []uint64{1, 2}, Applied: 1000}})
+	g.handle(Received{From: "v0", Frame: Frame{Kind: KindRemoved, Cluster: g.node.founding.Cluster, Voters: []uint64{1, 2}, Applied: 1000}})
 	s.play(50, nil)
-	if o := g.outcome[token]; o.Err != ErrGivenUp || len(g.node.open) != 0 || g.node.raft != nil || g.disk.hard != nil || g.disk.identity != g.node.id {
-		t.Errorf("outcome %v, %d wait, votes %t, identity %v on the disk, %v", o, len(g.node.open), g.node.raft != nil, g.disk.identity, g.node.id)
+	if o := g.outcome[token]; o.Err != ErrGivenUp || len(g.node.pending) != 0 || g.node.raft != nil || g.disk.hard != nil || g.disk.identity != g.node.id {
+		t.Errorf("outcome %v, %d wait, votes %t, identity %v on the disk, %v", o, len(g.node.pending), g.node.raft != nil, g.disk.identity, g.node.id)
 	}
 }
 
--- a/internal/quorum/sight_test.go
+++ b/internal/quorum/readindex_test.go
@@ -8,7 +8,7 @@
 
 // Whatever is cut, delayed, frozen, killed and elected: who says that it knows all that was agreed before a time does, a leader that was
 // replaced and does not know it included; and once faults stop all know it again, within two questions.
-func TestSight(t *testing.T) {
+func TestFreshness(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSim(t, 900+seed, 3, 2)
 		for _, g := range s.all {
@@ -78,7 +78,7 @@
 				}
 			}
 			for _, x := range s.names {
-				if g := s.all[x]; g.up && !g.frozen && g.node.inc != 0 {
+				if g := s.all[x]; g.up && !g.frozen && g.node.incarnation != 0 {
 					s.propose(x, fmt.Sprintf("%s-%04d", x, n))
 				}
 			}
--- a/internal/quorum/report.go
+++ b/internal/quorum/report.go
@@ -40,52 +40,52 @@
 
 // Report tells how things stand.
 func (n *Node) Report(now float64) Report {
-	r := Report{Name: n.set.Name, Identity: n.id.ID, Incarnation: n.inc, Leader: n.leader, Applied: n.applied, Open: len(n.open), Role: "follower"}
-	if n.founded != nil {
-		r.Cluster = n.founded.Cluster
+	report := Report{Name: n.settings.Name, Identity: n.id.ID, Incarnation: n.incarnation, Leader: n.leader, Applied: n.applied, Open: len(n.pending), Role: "follower"}
+	if n.founding != nil {
+		report.Cluster = n.founding.Cluster
 	}
 	switch {
 	case n.yielded:
-		r.Role = "yielded"
-	case n.dead:
-		r.Role = "broken"
-	case n.founded == nil:
-		r.Role = "none"
-	case n.leads():
-		r.Role = "leader"
+		report.Role = "yielded"
+	case n.broken:
+		report.Role = "broken"
+	case n.founding == nil:
+		report.Role = "none"
+	case n.isLeader():
+		report.Role = "leader"
 	case n.raft != nil && n.raft.BasicStatus().RaftState != raft.StateFollower:
-		r.Role = "candidate"
+		report.Role = "candidate"
 	case n.raft != nil:
-		r.Role = "voter"
+		report.Role = "voter"
 	}
 	if n.raft != nil {
-		r.Term, r.Moving = n.raft.BasicStatus().GetTerm(), len(n.conf.GetVotersOutgoing()) > 0
-		r.Age = max(0, now-n.heard)
+		report.Term, report.Moving = n.raft.BasicStatus().GetTerm(), len(n.conf.GetVotersOutgoing()) > 0
+		report.Age = max(0, now-n.leaderHeardAt)
 	} else {
-		r.Age = max(0, now-n.hosted)
+		report.Age = max(0, now-n.upstreamHeardAt)
 	}
-	if r.Majority = n.leader != "" && r.Age < n.set.Election; n.leads() {
+	if report.Majority = n.leader != "" && report.Age < n.settings.Election; n.isLeader() {
 		// It steps down once it hears no majority; until then only a disk that does not answer keeps it from agreeing.
-		r.Age, r.Majority = 0, !n.hangs
+		report.Age, report.Majority = 0, !n.diskHung
 	}
-	for _, m := range n.members.All() {
-		x := MemberReport{Name: m.Name, Zone: m.Zone, Address: m.Address, Incarnation: m.Incarnation, Standing: m.Standing.String(),
-			Since: m.Since, Losses: m.Losses}
-		if m.Identity != 0 && n.votes(m.Identity) == votes {
-			x.Votes = true
-			r.Voters = append(r.Voters, m.Name)
+	for _, member := range n.members.All() {
+		memberReport := MemberReport{Name: member.Name, Zone: member.Zone, Address: member.Address, Incarnation: member.Incarnation, Standing: member.Standing.String(),
+			Since: member.Since, Losses: member.Losses}
+		if member.Identity != 0 && n.roleOf(member.Identity) == roleVoter {
+			memberReport.Votes = true
+			report.Voters = append(report.Voters, member.Name)
 		}
-		if at, ok := n.renewed[m.Incarnation]; ok && n.leads() {
-			x.Heard = now - at
+		if at, ok := n.lastRenewal[member.Incarnation]; ok && n.isLeader() {
+			memberReport.Heard = now - at
 		}
-		r.Members = append(r.Members, x)
+		report.Members = append(report.Members, memberReport)
 	}
-	return r
+	return report
 }
 
 // Address is where a peer is reached: as this gateway was told at its start, else as the peer itself said.
 func (n *Node) Address(name string) string {
-	if a := n.set.Peers[name]; a != "" {
+	if a := n.settings.Peers[name]; a != "" {
 		return a
 	}
 	if m := n.members.Names[name]; m != nil {
@@ -96,17 +96,17 @@
 
 // Voters are the names of those that vote, sorted; nobody while one of them is not known by name, or a vote is on its way from one to
 // another: until it is there, whoever had it is needed as well.
-func (n *Node) Voters() (all []string) {
+func (n *Node) Voters() (names []string) {
 	if len(n.conf.GetVotersOutgoing()) > 0 {
 		return nil
 	}
 	for _, id := range n.conf.GetVoters() {
-		name := n.name(id)
+		name := n.nameOf(id)
 		if name == "" {
 			return nil
 		}
-		all = append(all, name)
+		names = append(names, name)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
--- a/internal/quorum/sim_test.go
+++ b/internal/quorum/sim_test.go
@@ -60,7 +60,7 @@
 type disk struct {
 	identity Identity
 	starts   uint64
-	marks    map[uint64]Mark
+	marks    map[uint64]HighWaterMark
 	founding *Founding
 	hard     *raftpb.HardState
 	snapshot *raftpb.Snapshot
@@ -354,7 +354,7 @@
 // leaders are those that believe they lead.
 func (s *sim) leaders() (all []string) {
 	for _, name := range s.names {
-		if g := s.all[name]; g.up && !g.frozen && g.node.leads() {
+		if g := s.all[name]; g.up && !g.frozen && g.node.isLeader() {
 			all = append(all, name)
 		}
 	}
@@ -370,7 +370,7 @@
 		}
 	}
 	for _, g := range s.all {
-		if g.up && !g.frozen && (g.node.applied != most || g.node.inc == 0) {
+		if g.up && !g.frozen && (g.node.applied != most || g.node.incarnation == 0) {
 			return false
 		}
 	}
@@ -386,7 +386,7 @@
 		if !g.up {
 			continue
 		}
-		text := g.node.state()
+		text := g.node.encodeState()
 		if old := states[g.node.applied]; old != nil && !bytes.Equal(old, text) {
 			s.t.Errorf("%s differs at %d", name, g.node.applied)
 		}
--- a/internal/quorum/prove_test.go
+++ b/internal/quorum/storecheck_test.go
@@ -24,7 +24,7 @@
 // A voter's store is put back as it was, while what it has confirmed since was agreed with it alone: it finds out from the others
 // before it votes, joins as somebody else, and nothing that was agreed is lost, though the third has never heard of it. Of two
 // starts of one copy the second is told, too.
-func TestOldCopy(t *testing.T) {
+func TestOldStoreCopy(t *testing.T) {
 	for seed := range uint64(40) {
 		s := begun(t, 900+seed, 3, 2)
 		s.copies = true
@@ -110,7 +110,7 @@
 				s.play(6000, nil)
 			}
 		}
-		last := s.all["v0"].node.members.Last
+		last := s.all["v0"].node.members.LastIncarnation
 		s.kill("v1", "v2", "v0")
 		s.play(5000, nil)
 		record, r, err := Recover(s.all[rest].disk.store(), map[string]Book{"ledger": &ledger{}}, 5+seed)
@@ -130,7 +130,7 @@
 			s.start(gone...)
 		}
 		if !s.play(60_000, func() bool {
-			return s.level() && len(s.all[rest].node.conf.Voters) == 3 && s.all[gone[0]].node.founded.Cluster == r.Next && s.all[gone[1]].node.founded.Cluster == r.Next
+			return s.level() && len(s.all[rest].node.conf.Voters) == 3 && s.all[gone[0]].node.founding.Cluster == r.Next && s.all[gone[1]].node.founding.Cluster == r.Next
 		}) {
 			t.Fatalf("seed %d: %d vote, level %t: %v", seed, len(s.all[rest].node.conf.Voters), s.level(), s.all[gone[0]].said)
 		}
@@ -151,7 +151,7 @@
 }
 
 // Three times the usual delay, and thirty times, has nobody said to be lost and nobody else lead.
-func TestSlowNetworkLosesNobody(t *testing.T) {
+func TestSlowNetworkKeepsLeases(t *testing.T) {
 	for _, times := range []float64{3, 30} {
 		s := begun(t, 77, 5, 25)
 		lead := fmt.Sprint(s.leaders())
