--- a/internal/quorum/api.go
+++ b/internal/quorum/api.go
@@ -1,180 +1,189 @@
-// Package quorum lets gateways agree: who is there, and on one log of commands in one order. The agreement itself is raft's
-// (go.etcd.io/raft/v3, which does no I/O); this package adds what raft leaves to its caller: founding, members and their
-// leases, followers, commands that count once, bounds. It is pure: events come in with their time, actions go out; there is no
-// goroutine, socket, file or clock in it, and chance comes from a seed.
+// Package quorum replicates a log of commands among the gateways of a fleet and keeps track of its members. Consensus
+// is raft's (go.etcd.io/raft/v3, which does no I/O). This package adds what raft leaves to its caller: the bootstrap
+// of a fleet, membership with leases and incarnations, followers outside raft, exactly-once commands, and limits. It
+// is deterministic: events come in with their time and actions go out; it uses no goroutine, socket, file or clock,
+// and randomness comes from a seed.
 //
-// This file is its interface. Times are milliseconds on a clock of the caller's that never goes back; they bound only how long
-// work stands still. What is agreed rests on majorities and on what was synced, never on a time.
+// This file holds its interface. Times are milliseconds on a monotonic clock of the caller. They affect only how long
+// work is delayed: what is committed rests on majorities and on synced writes, never on a time.
 package quorum
 
 import "go.etcd.io/raft/v3/raftpb"
 
-// Settings of one gateway's part.
+// Settings configure one gateway.
 type Settings struct {
-	Name     string            // of this gateway; unique in the fleet
-	Zone     string            // its club
-	Address  string            // where its peers reach it
-	Peers    map[string]string // addresses of the others that are known from the start, by name
-	Founders []string          // names of those that vote at first; all of them must be there, with empty stores, to found
-	Beat     float64           // ms between a leader's heartbeats
-	Election float64           // ms of silence after which voters look for another leader; at least five beats
-	Lease    float64           // ms without renewal after which a member is said to be silent
-	SlowDisk float64           // ms that one sync may take; a leader whose disk is slower hands over
-	Keep     int               // entries kept for those that lag, beyond what all voters have
-	Members  int               // names that are remembered at most
-	Pending  int               // commands of this gateway that wait to be agreed at most
-	Retry    float64           // ms after which a command that was not agreed is sent again
-	Replace  float64           // ms for which a voter must be gone before another gets its vote; 0: never
-	Votes    int               // how many are to vote: others are brought up while there are fewer; 0: as many as founded
-	Diskless bool              // it has no store, and only follows
-	Sight    float64           // ms after which it asks again until when it knows all that was agreed; 0: never
-	Works    bool              // it takes part in owned work; what the others are told of it
+	Name     string            // name of this gateway, unique in the fleet
+	Zone     string            // the club of this gateway; voters are spread over clubs
+	Address  string            // where its peers connect to it
+	Peers    map[string]string // addresses of the peers known at the start, by name
+	Founders []string          // names of the first voters; a fleet is founded when all of them are up with empty stores
+	Beat     float64           // ms between heartbeats of the leader
+	Election float64           // ms without a leader after which voters hold an election; at least five beats
+	Lease    float64           // ms without renewal after which a member is declared silent
+	SlowDisk float64           // ms that a sync may take; a leader with a slower disk transfers its leadership
+	Keep     int               // log entries kept for lagging voters and followers when the log is compacted
+	Members  int               // maximum number of member names
+	Pending  int               // maximum number of this gateway's uncommitted commands
+	Retry    float64           // ms after which an uncommitted command is sent again
+	Replace  float64           // ms that a voter must be gone before it is replaced; 0: never
+	Votes    int               // target number of voters, restored by promoting others; 0: the number of founders
+	Diskless bool              // the gateway has no store and only follows
+	Sight    float64           // ms between its read index requests; 0: none
+	Works    bool              // the gateway takes part in owned work; announced to the other members
 	Seed     uint64
 }
 
-// Defaults are settings for a site on a local network.
+// Defaults returns settings for a site on a local network.
 func Defaults() Settings {
 	return Settings{Beat: 100, Election: 1000, Lease: 3000, SlowDisk: 500, Keep: 2000, Members: 600, Pending: 256, Retry: 700, Replace: 60_000}
 }
 
-// Store is what a gateway keeps on its disk. The zero value is an empty store.
+// Store is the persistent state of a gateway. The zero value is an empty store.
 type Store struct {
 	Identity Identity
-	Starts   uint64                   // how often it was opened to take part
-	Marks    map[uint64]HighWaterMark // what others were seen to hold, by identity
+	Starts   uint64                   // number of processes that opened it to take part
+	Marks    map[uint64]HighWaterMark // high-water marks of other stores, by identity
 	Founding *Founding                // nil: it belongs to no fleet yet
 	Hard     *raftpb.HardState
 	Snapshot *raftpb.Snapshot
-	Entries  []*raftpb.Entry // after the snapshot, without a gap
+	Entries  []*raftpb.Entry // those after the snapshot, without a gap
 }
 
-// Identity is who a store belongs to. A store that is lost takes its identity with it: what starts without one is somebody
-// else, and never votes as the old one.
+// Identity identifies a store. It is lost along with the store: a gateway that starts without a store gets a new
+// identity and never votes under the old one.
 type Identity struct {
-	ID   uint64 `cbor:"1,keyasint"` // drawn when the store was made; 0: none yet
+	ID   uint64 `cbor:"1,keyasint"` // random, drawn when the store was created; 0: none yet
 	Name string `cbor:"2,keyasint"`
 }
 
-// Founding is how a fleet began: once, by the founder whose name comes first, when all founders said that they had nothing.
+// Founding describes the bootstrap of a fleet. It happens once, by the founder whose name sorts first, after all
+// founders have reported empty stores.
 type Founding struct {
 	Cluster      uint64            `cbor:"1,keyasint"`
-	Voters       map[string]uint64 `cbor:"2,keyasint"`           // identities by name
-	Predecessors []uint64          `cbor:"3,keyasint,omitempty"` // the fleets that this one took the place of, by an operator's hand
+	Voters       map[string]uint64 `cbor:"2,keyasint"`           // identities of the first voters, by name
+	Predecessors []uint64          `cbor:"3,keyasint,omitempty"` // fleets that an operator replaced by this one
 }
 
-// Mark is the least that an identity must hold, as it has told: a store that holds less is an old copy.
+// HighWaterMark is the least that the store of an identity must hold, as shown by the messages it has sent. A store
+// that holds less is an old copy.
 type HighWaterMark struct {
-	Term    uint64 `cbor:"1,keyasint"` // of what it sent
-	LogTerm uint64 `cbor:"2,keyasint"` // of the last entry that it said to hold, and the place of that entry
+	Term    uint64 `cbor:"1,keyasint"` // highest term of its messages
+	LogTerm uint64 `cbor:"2,keyasint"` // term of the last entry it reported to hold, followed by that entry's index
 	Index   uint64 `cbor:"3,keyasint"`
 }
 
-// Events, which a driver hands to Node.Handle.
+// Events, which a driver passes to Node.Handle.
 type (
-	// Received is one frame of a peer, by the name that it gave.
+	// Received is a frame from a peer, under the name the peer gave.
 	Received struct {
 		From  string
 		Frame Frame
 	}
-	// Lost tells that what was sent to a peer of late did not arrive.
+	// Lost reports that frames sent recently to a peer did not arrive.
 	Lost struct{ To string }
-	// Saved tells that the last Save is on the disk, and how long that took.
+	// Saved reports that the last Save is synced, and how many ms that took.
 	Saved struct{ Took float64 }
-	// Broken tells that the disk could not take it: this gateway votes no more until it is started anew.
+	// Broken reports that a write to the disk failed: this gateway does not vote again until it is restarted.
 	Broken struct{ Err error }
-	// Propose asks for a command to be agreed. Token, over 0 and not used before, comes back with its Outcome.
+	// Propose submits a command. Token, above 0 and not used before, is returned in its Outcome.
 	Propose struct {
 		Token   uint64
 		Command Command
 	}
-	// Leave says goodbye: this process is about to end.
+	// Leave announces that this process is about to end.
 	Leave struct{}
 )
 
-// Action is one of the types below that says so.
+// Action is one of the action types below.
 type Action any
 
-// Actions, which the driver carries out in their order. What rests on a Save is handed out after its Saved; what comes along with a
-// Save does not rest on it.
+// Actions, which the driver carries out in order. Actions that depend on a Save are returned after its Saved event;
+// those returned along with a Save do not depend on it.
 type (
-	// Send brings a frame to a peer; it may be lost.
+	// Send sends a frame to a peer; it may be lost.
 	Send struct {
 		To    string
 		Frame Frame
 	}
-	// Save puts this on the disk and syncs it. There is no other until it is Saved.
+	// Save writes a record to the disk and syncs it. No other Save follows before its Saved event.
 	Save struct{ Record Record }
-	// Agreed is a command in its place in the log, after its book took it. The same comes to every gateway.
+	// Agreed is a committed command, after its state machine applied it. Every gateway gets the same one at the same
+	// index.
 	Agreed struct {
 		Index   uint64
 		Command Command
 		Result  any
 	}
-	// Restored is a state that took the place of all that was followed before: what Agreed told of is behind it.
+	// Restored reports that a snapshot has replaced the whole state: it covers all commands reported by Agreed
+	// before.
 	Restored struct{ Index uint64 }
-	// Outcome ends a Propose: agreed at that place, or an error. After ErrGivenUp it may still be agreed; after ErrRepeated it was,
-	// at a place that this gateway did not see, and its book tells what became of it.
+	// Outcome ends a Propose, with the index of the committed command or an error. After ErrGivenUp the command may
+	// still be committed. After ErrRepeated it was committed at an index that this gateway did not see, and its state
+	// machine knows the result.
 	Outcome struct {
 		Token  uint64
 		Index  uint64
-		Result any // of its book
+		Result any // returned by its state machine
 		Err    error
 	}
-	// Say is a line for people.
+	// Say is a log line.
 	Say struct {
 		Text   string
 		Fields map[string]any
 	}
 )
 
-// Record is one write to the disk, whole or not at all.
+// Record is one atomic write to the disk.
 type Record struct {
 	Identity *Identity
-	Starts   uint64                   // 0: as before
-	Marks    map[uint64]HighWaterMark // nil: as before
+	Starts   uint64                   // 0: unchanged
+	Marks    map[uint64]HighWaterMark // nil: unchanged
 	Founding *Founding
 	Hard     *raftpb.HardState
 	Snapshot *raftpb.Snapshot
-	Entries  []*raftpb.Entry // take the place of all from their first index on
-	Anew     bool            // all of raft's goes first: this store begins again, under the identity given here
-	Compact  uint64          // entries up to here, and older snapshots, may go
+	Entries  []*raftpb.Entry // replace all entries from the first index of these on
+	Anew     bool            // drops all of raft's state first; the store starts over under the identity of this record
+	Compact  uint64          // entries up to this index, and older snapshots, may be deleted
 }
 
-// Command is what is agreed on. Book says whom it is for; this package's own is "members".
+// Command is an entry of the replicated log. Book names the state machine that applies it; the one of this package is
+// "members".
 type Command struct {
 	Book string `cbor:"1,keyasint"`
 	Kind string `cbor:"2,keyasint"`
 	Data []byte `cbor:"3,keyasint,omitempty"`
-	// Who asked, by incarnation, and the how-manieth this is of it: one that comes twice counts once.
+	// The incarnation that proposed it, and its sequence number there: a command that is committed twice is applied
+	// once.
 	From uint64 `cbor:"4,keyasint,omitempty"`
 	Seq  uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Book is a state that commands change, the same at every gateway. It must be a function of the commands alone. Load of nothing
-// makes it as empty as it was at first.
+// Book is a replicated state machine: commands change it in the same way on every gateway, so it must be a function
+// of the commands alone. Load of nil resets it to its initial state.
 type Book interface {
 	Apply(index uint64, c Command) any
 	Save() []byte
 	Load([]byte) error
 }
 
-// Hearer is a Book that has to know of members as well. Word of one comes in its place in the log, as commands do; Standing Unknown
-// is a name that was forgotten.
+// MembershipObserver is a Book that is notified of changes of members as well, at their place in the log. A member
+// whose Standing is Unknown was evicted.
 type MembershipObserver interface {
 	Member(index uint64, m Member)
 }
 
-// Standing is how a member stands, as the log says.
+// MemberState is the state of a member according to the log.
 type MemberState int
 
-// The standings.
+// The states of a member.
 const (
-	Unknown MemberState = iota // never heard of
-	Joined                     // it is there
-	Left                       // it said goodbye
-	Silent                     // its lease ran out
+	Unknown MemberState = iota // not a member
+	Joined                     // its lease is renewed
+	Left                       // it announced that it ends
+	Silent                     // its lease expired
 )
 
+// String returns the name of the state.
 func (s MemberState) String() string {
 	return [...]string{"unknown", "joined", "left", "silent"}[s]
 }
--- a/internal/quorum/frame.go
+++ b/internal/quorum/frame.go
@@ -9,30 +9,30 @@
 	"poppymill/internal/canon"
 )
 
-// Kind says what a frame is.
+// Kind is the type of a frame.
 type Kind int
 
 // The kinds of frames.
 const (
-	Hello              Kind = iota + 1 // who I am, and whether I belong to a fleet; answered by a Hello that repeats its nonce
-	KindFounding                       // a founding to take up
-	KindRaft                           // a message of raft's
-	KindPropose                        // commands to be agreed, on their way to the leader
-	KindRenew                          // renewals of leases, gathered; and how far the sender has followed
-	KindLog                            // entries, or a snapshot, for one that follows; also who leads
-	KindYield                          // a newer process of your name is there
-	KindRemoved                        // you vote no more, as your identity was replaced: Voters, Applied
-	Status                             // a person's question, and its answer
-	Effect                             // a step of owned work for its place; this package does not look into it
-	Effected                           // what became of it
-	KindStoreQuery                     // what do you know of my identity? Answered by a Proof
-	KindStoreReply                     // Data: a Known
-	KindFragment                       // Data: of a larger frame, in its order on one connection; Applied: the length of the whole
-	KindReadIndex                      // how far has the log gone? To the leader
-	KindReadIndexReply                 // Applied: as far as this, by the word of a majority given since it was asked
+	Hello              Kind = iota + 1 // identity and fleet of the sender; answered by a Hello that echoes its nonce
+	KindFounding                       // a founding to adopt
+	KindRaft                           // a raft message
+	KindPropose                        // commands to propose, on their way to the leader
+	KindRenew                          // a batch of lease renewals; from a follower also its applied index
+	KindLog                            // log entries or a snapshot for a follower, and the name of the leader
+	KindYield                          // a newer process has joined under the name of the receiver
+	KindRemoved                        // the receiver lost its vote to another identity: Voters, Applied; without Voters: did the sender?
+	Status                             // an operator's question and its answer
+	Effect                             // a step of owned work to run; opaque to this package
+	Effected                           // the result of an Effect
+	KindStoreQuery                     // what does the receiver know of the sender's identity? Answered by a KindStoreReply
+	KindStoreReply                     // Data: a StoreEvidence
+	KindFragment                       // Data: a fragment of a larger frame, in order on one connection; Applied: the length of the whole
+	KindReadIndex                      // asks the leader for its read index
+	KindReadIndexReply                 // Applied: the read index, confirmed by a majority after the request
 )
 
-// Frame is all that goes between two peers. What is not used by its kind is empty.
+// Frame is the message exchanged between two peers. Fields that its kind does not use are empty.
 type Frame struct {
 	Kind          Kind      `cbor:"1,keyasint"`
 	Cluster       uint64    `cbor:"2,keyasint,omitempty"`
@@ -40,34 +40,36 @@
 	Nonce         uint64    `cbor:"4,keyasint,omitempty"`
 	EchoNonce     uint64    `cbor:"5,keyasint,omitempty"`
 	Founding      *Founding `cbor:"6,keyasint,omitempty"`
-	Data          []byte    `cbor:"7,keyasint,omitempty"` // raft's message; of a connection's first frame, who opens it; of a Status, the answer
+	Data          []byte    `cbor:"7,keyasint,omitempty"` // the raft message; in the first frame of a connection, who opens it; in a Status, the answer
 	Commands      []Command `cbor:"8,keyasint,omitempty"`
 	Renewals      []Renewal `cbor:"9,keyasint,omitempty"`
 	Applied       uint64    `cbor:"10,keyasint,omitempty"`
 	Leader        string    `cbor:"11,keyasint,omitempty"`
 	Entries       [][]byte  `cbor:"12,keyasint,omitempty"`
 	Snapshot      []byte    `cbor:"13,keyasint,omitempty"`
-	PreviousIndex uint64    `cbor:"14,keyasint,omitempty"` // the place behind which Entries stand
+	PreviousIndex uint64    `cbor:"14,keyasint,omitempty"` // the index before the first of Entries
 	Voters        []uint64  `cbor:"15,keyasint,omitempty"`
-	FromFollower  bool      `cbor:"16,keyasint,omitempty"` // the sender takes no part in raft: it has to be told
+	FromFollower  bool      `cbor:"16,keyasint,omitempty"` // the sender does not run raft and needs the log sent to it
 }
 
-// Renewal is one member's word that it is still there. It names itself, as others may bring it.
+// Renewal renews the lease of one member. It names the member, as another gateway may forward it.
 type Renewal struct {
 	Incarnation uint64 `cbor:"1,keyasint"`
 	Name        string `cbor:"2,keyasint"`
 }
 
-// Bounds of a frame on the wire: its length and a checksum go ahead of it.
+// Limits of a frame on the wire, in bytes, and the size of its header: content length and checksum. maxListed limits
+// the number of commands and renewals in a frame.
 const (
-	MostFrame       = 1 << 20  // on the wire
-	MostWhole       = 32 << 20 // put together of pieces
+	MostFrame       = 1 << 20  // one frame on the wire
+	MostWhole       = 32 << 20 // a frame reassembled from fragments
 	MaxFragmentSize = 256 << 10
 	FrameHead       = 12
 	maxListed       = 2048
 )
 
-// Pieces are a frame's bytes as they go out: in one, or, where it is large, in several frames, so that others can go in between.
+// Pieces returns the encoded frame, or, when it is large, the encoded fragments of it, so that other frames can be
+// sent in between.
 func (f Frame) Pieces() (fragments [][]byte) {
 	encoded := f.Append(nil)
 	if len(encoded) <= MaxFragmentSize {
@@ -79,16 +81,16 @@
 	return fragments
 }
 
-// Joiner puts the pieces of one connection together.
+// Joiner reassembles the fragments of one connection.
 type Joiner struct{ buffer []byte }
 
-// Join takes a frame, and gives one back where it is whole.
+// Join takes a frame and returns it, or the reassembled frame once its last fragment has come.
 func (j *Joiner) Join(f Frame) (whole Frame, ok bool, err error) {
 	if f.Kind != KindFragment {
 		return f, true, nil
 	}
 	if f.Applied <= MaxFragmentSize || f.Applied > MostWhole || uint64(len(j.buffer)+len(f.Data)) > f.Applied || len(f.Data) == 0 {
-		return f, false, fmt.Errorf("frame: %w: a piece of %d bytes behind %d, of %d", canon.ErrUnreadable, len(f.Data), len(j.buffer), f.Applied)
+		return f, false, fmt.Errorf("frame: %w: a fragment of %d bytes after %d, of %d", canon.ErrUnreadable, len(f.Data), len(j.buffer), f.Applied)
 	}
 	if j.buffer = append(j.buffer, f.Data...); uint64(len(j.buffer)) < f.Applied {
 		return f, false, nil
@@ -97,17 +99,17 @@
 	copy(head[:], j.buffer)
 	contentLength := binary.BigEndian.Uint32(head[:])
 	if uint64(contentLength)+FrameHead != f.Applied {
-		return f, false, fmt.Errorf("frame: %w: pieces of %d bytes, and a frame of %d", canon.ErrUnreadable, f.Applied, contentLength)
+		return f, false, fmt.Errorf("frame: %w: fragments of %d bytes make a frame of %d", canon.ErrUnreadable, f.Applied, contentLength)
 	}
 	whole, err = Read(head, j.buffer[FrameHead:])
 	j.buffer = nil
 	if err == nil && whole.Kind == KindFragment {
-		err = fmt.Errorf("frame: %w: a piece of pieces", canon.ErrUnreadable)
+		err = fmt.Errorf("frame: %w: a fragment made of fragments", canon.ErrUnreadable)
 	}
 	return whole, err == nil, err
 }
 
-// Append puts a frame's bytes behind others: length, checksum, content.
+// Append appends the encoded frame: length, checksum, content.
 func (f Frame) Append(to []byte) []byte {
 	content := canon.Encode(f)
 	to = binary.BigEndian.AppendUint32(to, uint32(len(content)))
@@ -115,7 +117,7 @@
 	return append(to, content...)
 }
 
-// Length reads the head of a frame: how long its content is.
+// Length returns the content length from the header of a frame.
 func Length(head [FrameHead]byte) (int, error) {
 	contentLength := binary.BigEndian.Uint32(head[:])
 	if contentLength == 0 || contentLength > MostFrame {
@@ -124,16 +126,16 @@
 	return int(contentLength), nil
 }
 
-// Read makes a frame of its head and its content.
+// Read decodes a frame from its header and its content.
 func Read(head [FrameHead]byte, content []byte) (f Frame, err error) {
 	if xxhash.Sum64(content) != binary.BigEndian.Uint64(head[4:]) {
-		return f, fmt.Errorf("frame: %w: its checksum is wrong", canon.ErrUnreadable)
+		return f, fmt.Errorf("frame: %w: checksum mismatch", canon.ErrUnreadable)
 	}
 	switch err = canon.Decode(content, &f); {
 	case err != nil:
 		err = fmt.Errorf("frame: %w", err)
 	case f.Kind < Hello || f.Kind > KindReadIndexReply || len(f.Commands)+len(f.Renewals) > maxListed:
-		err = fmt.Errorf("frame: %w: of kind %d, with %d commands and %d renewals", canon.ErrUnreadable, f.Kind, len(f.Commands), len(f.Renewals))
+		err = fmt.Errorf("frame: %w: kind %d with %d commands and %d renewals", canon.ErrUnreadable, f.Kind, len(f.Commands), len(f.Renewals))
 	}
 	return f, err
 }
--- a/internal/quorum/members.go
+++ b/internal/quorum/members.go
@@ -9,36 +9,36 @@
 	"poppymill/internal/canon"
 )
 
-// Member is one name of the fleet, as the log tells of it.
+// Member is one named gateway of the fleet, as recorded in the log.
 type Member struct {
 	Name        string      `cbor:"1,keyasint"`
 	Zone        string      `cbor:"2,keyasint"`
 	Address     string      `cbor:"3,keyasint"`
-	Incarnation uint64      `cbor:"4,keyasint"` // of its newest process; each start is a new one, and they only rise
-	Nonce       uint64      `cbor:"5,keyasint"` // drawn by that process, so that a join that comes twice counts once
-	Identity    uint64      `cbor:"6,keyasint"` // of its store; 0: it has none, and can't vote
+	Incarnation uint64      `cbor:"4,keyasint"` // of its newest process; every start gets a new, higher one
+	Nonce       uint64      `cbor:"5,keyasint"` // random, drawn by that process, so that a join that is committed twice counts once
+	Identity    uint64      `cbor:"6,keyasint"` // of its store; 0: it has none, and cannot vote
 	Standing    MemberState `cbor:"7,keyasint"`
-	Since       uint64      `cbor:"8,keyasint"`  // the place in the log from which it stands so
-	Losses      uint64      `cbor:"9,keyasint"`  // how often its lease ran out, or it was replaced without a goodbye
-	Doubled     uint64      `cbor:"10,keyasint"` // the newest of its older processes that was heard of after it was replaced
-	Seq         uint64      `cbor:"11,keyasint"` // the last of its commands that counted
+	Since       uint64      `cbor:"8,keyasint"`  // the log index of its last change of Standing
+	Losses      uint64      `cbor:"9,keyasint"`  // how often its lease expired, or it was replaced without having left
+	Doubled     uint64      `cbor:"10,keyasint"` // the newest of its older processes that renewed a lease after being replaced
+	Seq         uint64      `cbor:"11,keyasint"` // sequence number of the last command applied
 	Works       bool        `cbor:"12,keyasint"` // it takes part in owned work
-	Starts      uint64      `cbor:"13,keyasint"` // of its store
+	Starts      uint64      `cbor:"13,keyasint"` // how often its store was opened
 }
 
-// What the book of members hears.
+// The kinds of commands of this package's own state machine.
 const (
 	membersBook = "members"
-	cmdNoop     = "nothing" // takes a number in its sender's order
-	// All but nothing hold a Member, of which they say no more than what is named here.
-	cmdJoin    = "join"    // name, zone, address, nonce, identity; incarnation: the one of that name that it knew of
+	cmdNoop     = "nothing" // uses up a sequence number of the sender
+	// All but cmdNoop carry a Member, of which only the fields listed here are set.
+	cmdJoin    = "join"    // name, zone, address, nonce, identity; incarnation: the last one of that name known to the sender
 	cmdLeave   = "leave"   // name, incarnation
-	cmdSilent  = "silent"  // the same, and since: how it stood when that was said
-	cmdReturn  = "return"  // the same
-	cmdDoubled = "doubled" // name, and the incarnation of the older process that was heard of
+	cmdSilent  = "silent"  // the same, and since: that of the state it was declared silent in
+	cmdReturn  = "return"  // as for cmdSilent
+	cmdDoubled = "doubled" // name, and the incarnation of the older process that still renews its lease
 )
 
-// Errors of commands that were agreed and change nothing. They are results, the same at every gateway.
+// Results of committed commands that change nothing. They are the same on every gateway.
 var (
 	ErrReplaced = errors.New("a newer process of that name has joined")
 	ErrRepeated = errors.New("it counted before")
@@ -48,20 +48,21 @@
 	ErrOldStore = errors.New("its store is an old copy: that store was started as often before")
 )
 
-// Members is the state that this package itself keeps in the log.
+// Members is this package's own replicated state: the members of the fleet.
 type Members struct {
 	MaxNames        int                `cbor:"-"`
-	LastIncarnation uint64             `cbor:"1,keyasint"` // the last incarnation given out; it only rises
+	LastIncarnation uint64             `cbor:"1,keyasint"` // the last incarnation assigned; it only rises
 	Names           map[string]*Member `cbor:"2,keyasint"`
 
-	evicted string // the name that the last join took the place of
+	evicted string // the name evicted by the last join
 }
 
+// newMembers returns an empty set of members.
 func newMembers(maxNames int) *Members {
 	return &Members{MaxNames: maxNames, Names: map[string]*Member{}}
 }
 
-// By finds the member whose newest process an incarnation is.
+// ByIncarnation returns the member whose newest process has the incarnation; nil when there is none.
 func (m *Members) ByIncarnation(incarnation uint64) *Member {
 	for _, member := range m.Names {
 		if member.Incarnation == incarnation {
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// All lists the members by name.
+// All returns the members sorted by name.
 func (m *Members) All() []*Member {
 	var all []*Member
 	for _, name := range slices.Sorted(maps.Keys(m.Names)) {
@@ -80,7 +81,8 @@
 	return all
 }
 
-// counts tells whether a command of a member counts: those of a process that was replaced, or that come again, do not.
+// checkSequence decides whether a command is applied: commands of a replaced process, repeated ones, and those ahead
+// of their turn are not.
 func (m *Members) checkSequence(c Command) error {
 	if c.From == 0 {
 		return nil
@@ -98,7 +100,7 @@
 	return nil
 }
 
-// Apply takes a command of this book.
+// Apply applies a committed command.
 func (m *Members) Apply(index uint64, c Command) any {
 	var reported Member
 	if c.Kind == cmdNoop || canon.Decode(c.Data, &reported) != nil {
@@ -119,10 +121,10 @@
 	case reported.Incarnation != member.Incarnation:
 		return ErrReplaced
 	case c.Kind != cmdLeave && reported.Since != member.Since:
-		return ErrRepeated // it stands otherwise since that was said: a word that comes late, or again, says nothing of now
+		return ErrRepeated // its state has changed since the command was proposed: a delayed or repeated command says nothing of the current state
 	}
 	next := map[string]MemberState{cmdLeave: Left, cmdSilent: Silent, cmdReturn: Joined}[c.Kind]
-	// Who has said goodbye does not come back under the same incarnation, whatever is late on its way.
+	// A member that has left does not return under the same incarnation, whatever commands arrive late.
 	if next == Unknown || member.Standing == next || member.Standing == Left || c.Kind == cmdSilent && member.Standing != Joined {
 		return ErrRepeated
 	}
@@ -133,6 +135,7 @@
 	return *member
 }
 
+// join gives the joining process a new incarnation.
 func (m *Members) join(index uint64, joining Member) any {
 	member := m.Names[joining.Name]
 	if member == nil {
@@ -144,9 +147,10 @@
 	} else if member.Nonce == joining.Nonce {
 		return *member
 	} else if member.Identity == joining.Identity && joining.Identity != 0 && joining.Starts <= member.Starts {
-		return ErrOldStore // put back, or copied: two of it must not vote
+		return ErrOldStore // the store was restored from a backup or copied: two of it must not vote
 	} else if member.Incarnation != joining.Incarnation {
-		// It knew of an older one: a join that was late on its way would else replace the one that came after it.
+		// The sender knew only an older incarnation: a delayed join would otherwise replace the process that joined
+		// after it.
 		return ErrReplaced
 	} else if member.Standing == Joined {
 		member.Losses++
@@ -157,7 +161,8 @@
 	return *member
 }
 
-// room makes a place for a new name, at the cost of the one that has been gone for longest.
+// makeRoom reports whether there is room for a new name, and evicts the member that has been gone for longest if
+// needed.
 func (m *Members) makeRoom() bool {
 	if len(m.Names) < m.MaxNames {
 		return true
@@ -176,10 +181,10 @@
 	return true
 }
 
-// Save and Load write the state down and read it.
+// Save encodes the members.
 func (m *Members) Save() []byte { return canon.Encode(m) }
 
-// Load takes the place of all that was there.
+// Load replaces the members by encoded ones.
 func (m *Members) Load(b []byte) error {
 	loaded := newMembers(m.MaxNames)
 	if err := canon.Decode(b, loaded); err != nil {
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -15,79 +15,82 @@
 	"poppymill/internal/chance"
 )
 
-// Node is one gateway's part in the agreement. It belongs to one goroutine.
+// Node is one gateway's part in the replicated log: a raft voter or learner, or a follower outside raft. It must be
+// used by one goroutine only.
 type Node struct {
 	settings         Settings
 	now              float64
 	rng              chance.Chance
-	nonce            uint64 // of this process
+	nonce            uint64 // drawn for this process
 	id               Identity
 	founding         *Founding
-	raft             *raft.RawNode // nil where this gateway only follows
+	raft             *raft.RawNode // nil: this gateway only follows
 	storage          *raft.MemoryStorage
 	conf             *raftpb.ConfState
 	members          *Members
 	books            map[string]Book
 	applied          uint64
-	incarnation      uint64 // this process's incarnation; 0: not agreed yet
+	incarnation      uint64 // of this process; 0: not assigned yet
 	seq              uint64
-	joinAt           float64 // when its join goes out again
+	joinAt           float64 // when the join is sent again
 	pending          []*proposal
-	outOfOrder       bool    // one of its commands came to its place before an earlier one
-	reorderAt        float64 // when all that wait may go out again in their order for that
+	outOfOrder       bool    // a command was committed before an earlier one of this process
+	reorderAt        float64 // earliest time to send all pending commands again, in order, for that reason
 	actions          []Action
-	onSaved          func()  // what goes on once the disk has it; nil: nothing is on its way there
-	saveStarted      float64 // when that was handed over
-	diskHung         bool    // it was said that the disk does not answer
+	onSaved          func()  // continuation of the write in progress; nil: none is in progress
+	saveStarted      float64 // when that write began
+	diskHung         bool    // the write exceeds SlowDisk and was logged
 	saveQueue        []func()
-	broken           bool // its disk failed: it votes no more
-	diskSlow         bool // its disk was too slow: it does not lead
-	yielded          bool // a newer process of this name is there
-	left             bool // it has said goodbye
+	broken           bool // the disk failed: it does not vote until restarted
+	diskSlow         bool // the last sync exceeded SlowDisk: it does not lead
+	yielded          bool // a newer process has joined under this name
+	left             bool // this process has announced that it ends
 	leader           string
 	heartbeatAt      float64
-	wasLeader        bool    // it led when it last looked
-	electionAt       float64 // when it looks for another leader itself
-	leaderHeardAt    float64 // when it last heard of one
-	leaderForgotten  bool    // that it did not hear of one for long
+	wasLeader        bool    // whether it led at the last call of runTimers
+	electionAt       float64 // when it campaigns
+	leaderHeardAt    float64 // when a leader was last heard
+	leaderForgotten  bool    // whether raft was told to forget a silent leader
 	renewAt          float64
-	renewedAt        float64 // when it last did
-	upstream         string  // the voter that it follows
+	renewedAt        float64 // when it last renewed
+	upstream         string  // the voter it follows
 	upstreamHeardAt  float64
 	upstreamPicks    int
-	emptyFounders    map[string]founderHello    // founders that said they have nothing
-	lastRenewal      map[uint64]float64         // when each was last heard of; the leader's
-	pendingRenewals  map[uint64]Renewal         // on their way to the leader
-	voterChange      voterChange                // changes of who votes; the leader's
-	proposedByLeader map[leaderProposal]float64 // the leader's own commands that are on their way
-	peerNames        map[uint64]string          // who was heard of, by identity: a gateway that lags knows no more of a voter that is new
-	foreignPeers     map[string]bool            // peers of which it was said that they belong to another fleet
-	retiring         map[string]bool            // who is about to go for a while
-	starts           uint64                     // of its store, this one counted
-	highWaterMarks   map[uint64]HighWaterMark   // what others were seen to hold, by identity
-	storeCheck       *storeCheck                // it asks others about its store, and takes no part yet
-	readIndex        readIndexState             // until when it knows all that was agreed
-	revokedReason    string                     // why its identity is of no use any more: it is given up as soon as the disk is free
-}
-
-// said is a command that the leader gives of itself.
+	emptyFounders    map[string]founderHello    // founders that reported empty stores
+	lastRenewal      map[uint64]float64         // at the leader: when each incarnation last renewed
+	pendingRenewals  map[uint64]Renewal         // collected for the leader
+	voterChange      voterChange                // at the leader: changes of the voter set
+	proposedByLeader map[leaderProposal]float64 // at the leader: its proposals on members, and when they were made
+	peerNames        map[uint64]string          // names of peers by identity: a lagging gateway may not know a new voter from the log
+	foreignPeers     map[string]bool            // peers logged as members of another fleet
+	retiring         map[string]bool            // gateways about to go down for a while
+	starts           uint64                     // how often its store was opened, this process included
+	highWaterMarks   map[uint64]HighWaterMark   // high-water marks of other stores, by identity
+	storeCheck       *storeCheck                // its queries about its own store; it takes no part until they end
+	readIndex        readIndexState             // how recent its view of the log is
+	revokedReason    string                     // why its identity is void; it is dropped as soon as no write is in progress
+}
+
+// leaderProposal identifies a command that the leader proposes on its own.
 type leaderProposal struct {
 	incarnation uint64
 	kind        string
 }
 
+// founderHello is the report of a founder that its store is empty.
 type founderHello struct {
 	id      uint64
 	heardAt float64
 }
 
+// proposal is a command of this gateway that is not committed yet. Token is 0 once it was given up.
 type proposal struct {
 	token            uint64
 	command          Command
 	sentAt, deadline float64
 }
 
-// late is when it is given up; what was given up waits without an end.
+// expiresAt is when a proposal is given up; once given up it has no deadline.
 func (p *proposal) expiresAt() float64 {
 	if p.token == 0 {
 		return math.Inf(1)
@@ -95,7 +98,7 @@
 	return p.deadline
 }
 
-// ErrGivenUp and the others are outcomes of what was not agreed.
+// Errors of commands that were not committed.
 var (
 	ErrGivenUp = errors.New("not agreed in time; it may still be")
 	ErrLarge   = errors.New("the command is too large")
@@ -103,16 +106,16 @@
 	ErrYielded = errors.New("a newer process of this name is there")
 )
 
-// mostCommand bounds the bytes of one command, so that a frame holds it beside others.
+// maxCommandSize limits the bytes of one command, so that a frame holds it along with others.
 const maxCommandSize = 256 << 10
 
-// giveUp is the ms after which a command that could not be agreed is told as such.
+// proposalTimeoutMS is the time after which an uncommitted command is given up, in ms.
 const proposalTimeoutMS = 15_000.0
 
-// initial is the place in the log at which every fleet begins, the same at all founders.
+// initialIndex is the log index at which every fleet begins, the same for all founders.
 const initialIndex = 1
 
-// New makes a node of what its store holds. Nonce is drawn anew for each process.
+// New returns a node with the state of its store. The nonce must be drawn anew for each process.
 func New(settings Settings, store Store, books map[string]Book, nonce uint64, now float64) (*Node, error) {
 	n := &Node{settings: settings, now: now, rng: chance.Chance((settings.Seed^nonce)>>1 | 1), nonce: nonce, id: store.Identity, founding: store.Founding,
 		members: newMembers(settings.Members), books: books, emptyFounders: map[string]founderHello{}, lastRenewal: map[uint64]float64{},
@@ -124,9 +127,9 @@
 		n.id = Identity{ID: n.randomID(), Name: settings.Name}
 		n.save(Record{Identity: &n.id, Starts: n.starts}, nil)
 	} else if n.id.Name != settings.Name {
-		return nil, fmt.Errorf("the store is that of %q", n.id.Name)
+		return nil, fmt.Errorf("the store belongs to %q", n.id.Name)
 	} else {
-		n.save(Record{Starts: n.starts}, nil) // before anything goes out: of two copies of one store the log takes one
+		n.save(Record{Starts: n.starts}, nil) // synced before anything is sent: of two copies of one store the log accepts only one
 	}
 	if store.Snapshot != nil || store.Hard != nil {
 		if err := n.startRaft(store); err != nil {
@@ -137,10 +140,10 @@
 	return n, nil
 }
 
-// draw makes a number for what must not be taken for anything else.
+// randomID returns a random number to be used as a unique identifier.
 func (n *Node) randomID() uint64 { return uint64(n.rng.Next())<<31 | uint64(n.rng.Next())>>1 | 1 }
 
-// begin starts raft from what the store holds.
+// startRaft starts raft with the state of the store.
 func (n *Node) startRaft(store Store) error {
 	n.storage = raft.NewMemoryStorage()
 	if s := store.Snapshot; s != nil && s.GetMetadata().GetIndex() > 0 {
@@ -170,6 +173,7 @@
 	return nil
 }
 
+// restoreState replaces all replicated state by that of a snapshot.
 func (n *Node) restoreState(data []byte, index uint64) error {
 	var state replicatedState
 	if err := canon.Decode(data, &state); err != nil {
@@ -183,7 +187,7 @@
 		if err := book.Load(saved); err != nil {
 			return fmt.Errorf("book %s: %w", name, err)
 		}
-		if observer, ok := book.(MembershipObserver); ok && !found { // the book is newer than that state
+		if observer, ok := book.(MembershipObserver); ok && !found { // the snapshot was written before this state machine existed
 			for _, m := range n.members.All() {
 				observer.Member(index, *m)
 			}
@@ -197,12 +201,13 @@
 	return nil
 }
 
-// saved is all state that commands have brought about.
+// replicatedState is the content of a snapshot: the state of all state machines.
 type replicatedState struct {
 	Members []byte            `cbor:"1,keyasint"`
 	Books   map[string][]byte `cbor:"2,keyasint"`
 }
 
+// encodeState returns all replicated state as a snapshot.
 func (n *Node) encodeState() []byte {
 	state := replicatedState{Members: n.members.Save(), Books: map[string][]byte{}}
 	for name, book := range n.books {
@@ -211,11 +216,11 @@
 	return canon.Encode(state)
 }
 
-// Handle takes one event; nil only lets time pass.
+// Handle processes an event; nil only advances the time.
 func (n *Node) Handle(now float64, e any) []Action {
 	n.now = max(n.now, now)
 	if r, ok := e.(Received); (n.storeCheck != nil || n.revokedReason != "") && ok && r.Frame.Kind != KindStoreQuery && r.Frame.Kind != KindStoreReply && r.Frame.Kind != KindFounding {
-		e = nil // it takes no part yet
+		e = nil // ignored until the store check has ended
 	}
 	switch e := e.(type) {
 	case Received:
@@ -232,7 +237,7 @@
 		n.handleSaved(e.Took)
 	case Broken:
 		n.broken, n.onSaved, n.raft, n.saveQueue = true, nil, nil, nil
-		n.logInfo("this gateway's store can't be written: it votes no more until it is started anew", "error", e.Err)
+		n.logInfo("this gateway's store can't be written: it does not vote until it is restarted", "error", e.Err)
 	case Propose:
 		n.propose(e)
 	case Leave:
@@ -254,10 +259,10 @@
 	return actions
 }
 
-// Next is when something is due next.
+// Next returns when Handle has to be called again at the latest.
 func (n *Node) Next() float64 {
 	if n.revokedReason != "" {
-		return math.Inf(1) // the disk wakes it
+		return math.Inf(1) // the Saved event resumes it
 	}
 	if n.storeCheck != nil {
 		return max(n.now, min(n.storeCheck.nextQuery, n.storeCheck.deadline))
@@ -291,7 +296,10 @@
 	return max(due, n.now)
 }
 
+// emit adds an action to those that Handle returns.
 func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
+
+// logInfo emits a log line. Fields alternate between keys and values.
 func (n *Node) logInfo(message string, fields ...any) {
 	f := map[string]any{}
 	for i := 0; i+1 < len(fields); i += 2 {
@@ -300,6 +308,7 @@
 	n.emit(Say{Text: message, Fields: f})
 }
 
+// send emits a frame to a peer.
 func (n *Node) send(to string, f Frame) {
 	if to == "" || to == n.settings.Name {
 		return
@@ -311,7 +320,7 @@
 	n.emit(Send{To: to, Frame: f})
 }
 
-// save hands something to the disk; then goes on once it is there.
+// save writes a record, after those already queued, and calls onSaved once it is synced.
 func (n *Node) save(record Record, onSaved func()) {
 	if onSaved == nil {
 		onSaved = func() {}
@@ -324,6 +333,7 @@
 	n.emit(Save{Record: record})
 }
 
+// handleSaved continues what waited for a write, and starts the next queued one.
 func (n *Node) handleSaved(tookMS float64) {
 	if n.onSaved == nil {
 		return
@@ -344,8 +354,8 @@
 	}
 }
 
-// renewDue is when this gateway renews its lease. One that follows sees what it asked for agreed only when it asks how the log goes
-// on: while it waits for something it does so at every beat.
+// nextRenewal is when this gateway renews its lease next. A follower sees its commands committed only when it asks
+// for more of the log, which it does along with its renewals: while commands are pending it renews at every beat.
 func (n *Node) nextRenewal() float64 {
 	if n.raft == nil && n.founding != nil && len(n.pending) > 0 {
 		return min(n.renewAt, n.renewedAt+n.settings.Beat)
@@ -353,7 +363,7 @@
 	return n.renewAt
 }
 
-// handOver gives the lead to the voter that has most of the log.
+// transferLeadership transfers the leadership to the active voter with the longest log.
 func (n *Node) transferLeadership() {
 	if !n.isLeader() {
 		return
@@ -371,10 +381,11 @@
 	}
 }
 
-// Leads tells whether this gateway leads, as far as it knows.
+// Leads reports whether this gateway is the leader, as far as it knows.
 func (n *Node) Leads() bool { return n.isLeader() }
 
-// Incarnation is that of this process; 0 before the log has given it one, and once it asks for nothing more.
+// Incarnation returns that of this process; 0 before the log has assigned one, and after the process has left or
+// yielded.
 func (n *Node) Incarnation() uint64 {
 	if n.yielded || n.left {
 		return 0
@@ -382,11 +393,12 @@
 	return n.incarnation
 }
 
+// isLeader reports whether raft takes this gateway for the leader.
 func (n *Node) isLeader() bool {
 	return n.raft != nil && n.raft.BasicStatus().RaftState == raft.StateLeader
 }
 
-// voter is the identity of a name that votes; 0: it does not.
+// voterID returns the identity of the voter with that name; 0: there is none.
 func (n *Node) voterID(name string) uint64 {
 	for _, id := range n.conf.GetVoters() {
 		if n.nameOf(id) == name {
@@ -396,7 +408,7 @@
 	return 0
 }
 
-// name is whose an identity is, as far as anybody has said; empty: unknown.
+// nameOf returns the name that an identity belongs to, as far as known; empty: unknown.
 func (n *Node) nameOf(id uint64) string {
 	if m := n.memberByIdentity(id); m != nil {
 		return m.Name
@@ -411,33 +423,36 @@
 	return n.peerNames[id]
 }
 
-// postpone puts off the look for another leader, as one was heard of.
+// resetElectionTimer puts off the next election, as a leader was heard.
 func (n *Node) resetElectionTimer() {
 	n.leaderHeardAt, n.leaderForgotten = n.now, false
 	n.electionAt = n.now + n.settings.Election*(1.1+n.rng.Below())
 }
 
+// runTimers does what is due: heartbeats, elections, renewals, joins, retries, and read index requests.
 func (n *Node) runTimers() {
 	if n.onSaved != nil && !n.diskHung && n.now >= n.saveStarted+n.settings.SlowDisk {
 		n.diskHung = true
-		n.logInfo("this gateway's disk does not answer", "for_ms", math.Round(n.now-n.saveStarted))
+		n.logInfo("write to this gateway's disk hangs", "for_ms", math.Round(n.now-n.saveStarted))
 	}
 	if n.raft != nil && (n.onSaved == nil || n.isLeader()) {
 		if leads := n.isLeader(); leads && !n.wasLeader {
-			// Its beats begin now: those that it owed as a leader of long ago would have it find no majority at once.
+			// Heartbeats start now: those overdue from an earlier leadership would make it miss its quorum check at
+			// once.
 			n.heartbeatAt, n.wasLeader = n.now, true
 		} else {
 			n.wasLeader = leads
 		}
 		if n.isLeader() {
-			// It goes on while the disk is at work, so that one that hangs costs the lead. A process that was frozen owes no more than what lets it find out that it leads no more.
+			// Ticks go on during a write, so that a hung disk costs the leadership. A process that was suspended
+			// catches up only on as many ticks as it takes to find out that it has lost its quorum.
 			for n.now >= n.heartbeatAt && n.isLeader() {
 				if n.heartbeatAt += n.settings.Beat; n.heartbeatAt < n.now-2*n.settings.Election {
 					n.heartbeatAt = n.now
 				}
 				n.raft.Tick()
 				if n.diskSlow && n.raft.BasicStatus().LeadTransferee == 0 {
-					n.transferLeadership() // again, as nobody may have answered lately
+					n.transferLeadership() // repeated, as no voter may have been active lately
 				}
 			}
 			if n.isLeader() {
@@ -445,21 +460,23 @@
 			}
 		} else {
 			if n.now >= n.leaderHeardAt+n.settings.Election && !n.leaderForgotten {
-				// Only now does it let others look for a leader: before, it held to the one that it had heard of.
+				// Until now it refused votes to others, as raft does while the leader is alive.
 				n.leaderForgotten = true
 				n.raft.ForgetLeader()
 			}
 			if n.now >= n.electionAt {
 				n.electionAt = n.now + n.settings.Election*(0.5+n.rng.Below())
 				if n.roleOf(n.id.ID) != roleVoter {
-					// It was being brought up, or had its vote taken, and hears of nobody: it asks whether it still belongs.
+					// A learner, or a former voter, that hears no leader asks whether it still belongs to the
+					// configuration.
 					n.pickUpstream()
 					n.send(n.upstream, Frame{Kind: KindRemoved})
 				} else if !n.diskSlow {
 					n.raft.Campaign()
 				} else {
-					// Its last sync was slow, long ago maybe, or it was frozen amid it. It tries its disk again, else of slow ones alone nobody
-					// would ever stand; and it asks whether it still belongs, as it would find out by standing.
+					// The last sync was slow, maybe long ago, or the process was suspended during it. It tries the
+					// disk again, as otherwise nobody would campaign when all disks were slow once; and it asks
+					// whether it is still a voter, which campaigning would show.
 					n.save(Record{Starts: n.starts}, nil)
 					n.pickUpstream()
 					n.send(n.upstream, Frame{Kind: KindRemoved})
@@ -479,7 +496,8 @@
 	n.pollReadIndex()
 }
 
-// settle carries what raft has to say to the disk, then to the others and into the books, until nothing is left.
+// processReady passes raft's output to the disk, and once that is synced to the peers and the state machines, until
+// none is left.
 func (n *Node) processReady() {
 	for n.raft != nil && n.onSaved == nil && n.raft.HasReady() {
 		ready := n.raft.Ready()
@@ -488,7 +506,7 @@
 		}
 		record := Record{Hard: ready.HardState, Entries: ready.Entries}
 		if len(record.Entries) > 0 {
-			record.Marks = maps.Clone(n.highWaterMarks) // along with what is synced anyway
+			record.Marks = maps.Clone(n.highWaterMarks) // stored along with writes that happen anyway
 		}
 		if ready.Snapshot != nil && ready.Snapshot.GetMetadata().GetIndex() > 0 {
 			record.Snapshot = ready.Snapshot
@@ -502,6 +520,7 @@
 	}
 }
 
+// finishReady applies raft's output after it was synced.
 func (n *Node) finishReady(ready raft.Ready, record Record) {
 	if n.raft == nil {
 		return
@@ -510,7 +529,7 @@
 		if err := n.storage.ApplySnapshot(record.Snapshot); err == nil {
 			if err := n.restoreState(record.Snapshot.GetData(), record.Snapshot.GetMetadata().GetIndex()); err != nil {
 				n.broken, n.raft = true, nil
-				n.logInfo("a snapshot can't be read: this gateway votes no more until it is started anew", "error", err)
+				n.logInfo("a snapshot can't be read: this gateway does not vote until it is restarted", "error", err)
 				return
 			}
 			n.conf = record.Snapshot.GetMetadata().GetConfState()
@@ -521,7 +540,7 @@
 	}
 	if err := n.storage.Append(record.Entries); err != nil {
 		n.broken, n.raft = true, nil
-		n.logInfo("entries don't fit the log: this gateway votes no more until it is started anew", "error", err)
+		n.logInfo("entries don't fit the log: this gateway does not vote until it is restarted", "error", err)
 		return
 	}
 	for _, m := range ready.Messages {
@@ -544,7 +563,7 @@
 	n.compact()
 }
 
-// commit takes one entry that is agreed.
+// applyEntry applies a committed entry.
 func (n *Node) applyEntry(e *raftpb.Entry) {
 	switch e.GetType() {
 	case raftpb.EntryType_EntryConfChangeV2:
@@ -565,7 +584,7 @@
 	}
 }
 
-// apply takes one command in its place. What every gateway does here must be a function of the log alone.
+// applyCommand applies the command at an index. Its effect on replicated state must be a function of the log alone.
 func (n *Node) applyCommand(index uint64, data []byte) {
 	if index <= n.applied {
 		return
@@ -605,7 +624,7 @@
 	}
 }
 
-// told is what a member's change means here.
+// memberChanged notifies the observers of a changed member, and reacts to a change of this gateway itself.
 func (n *Node) memberChanged(c Command, result any) {
 	m, ok := result.(Member)
 	if !ok {
@@ -623,18 +642,18 @@
 	n.logInfo("member", "name", m.Name, "incarnation", m.Incarnation, "is", m.Standing.String(), "index", m.Since)
 	n.lastRenewal[m.Incarnation] = n.now
 	if c.Kind == cmdDoubled {
-		n.logInfo("a name is doubled: the older process is told to yield", "name", m.Name, "older", m.Doubled, "newer", m.Incarnation)
+		n.logInfo("two processes use one name: the older one has to yield", "name", m.Name, "older", m.Doubled, "newer", m.Incarnation)
 	}
 	if m.Name == n.settings.Name {
 		n.ownMemberChanged(m)
 	}
 }
 
-// own is what the log says of this gateway's own name.
+// ownMemberChanged handles what the log says of this gateway's own name.
 func (n *Node) ownMemberChanged(m Member) {
 	if m.Nonce == n.nonce && n.incarnation == 0 {
 		n.incarnation = m.Incarnation
-		for _, pending := range n.pending { // what was asked before this process had a name for itself
+		for _, pending := range n.pending { // commands submitted before the incarnation was known
 			n.seq++
 			pending.command.From, pending.command.Seq, pending.sentAt = n.incarnation, n.seq, math.Inf(-1)
 		}
@@ -643,12 +662,13 @@
 	}
 }
 
+// yieldToNewer fails all pending commands and proposes no more, as a newer process has joined under this name.
 func (n *Node) yieldToNewer() {
 	if n.yielded {
 		return
 	}
 	n.yielded = true
-	n.logInfo("a newer process of this name is there: this one asks for nothing more", "name", n.settings.Name)
+	n.logInfo("a newer process has joined under this name: this one proposes nothing more", "name", n.settings.Name)
 	for _, pending := range n.pending {
 		if pending.token != 0 {
 			n.emit(Outcome{Token: pending.token, Err: ErrYielded})
@@ -657,7 +677,7 @@
 	n.pending = nil
 }
 
-// compact lets go of entries that nobody needs, once enough have come together.
+// compact drops log entries that no voter is expected to need, once enough have accumulated.
 func (n *Node) compact() {
 	first, err := n.storage.FirstIndex()
 	if n.settings.Keep <= 0 || err != nil || n.applied < first+uint64(2*n.settings.Keep) || n.conf == nil {
@@ -671,18 +691,19 @@
 	n.save(Record{Snapshot: snapshot, Compact: compactIndex}, nil)
 }
 
+// setLeader notes a change of leader reported by raft.
 func (n *Node) setLeader(id uint64) {
 	name := n.nameOf(id)
 	if id == n.id.ID && id != 0 {
 		name = n.settings.Name
 		if n.leader != name {
-			// Nobody is lost for a change of leader: all have a whole lease from now on.
+			// A change of leader lets no lease expire: all members get a full lease from now on.
 			n.lastRenewal, n.proposedByLeader = map[uint64]float64{}, map[leaderProposal]float64{}
 			for _, m := range n.members.Names {
 				n.lastRenewal[m.Incarnation] = n.now
 			}
 			n.voterChange = voterChange{leaderSince: n.now}
-			n.readIndex.waiting, n.readIndex.inFlight = nil, nil // what another was asked comes again
+			n.readIndex.waiting, n.readIndex.inFlight = nil, nil // requests to an earlier leader are repeated by their senders
 		}
 	}
 	if name != n.leader {
--- a/internal/quorum/peers.go
+++ b/internal/quorum/peers.go
@@ -13,9 +13,11 @@
 	"poppymill/internal/canon"
 )
 
-// What one follower is given at a time, in bytes: it asks for more once it has that, so nobody else waits for it.
+// maxLogBatch limits the bytes of log entries sent to a follower at a time. It asks for more once it has them, so
+// other peers are not delayed by it.
 const maxLogBatch = 256 << 10
 
+// handleFrame processes a frame from a peer.
 func (n *Node) handleFrame(from string, f Frame) {
 	if from == n.settings.Name && f.Kind != KindYield {
 		return
@@ -31,7 +33,7 @@
 		}
 		if !n.foreignPeers[from] && len(n.foreignPeers) < n.settings.Members {
 			n.foreignPeers[from] = true
-			n.logInfo("a peer belongs to another fleet: nothing of it is heard", "name", from)
+			n.logInfo("a peer belongs to another fleet: its frames are ignored", "name", from)
 		}
 		return
 	}
@@ -70,17 +72,17 @@
 	}
 }
 
-// succeed joins the fleet that an operator made of what was left of this one.
+// joinSuccessorFleet joins the fleet that an operator recovered from a store of this one.
 func (n *Node) joinSuccessorFleet(f *Founding) {
 	if n.broken || n.onSaved != nil {
 		return
 	}
-	n.logInfo("this fleet was taken over by another, by an operator's hand: this gateway joins that one, as somebody else")
+	n.logInfo("an operator replaced this fleet by another: this gateway joins that one under a new identity")
 	n.resetIdentity(nil, f)
 }
 
-// hello is a peer that tells who it is. Founders found once all of them have said, to this very process, that they have
-// nothing; whoever belongs to a fleet tells those that don't.
+// handleHello handles the greeting of a peer. A fleet is founded once all founders have reported empty stores to this
+// very process; a member of a fleet passes its founding on to gateways that belong to none.
 func (n *Node) handleHello(from string, f Frame) {
 	if n.founding != nil {
 		if f.Cluster == 0 {
@@ -96,8 +98,8 @@
 	}
 }
 
-// found begins a fleet. Only the founder whose name comes first does, and only when all others have answered it lately that
-// their stores are empty: one that lost its store finds that the others have not lost theirs.
+// foundFleet founds a fleet. Only the founder whose name sorts first does, and only when all others have recently
+// answered it that their stores are empty: a founder that lost its store finds that the others have kept theirs.
 func (n *Node) foundFleet() {
 	names := slices.Sorted(slices.Values(n.settings.Founders))
 	if len(names) == 0 || names[0] != n.settings.Name || n.founding != nil || n.onSaved != nil || n.broken {
@@ -111,11 +113,11 @@
 		}
 		voters[name] = h.id
 	}
-	n.logInfo("founds a fleet", "voters", names)
-	n.adoptFounding(Frame{Founding: &Founding{Cluster: n.randomID(), Voters: voters}}) // the others are told once it is on the disk
+	n.logInfo("fleet founded", "voters", names)
+	n.adoptFounding(Frame{Founding: &Founding{Cluster: n.randomID(), Voters: voters}}) // the others get it once it is synced
 }
 
-// takeUp joins a fleet: as a voter from its beginning, or as one that follows.
+// adoptFounding joins a fleet: as one of its first voters, or as a follower.
 func (n *Node) adoptFounding(f Frame) {
 	if n.founding != nil || f.Founding == nil || f.Founding.Cluster == 0 || n.broken {
 		return
@@ -132,7 +134,7 @@
 	n.save(Record{Founding: n.founding, Snapshot: snapshot, Hard: store.Hard}, func() {
 		if err := n.startRaft(store); err != nil {
 			n.broken = true
-			n.logInfo("the log can't begin: this gateway votes no more until it is started anew", "error", err)
+			n.logInfo("raft can't start: this gateway does not vote until it is restarted", "error", err)
 		}
 		for _, name := range slices.Sorted(maps.Keys(n.founding.Voters)) {
 			n.send(name, Frame{Kind: KindFounding, Founding: n.founding})
@@ -140,18 +142,19 @@
 	})
 }
 
-// message is one of raft's.
+// handleRaftMessage passes a message on to raft.
 func (n *Node) handleRaftMessage(from string, f Frame) {
 	var m raftpb.Message
 	if n.broken || n.founding == nil || proto.Unmarshal(f.Data, &m) != nil || m.GetTo() != n.id.ID || m.GetFrom() != f.ID {
 		return
 	}
 	if t := m.GetType(); n.raft != nil && n.roleOf(f.ID) == roleNone && (t == raftpb.MessageType_MsgPreVote || t == raftpb.MessageType_MsgVote) {
-		// Either it was replaced while it was away, and goes by this word; or this gateway lags, and its vote counts all the same.
+		// Either the sender was replaced while it was away, and learns so from this answer; or this gateway lags, and
+		// its vote counts all the same.
 		n.send(from, Frame{Kind: KindRemoved, Voters: n.conf.GetVoters(), Applied: n.applied})
 	}
 	if n.raft == nil {
-		// A follower that the leader has begun to bring up as a voter.
+		// The leader has added this follower as a learner.
 		if t := m.GetType(); t != raftpb.MessageType_MsgApp && t != raftpb.MessageType_MsgSnap && t != raftpb.MessageType_MsgHeartbeat || n.onSaved != nil {
 			return
 		}
@@ -177,7 +180,7 @@
 	}
 }
 
-// propose takes a command of this gateway's own. It waits for a place in the log, however often it has to be sent.
+// propose queues a command of this gateway. It is sent until it is committed.
 func (n *Node) propose(p Propose) {
 	switch {
 	case n.yielded || n.left:
@@ -198,12 +201,13 @@
 	n.pending = append(n.pending, pending)
 }
 
-// retry sends what waits. One that comes before an earlier one was agreed does not count, and is sent again.
+// sendPending sends pending commands that are due. A command that is committed ahead of an earlier one is not
+// applied, and is sent again.
 func (n *Node) sendPending() {
 	var due []Command
 	for _, p := range n.pending {
 		if n.now >= p.expiresAt() {
-			// Its number has to be taken by something, as what comes later waits for it.
+			// Its sequence number must be used up, as later commands wait for it.
 			n.emit(Outcome{Token: p.token, Err: ErrGivenUp})
 			p.token, p.command = 0, Command{From: p.command.From, Seq: p.command.Seq, Book: membersBook, Kind: cmdNoop}
 		}
@@ -212,7 +216,8 @@
 		return
 	}
 	if n.outOfOrder && n.now >= n.reorderAt {
-		// One was lost on its way. If it waited for its time, whatever is new would come before it again and again, and none count.
+		// A command was lost on its way. If it waited for its regular retry, new commands would be committed ahead of
+		// it again and again, and none of them be applied.
 		n.outOfOrder, n.reorderAt = false, n.now+n.settings.Beat
 		for _, p := range n.pending {
 			p.sentAt = math.Inf(-1)
@@ -233,12 +238,13 @@
 	}
 }
 
-// ask brings commands to the leader, straight or by the voter that this gateway follows.
+// forward proposes commands at the leader, or sends them to it: directly from a voter, by way of the upstream voter
+// from a follower.
 func (n *Node) forward(commands []Command) {
 	switch {
 	case n.isLeader():
 		for _, c := range commands {
-			if len(c.Data) <= maxCommandSize { // a peer may have brought it
+			if len(c.Data) <= maxCommandSize { // not checked yet when a peer forwarded it
 				n.raft.Propose(canon.Encode(c))
 			}
 		}
@@ -249,7 +255,8 @@
 	}
 }
 
-// handOn takes commands that another gateway brings: the leader proposes them, another voter passes them on, once.
+// handleForwarded handles commands of another gateway: the leader proposes them, another voter passes those of a
+// follower on to the leader.
 func (n *Node) handleForwarded(from string, f Frame) {
 	if n.isLeader() {
 		n.forward(f.Commands)
@@ -258,7 +265,7 @@
 	}
 }
 
-// join asks for an incarnation, until the log has given one.
+// proposeJoin proposes the join of this process until the log has assigned an incarnation.
 func (n *Node) proposeJoin() {
 	if n.incarnation != 0 || n.founding == nil || n.left {
 		if n.incarnation != 0 {
@@ -278,25 +285,26 @@
 		Nonce: n.nonce, Identity: id, Incarnation: previous, Works: n.settings.Works, Starts: n.starts})}})
 }
 
+// leave announces that this process ends, and transfers a leadership.
 func (n *Node) leave() {
 	if n.left || n.incarnation == 0 {
 		n.left = true
 		return
 	}
-	// Said first: a leader that hands over takes no more commands.
+	// Proposed first: raft drops proposals during a leadership transfer.
 	n.forward([]Command{{Book: membersBook, Kind: cmdLeave, Data: canon.Encode(Member{Name: n.settings.Name, Incarnation: n.incarnation})}})
 	n.transferLeadership()
 	n.left = true
 }
 
-// renew says that this gateway is still there: a voter to the leader, with all that it gathered; another to the voter that
-// it follows; one that belongs to no fleet says hello to all it knows.
+// renew renews the lease of this gateway: a voter sends the leader all renewals it has collected, a follower sends
+// its own to its upstream voter. A gateway that belongs to no fleet sends a Hello to all known peers.
 func (n *Node) renew() {
 	if n.founding == nil {
 		for _, name := range slices.Sorted(maps.Keys(n.settings.Peers)) {
 			n.send(name, Frame{Kind: Hello, Nonce: n.nonce})
 		}
-		n.foundFleet() // one that founds alone hears nobody's hello
+		n.foundFleet() // a single founder gets no Hello
 		return
 	}
 	own := Renewal{Incarnation: n.incarnation, Name: n.settings.Name}
@@ -323,13 +331,14 @@
 	clear(n.pendingRenewals)
 }
 
-// pickHost chooses the voter to follow: spread by hash, the next one where the last did not answer.
+// pickUpstream chooses the voter to follow: spread by a hash of the name, and the next one when the last did not
+// answer.
 func (n *Node) pickUpstream() {
 	if n.upstream != "" && n.now < n.upstreamHeardAt+n.settings.Lease/2 {
 		return
 	}
 	voters := n.conf.GetVoters()
-	if len(voters) == 0 { // it has followed nothing yet
+	if len(voters) == 0 { // it has not received any of the log yet
 		voters = slices.Sorted(maps.Values(n.founding.Voters))
 	}
 	var names []string
@@ -338,7 +347,7 @@
 			names = append(names, name)
 		}
 	}
-	if slices.Sort(names); len(names) == 0 || n.applied == 0 && n.upstreamPicks > 2*len(names) { // those that founded may all be gone
+	if slices.Sort(names); len(names) == 0 || n.applied == 0 && n.upstreamPicks > 2*len(names) { // all founders may be gone by now
 		names = slices.Sorted(maps.Keys(n.settings.Peers))
 	}
 	if len(names) == 0 {
@@ -348,8 +357,8 @@
 	n.upstream, n.upstreamHeardAt = names[(int(xxhash.Sum64String(n.settings.Name)%1024)+n.upstreamPicks)%len(names)], n.now
 }
 
-// renewal is word of who is there. The leader notes it; another voter gathers it. Who is not a voter is told in turn how the
-// log goes on.
+// handleRenewals handles lease renewals. The leader records them, another voter collects them for the leader. A
+// follower gets the next part of the log in return.
 func (n *Node) handleRenewals(from string, f Frame) {
 	if n.raft == nil {
 		return
@@ -372,7 +381,7 @@
 	}
 }
 
-// alive notes at the leader that an incarnation was heard of.
+// noteRenewal records at the leader that an incarnation renewed its lease.
 func (n *Node) noteRenewal(r Renewal) {
 	n.lastRenewal[r.Incarnation] = n.now
 	m := n.members.Names[r.Name]
@@ -385,7 +394,7 @@
 	}
 }
 
-// sayOnce proposes what the leader itself has to say of a member, not again before that could be agreed.
+// proposeOnce proposes a command of the leader about a member, and does not repeat it within one election timeout.
 func (n *Node) proposeOnce(kind string, m Member) {
 	key := leaderProposal{m.Incarnation, kind}
 	if at, ok := n.proposedByLeader[key]; ok && n.now < at+n.settings.Election {
@@ -395,7 +404,7 @@
 	n.raft.Propose(canon.Encode(Command{Book: membersBook, Kind: kind, Data: canon.Encode(m)}))
 }
 
-// look is the leader's for leases that ran out: the one place that says who is silent.
+// checkLeases proposes at the leader that members with expired leases are silent. Nothing else does.
 func (n *Node) checkLeases() {
 	if n.incarnation != 0 && !n.left {
 		n.lastRenewal[n.incarnation] = n.now
@@ -425,13 +434,13 @@
 	}
 }
 
-// feed gives one that follows the next part of the log, or the state itself where the log no longer reaches back so far.
+// sendLog sends a follower the next part of the log, or a snapshot when the log has been compacted beyond that.
 func (n *Node) sendLog(follower string, previousIndex uint64) {
 	f := Frame{Kind: KindLog, Leader: n.leader, Applied: n.applied, PreviousIndex: previousIndex, Voters: n.conf.GetVoters()}
 	first, _ := n.storage.FirstIndex()
 	switch {
 	case previousIndex > n.applied:
-		return // this gateway itself lags, as after a start: its state would take the other back in time. It finds another to follow
+		return // this gateway itself lags, as after a start: its snapshot would set the follower back. The follower finds another upstream
 	case previousIndex+1 < first:
 		f.Snapshot = n.encodeState()
 	case previousIndex < n.applied:
@@ -450,7 +459,7 @@
 	n.send(follower, f)
 }
 
-// follow takes the next part of the log at one that does not vote.
+// handleLog applies the next part of the log at a follower.
 func (n *Node) handleLog(from string, f Frame) {
 	if n.raft != nil || from != n.upstream || n.founding == nil || f.PreviousIndex != n.applied {
 		return
@@ -465,7 +474,7 @@
 	}
 	if len(f.Snapshot) > 0 {
 		if n.restoreState(f.Snapshot, f.Applied) != nil {
-			n.applied, n.readIndex = 0, readIndexState{lastSeq: n.readIndex.lastSeq} // what was taken of it may be half: all is asked for anew
+			n.applied, n.readIndex = 0, readIndexState{lastSeq: n.readIndex.lastSeq} // it may be restored in part only: start over
 			return
 		}
 	} else {
@@ -474,12 +483,12 @@
 		}
 	}
 	if n.applied < f.Applied {
-		n.renewAt = n.now // there is more
+		n.renewAt = n.now // ask for the rest at once
 	}
 }
 
-// quiet keeps raft's own lines out of the log; what matters is said by Say. What raft finds impossible ends the process's part
-// in it: the driver takes the panic for a broken store.
+// discardLogger discards raft's own log lines; what matters is logged by this package. It panics where raft does on
+// an impossible state; the driver treats the panic like a broken store.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)                 {}
--- a/internal/quorum/readindex.go
+++ b/internal/quorum/readindex.go
@@ -6,38 +6,42 @@
 	"slices"
 )
 
-// Until when does this gateway know all that was agreed? Who has to stop doing something as soon as that may be agreed without its knowing
-// (answering from copies that were purged) asks the leader again and again. The leader answers with how far the log went once a majority
-// has said, after the question came, that it still leads; once this gateway has followed so far, it knows all that was agreed before it put
-// the question. Times are its own from one end to the other, so nothing rests on clocks of others, on a lease, or on how long a frame takes.
+// Freshness: the time up to which this gateway has seen all committed commands. A gateway that must stop an activity
+// as soon as a command that it has not seen may have been committed (serving copies that were purged) sends read
+// index requests to the leader continually. The leader answers with its commit index once a majority has confirmed,
+// after the request came, that it is still the leader. When this gateway has applied the log up to that index, it has
+// seen all that was committed before it sent the request. Both times are of its own clock, so nothing depends on
+// other clocks, on a lease, or on the delay of a frame.
 
-// sight is a gateway's part of it, and the leader's.
+// readIndexState holds the requests of a gateway, and those that it serves as the leader.
 type readIndexState struct {
 	known       bool
-	freshAsOf   float64            // it knows all that was agreed before then, by its own clock
-	nextRequest float64            // when it asks again
-	lastSeq     uint64             // of its last question
-	sentAt      map[uint64]float64 // questions without an answer, and when they were put
-	confirmed   []readIndexReply   // answers that it has not followed yet
+	freshAsOf   float64            // all commands committed before this time of its own clock have been applied
+	nextRequest float64            // when the next request is sent
+	lastSeq     uint64             // sequence number of the last request
+	sentAt      map[uint64]float64 // when each unanswered request was sent, by sequence number
+	confirmed   []readIndexReply   // answers whose index is not applied yet
 
-	waiting   map[string]Frame            // at the leader: who waits for the next round
-	round     uint64                      // of questions to the majority
-	inFlight  map[uint64]map[string]Frame // rounds that are under way
-	nextRound float64                     // when there may be another
+	waiting   map[string]Frame            // at the leader: requests for the next round, by sender
+	round     uint64                      // number of the last round of confirmation by the majority
+	inFlight  map[uint64]map[string]Frame // requests of the rounds in progress, by round
+	nextRound float64                     // earliest time of the next round
 }
 
+// readIndexReply is an answer: when its request was sent, and the commit index confirmed after that.
 type readIndexReply struct {
 	sentAt float64
 	index  uint64
 }
 
-// mostPut bounds the questions without an answer, and the leader's rounds under way.
+// maxInFlight limits the unanswered requests, and the rounds in progress at the leader.
 const maxInFlight = 16
 
-// Sight is the time, by its own clock, until which this gateway knows all that was agreed; false: it never did.
+// Sight returns the time of its own clock up to which this gateway has seen all committed commands; false: not known
+// yet.
 func (n *Node) Sight() (float64, bool) { return n.readIndex.freshAsOf, n.readIndex.known }
 
-// lookOut asks, and has the leader put to the majority what was asked.
+// pollReadIndex sends a request when one is due, and starts a round of confirmation at the leader.
 func (n *Node) pollReadIndex() {
 	state := &n.readIndex
 	if n.settings.Sight <= 0 || n.founding == nil {
@@ -68,7 +72,7 @@
 	}
 }
 
-// sightDue is when it has something to do for that.
+// readIndexDue returns when pollReadIndex has something to do; false: nothing.
 func (n *Node) readIndexDue() (due float64, ok bool) {
 	if n.settings.Sight <= 0 || n.founding == nil {
 		return 0, false
@@ -82,7 +86,7 @@
 	return 0, false
 }
 
-// sightAsked is a question at the leader; another lets it fall, and it comes again.
+// handleReadIndex queues a request at the leader. Other gateways drop it, and the sender repeats it.
 func (n *Node) handleReadIndex(from string, f Frame) {
 	if !n.isLeader() {
 		return
@@ -95,7 +99,8 @@
 	}
 }
 
-// confirmed answers all that was asked before a round: a majority says that this gateway led when it began.
+// readIndexConfirmed answers the requests of a round: a majority confirmed that this gateway was the leader when the
+// round began.
 func (n *Node) readIndexConfirmed(context []byte, index uint64) {
 	if len(context) != 8 {
 		return
@@ -112,7 +117,7 @@
 	}
 }
 
-// seen is an answer.
+// handleReadIndexReply records an answer.
 func (n *Node) handleReadIndexReply(echo, index uint64) {
 	sentAt, known := n.readIndex.sentAt[echo]
 	if !known {
@@ -124,7 +129,7 @@
 	}
 }
 
-// catchUp takes what was answered and is followed by now.
+// advanceFreshness consumes the answers whose index has been applied.
 func (n *Node) advanceFreshness() {
 	state := &n.readIndex
 	state.confirmed = slices.DeleteFunc(state.confirmed, func(reply readIndexReply) bool {
--- a/internal/quorum/recover.go
+++ b/internal/quorum/recover.go
@@ -10,31 +10,32 @@
 	"poppymill/internal/chance"
 )
 
-// Leaper is a Book that gives out numbers which must stay above all that were given out before, also where it is not known which
-// those were.
+// TokenAllocator is a Book that gives out numbers which must be higher than all given out before, also when those are
+// not known. Leap skips a range that none of them can have reached.
 type TokenAllocator interface{ Leap() }
 
-// leap is by how much incarnations rise when a fleet is made of what is left of another: more than were given out after the store
-// that is left was written.
+// incarnationLeap is added to the last incarnation when a fleet is recovered from a store: more than can have been
+// assigned since that store was written.
 const incarnationLeap = 1 << 32
 
-// Recovery is what a store holds of a fleet, and what is made of it.
+// Recovery describes the fleet that a store belongs to, and the one recovered from it.
 type Recovery struct {
 	Name     string   `json:"name"`
 	Fleet    uint64   `json:"fleet"`
 	Identity uint64   `json:"identity"`
 	Starts   uint64   `json:"starts"`
 	Term     uint64   `json:"term"`
-	Agreed   uint64   `json:"agreed"` // as far as the store itself knows
-	Last     uint64   `json:"last"`   // the newest entry in it
+	Agreed   uint64   `json:"agreed"` // commit index known to the store
+	Last     uint64   `json:"last"`   // index of its last entry
 	Voters   []string `json:"voters"`
 	Members  int      `json:"members"`
-	Next     uint64   `json:"next_fleet,omitempty"` // 0: nothing was made of it
+	Next     uint64   `json:"next_fleet,omitempty"` // 0: none was recovered
 }
 
-// Recover makes another fleet of a store whose own has lost its majority for good: it votes alone there, whatever the store holds
-// counts as agreed, and incarnations and tokens leap above all that can have been given out. The record is to be written to that
-// store, of which nobody may hold another copy in use. Books are those that the gateway has; nonce is drawn anew.
+// Recover creates a new fleet from a store whose fleet has lost its majority for good. Its gateway is the only voter,
+// all entries in the store count as committed, and incarnations and tokens skip all that can have been given out. The
+// record is to be written to that store; no other copy of the store may be in use. Books are the state machines of
+// the gateway; the nonce must be drawn anew.
 func Recover(store Store, books map[string]Book, nonce uint64) (Record, Recovery, error) {
 	report := Recovery{Name: store.Identity.Name, Identity: store.Identity.ID, Starts: store.Starts}
 	switch {
--- a/internal/quorum/report.go
+++ b/internal/quorum/report.go
@@ -6,26 +6,26 @@
 	"go.etcd.io/raft/v3"
 )
 
-// Report is what a gateway knows of the agreement, for people and for scripts.
+// Report is the state of the replicated log as seen by a gateway, for operators and scripts.
 type Report struct {
 	Name        string         `json:"name"`
 	Cluster     uint64         `json:"fleet"`
 	Identity    uint64         `json:"identity"`
 	Incarnation uint64         `json:"incarnation"`
-	Role        string         `json:"role"` // leader, voter, candidate, follower, none, broken or yielded
+	Role        string         `json:"role"`
 	Leader      string         `json:"leader"`
 	Term        uint64         `json:"term"`
 	Applied     uint64         `json:"applied"`
-	Age         float64        `json:"age_ms"` // since it last heard of whom its view comes from
+	Age         float64        `json:"age_ms"` // since it last heard from the leader or its upstream voter
 	Voters      []string       `json:"voters"`
-	Moving      bool           `json:"moving"`   // a vote is on its way to another: until it is there, a majority of those before and of those after is needed
-	Majority    bool           `json:"majority"` // as far as can be told from here
-	Open        int            `json:"open"`     // commands of its own that wait to be agreed
-	Frames      uint64         `json:"frames"`   // sent to peers since its start
+	Moving      bool           `json:"moving"`   // a joint configuration is in effect: it needs a majority of both the old and the new voters
+	Majority    bool           `json:"majority"` // whether a majority can commit, as far as this gateway knows
+	Open        int            `json:"open"`     // its uncommitted commands
+	Frames      uint64         `json:"frames"`   // sent to peers since the start
 	Members     []MemberReport `json:"members"`
 }
 
-// MemberReport is one member in a report.
+// MemberReport is one member in a Report.
 type MemberReport struct {
 	Name        string  `json:"name"`
 	Zone        string  `json:"zone"`
@@ -35,10 +35,10 @@
 	Since       uint64  `json:"since"`
 	Losses      uint64  `json:"losses"`
 	Votes       bool    `json:"votes"`
-	Heard       float64 `json:"heard_ms,omitempty"` // at the leader: since it was last heard of
+	Heard       float64 `json:"heard_ms,omitempty"` // at the leader: since its last renewal
 }
 
-// Report tells how things stand.
+// Report returns the current state.
 func (n *Node) Report(now float64) Report {
 	report := Report{Name: n.settings.Name, Identity: n.id.ID, Incarnation: n.incarnation, Leader: n.leader, Applied: n.applied, Open: len(n.pending), Role: "follower"}
 	if n.founding != nil {
@@ -65,7 +65,7 @@
 		report.Age = max(0, now-n.upstreamHeardAt)
 	}
 	if report.Majority = n.leader != "" && report.Age < n.settings.Election; n.isLeader() {
-		// It steps down once it hears no majority; until then only a disk that does not answer keeps it from agreeing.
+		// A leader that loses its majority steps down; until then only a hung disk keeps it from committing.
 		report.Age, report.Majority = 0, !n.diskHung
 	}
 	for _, member := range n.members.All() {
@@ -83,7 +83,7 @@
 	return report
 }
 
-// Address is where a peer is reached: as this gateway was told at its start, else as the peer itself said.
+// Address returns the address of a peer: the one configured at the start, else the one in the peer's own join.
 func (n *Node) Address(name string) string {
 	if a := n.settings.Peers[name]; a != "" {
 		return a
@@ -94,8 +94,8 @@
 	return ""
 }
 
-// Voters are the names of those that vote, sorted; nobody while one of them is not known by name, or a vote is on its way from one to
-// another: until it is there, whoever had it is needed as well.
+// Voters returns the names of the voters, sorted. It returns nil while one of them is not known by name, or during a
+// joint configuration, in which the outgoing voters are needed as well.
 func (n *Node) Voters() (names []string) {
 	if len(n.conf.GetVotersOutgoing()) > 0 {
 		return nil
--- a/internal/quorum/storecheck.go
+++ b/internal/quorum/storecheck.go
@@ -10,31 +10,32 @@
 	"poppymill/internal/canon"
 )
 
-// A store that is put back from an old copy would let its gateway vote twice in a term, or forget what it has confirmed. So one
-// that starts with a store takes no part before it has asked the others what they know of its identity: all that vote, or, where
-// some do not answer, for one election time. Whatever proves the store to be an old copy, then or later, costs it its identity.
+// A store restored from a backup could let its gateway vote twice in a term, or forget entries it has acknowledged.
+// So a gateway that starts with a store takes no part before it has asked its peers what they know of its identity:
+// all voters, or, when some do not answer, for one election timeout. Evidence that the store is an old copy, during
+// the check or later, voids the identity.
 
-// Known is what a gateway knows of another's identity.
+// StoreEvidence is what a gateway knows of the store of another identity.
 type StoreEvidence struct {
 	Mark    HighWaterMark `cbor:"1,keyasint"`
-	Starts  uint64        `cbor:"2,keyasint"` // of its store, as the log tells
-	Nonce   uint64        `cbor:"3,keyasint"` // of the process that started it then
-	Applied uint64        `cbor:"4,keyasint"` // how far the one that answers has followed the log
+	Starts  uint64        `cbor:"2,keyasint"` // how often the store was opened, according to the log
+	Nonce   uint64        `cbor:"3,keyasint"` // of the process that opened it then
+	Applied uint64        `cbor:"4,keyasint"` // the applied index of the gateway that answers
 }
 
-// proof is a question that is on its way.
+// storeCheck is the check of this gateway's own store that is in progress.
 type storeCheck struct {
 	deadline, nextQuery float64
-	awaiting            map[string]bool // whose answer is waited for
+	awaiting            map[string]bool // voters that have not answered yet
 }
 
-// mark notes what a message of raft's proves of its sender's store: what is sent was synced before.
+// noteHighWaterMark records what a raft message proves of its sender's store: raft syncs before it sends.
 func (n *Node) noteHighWaterMark(m *raftpb.Message) {
 	mark := n.highWaterMarks[m.GetFrom()]
 	logTerm, index := uint64(0), uint64(0)
 	switch m.GetType() {
 	case raftpb.MessageType_MsgPreVote, raftpb.MessageType_MsgPreVoteResp:
-		return // of a term that nobody has yet
+		return // their term is only proposed and not stored
 	case raftpb.MessageType_MsgApp:
 		if logTerm, index = m.GetLogTerm(), m.GetIndex(); len(m.Entries) > 0 {
 			last := m.Entries[len(m.Entries)-1]
@@ -56,7 +57,7 @@
 	}
 }
 
-// prove begins to ask.
+// startStoreCheck starts the check.
 func (n *Node) startStoreCheck() {
 	check := &storeCheck{deadline: n.now + n.settings.Election, nextQuery: n.now, awaiting: map[string]bool{}}
 	for _, id := range n.conf.GetVoters() {
@@ -65,20 +66,20 @@
 		}
 	}
 	if n.storeCheck = check; len(check.awaiting) == 0 && len(n.settings.Peers) == 0 && len(n.members.Names) < 2 {
-		n.storeCheck = nil // nobody can know
+		n.storeCheck = nil // no peer can know of the store
 	}
 }
 
-// proving asks again, or is over.
+// runStoreCheck repeats the queries, or ends the check at its deadline.
 func (n *Node) runStoreCheck() {
 	check := n.storeCheck
-	if n.onSaved != nil { // that it was started once more has to be on its disk first
+	if n.onSaved != nil { // the count of starts has to be synced first
 		check.deadline, check.nextQuery = max(check.deadline, n.now+n.settings.Beat), max(check.nextQuery, n.now+n.settings.Beat/2)
 		return
 	}
 	if n.now >= check.deadline {
 		if len(check.awaiting) > 0 {
-			n.logInfo("takes part without having heard of its store from all that vote", "unheard", slices.Sorted(maps.Keys(check.awaiting)))
+			n.logInfo("takes part although not all voters have answered about its store", "unheard", slices.Sorted(maps.Keys(check.awaiting)))
 		}
 		n.storeCheck = nil
 		n.resetElectionTimer()
@@ -100,7 +101,7 @@
 	}
 }
 
-// testify answers what this gateway knows of an identity.
+// answerStoreQuery sends what this gateway knows of the sender's identity.
 func (n *Node) answerStoreQuery(from string, f Frame) {
 	evidence := StoreEvidence{Mark: n.highWaterMarks[f.ID], Applied: n.applied}
 	if m := n.memberByIdentity(f.ID); m != nil {
@@ -109,7 +110,7 @@
 	n.send(from, Frame{Kind: KindStoreReply, EchoNonce: f.Nonce, Data: canon.Encode(evidence)})
 }
 
-// proven takes an answer, in time or late.
+// handleStoreReply handles the answer to a query, also one that comes after the check.
 func (n *Node) handleStoreReply(from string, f Frame) {
 	var evidence StoreEvidence
 	if f.EchoNonce != n.nonce || n.raft == nil || canon.Decode(f.Data, &evidence) != nil {
@@ -123,11 +124,11 @@
 	case evidence.Starts >= n.starts && evidence.Nonce != n.nonce:
 		reason = "it was started as often before"
 	case evidence.Mark.Term > max(hard.GetTerm(), n.raft.BasicStatus().GetTerm()):
-		reason = "it has taken part in a newer term"
+		reason = "it has taken part in a higher term"
 	case cmp.Or(cmp.Compare(evidence.Mark.LogTerm, term), cmp.Compare(evidence.Mark.Index, index)) > 0:
-		reason = "it has held more of the log"
+		reason = "it has held later log entries"
 	case evidence.Applied > index && len(n.conf.GetVoters()) == 1:
-		reason = "more was agreed, by nobody but itself"
+		reason = "later entries were committed while it was the only voter"
 	}
 	if reason != "" {
 		n.revokeIdentity(reason, from)
@@ -142,15 +143,15 @@
 	}
 }
 
-// old has this gateway give up an identity whose store is an old copy, once what is on its way to the disk is there.
+// revokeIdentity voids the identity of a store that is an old copy. It is dropped once no write is in progress.
 func (n *Node) revokeIdentity(reason, source string) {
 	if n.revokedReason == "" {
 		n.revokedReason = reason
-		n.logInfo("this gateway's store is an old copy: it votes by it no more, and joins as somebody else", "why", reason, "says", source)
+		n.logInfo("this gateway's store is an old copy: it does not vote with it and joins under a new identity", "why", reason, "says", source)
 	}
 }
 
-// oldStore is the log's word that a store that joined is an old copy.
+// storeRejected handles a join rejected in the log because its store is an old copy.
 func (n *Node) storeRejected(c Command) {
 	var joining Member
 	if canon.Decode(c.Data, &joining) == nil && joining.Nonce == n.nonce && joining.Identity == n.id.ID {
--- a/internal/quorum/voters.go
+++ b/internal/quorum/voters.go
@@ -6,24 +6,26 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// council is what a leader has in hand of who votes: one change at a time, and none before it has led for as long as a voter
-// must be gone, so that a restart of all replaces nobody.
+// voterChange is a leader's state for changes of the voter set. It makes one change at a time, and none before it has
+// led for as long as a voter must be gone, so that a restart of the whole fleet replaces no voter.
 type voterChange struct {
 	leaderSince  float64
-	goneSince    map[uint64]float64 // since when each voter is, by identity
-	proposedAt   float64            // when the last change was asked for
-	learnerSince float64            // when the one that is brought up was begun with
+	goneSince    map[uint64]float64 // when each unreachable voter was first found gone, by identity
+	proposedAt   float64            // when the last change was proposed
+	learnerSince float64            // when the current learner was added
 }
 
-// part is what an identity has in the council.
+// voterRole is the role of an identity in the raft configuration.
 type voterRole int
 
+// The roles. In a joint configuration an outgoing voter is still a voter.
 const (
 	roleNone voterRole = iota
 	roleLearner
 	roleVoter
 )
 
+// roleOf returns the role of an identity in the current configuration.
 func (n *Node) roleOf(id uint64) voterRole {
 	switch {
 	case slices.Contains(n.conf.GetVoters(), id) || slices.Contains(n.conf.GetVotersOutgoing(), id):
@@ -34,8 +36,9 @@
 	return roleNone
 }
 
-// choose replaces a voter that is gone for long: another is brought up without a vote, and gets it in the one act that takes it
-// from the other. Never where a majority of those that vote is not there without it, as the change itself needs one.
+// replaceVoters replaces a voter that has been gone for long: another gateway is added as a learner, and is promoted
+// in the same joint configuration change that removes the old voter. Nothing is proposed unless a majority of the
+// voters is active without the one that is gone, as the change itself needs a majority.
 func (n *Node) replaceVoters() {
 	if n.settings.Replace <= 0 || !n.isLeader() || len(n.conf.GetVotersOutgoing()) > 0 || n.now < n.voterChange.proposedAt+n.settings.Election {
 		return
@@ -52,7 +55,7 @@
 			active++
 			delete(n.voterChange.goneSince, id)
 			if gone == 0 && id != n.id.ID && n.retiring[member.Name] {
-				gone = id // it is there, and is about to go: another has its vote first
+				gone = id // still active, but about to go down: its vote is moved first
 			}
 			continue
 		}
@@ -70,13 +73,13 @@
 		learnerProgress := progress[id]
 		switch {
 		case member == nil || member.Standing != Joined || gone == 0 && !n.tooFewVoters() || n.now > n.voterChange.learnerSince+4*n.settings.Replace:
-			// It went itself, or the one that it was to stand for is back.
-			n.proposeConfChange("is not brought up any more", id, raftpb.ConfChangeType_ConfChangeRemoveNode)
+			// The learner is gone, or the voter it was to replace is back.
+			n.proposeConfChange("learner removed", id, raftpb.ConfChangeType_ConfChangeRemoveNode)
 		case 2*active > len(n.conf.GetVoters()) && learnerProgress.Match+16 > n.applied && learnerProgress.Match > 0:
 			if gone != 0 {
-				n.proposeConfChange("votes in the place of another", id, raftpb.ConfChangeType_ConfChangeAddNode, gone)
+				n.proposeConfChange("learner replaces a voter", id, raftpb.ConfChangeType_ConfChangeAddNode, gone)
 			} else {
-				n.proposeConfChange("votes as well", id, raftpb.ConfChangeType_ConfChangeAddNode)
+				n.proposeConfChange("learner becomes a voter", id, raftpb.ConfChangeType_ConfChangeAddNode)
 			}
 		}
 		return
@@ -100,11 +103,11 @@
 		return
 	}
 	n.voterChange.learnerSince = n.now
-	n.proposeConfChange("is brought up to vote", candidate.Identity, raftpb.ConfChangeType_ConfChangeAddLearnerNode)
+	n.proposeConfChange("learner added", candidate.Identity, raftpb.ConfChangeType_ConfChangeAddLearnerNode)
 }
 
-// Retire names gateways that are about to go for a while, in place of those named before: who of them votes has its vote taken over by
-// another first, and who of them leads hands over.
+// Retire names the gateways that are about to go down for a while, replacing the names given before. The vote of a
+// retiring voter is moved to another gateway first, and a retiring leader transfers its leadership.
 func (n *Node) Retire(names []string) {
 	clear(n.retiring)
 	for _, name := range names {
@@ -115,8 +118,8 @@
 	}
 }
 
-// few tells whether fewer vote than are to, as after a majority was lost for good. None is added beside one that is gone: of the two
-// that would then vote one alone is no majority.
+// tooFewVoters reports whether the fleet has fewer voters than configured, as after the loss of a majority. No voter
+// is added while another one is gone: of the resulting two voters, one alone is no majority.
 func (n *Node) tooFewVoters() bool {
 	target := n.settings.Votes
 	if target == 0 {
@@ -125,8 +128,9 @@
 	return len(n.conf.GetVoters()) < target && len(n.voterChange.goneSince) == 0 && n.now >= n.voterChange.leaderSince+n.settings.Lease
 }
 
-// welcome makes a snapshot for one that is brought up: it names it, without which it could not be taken, and holds the state as
-// it is now. The log from its beginning would have it live through grants long past.
+// snapshotForLearner takes a snapshot when a learner is added. The learner has to be in the snapshot's configuration,
+// or raft would refuse to install it there, and the snapshot holds the current state: replaying the log from its
+// beginning would take the learner through grants that are long over.
 func (n *Node) snapshotForLearner() {
 	if !n.isLeader() || len(n.conf.GetLearners()) == 0 {
 		return
@@ -136,7 +140,8 @@
 	}
 }
 
-// of is the member whose store an identity is; nil where its store is lost, or its name is forgotten.
+// memberByIdentity returns the member whose store has the identity; nil when that store was lost or the member's name
+// was evicted.
 func (n *Node) memberByIdentity(id uint64) *Member {
 	for _, member := range n.members.All() {
 		if member.Identity == id {
@@ -146,6 +151,7 @@
 	return nil
 }
 
+// proposeConfChange proposes a change of one identity's role, along with the removal of others.
 func (n *Node) proposeConfChange(description string, id uint64, changeType raftpb.ConfChangeType, remove ...uint64) {
 	confChange := &raftpb.ConfChangeV2{Changes: []*raftpb.ConfChangeSingle{{Type: &changeType, NodeId: &id}}}
 	for _, removedID := range remove {
@@ -156,10 +162,12 @@
 	if err := n.raft.ProposeConfChange(confChange); err != nil {
 		return
 	}
-	n.logInfo("council: "+description, "name", n.nameOf(id), "voters", len(n.conf.GetVoters()))
+	n.logInfo("voter change: "+description, "name", n.nameOf(id), "voters", len(n.conf.GetVoters()))
 }
 
-// removed is word that this identity votes no more. It is over for good: who had it follows, as somebody else.
+// handleRemoved handles KindRemoved. Without voters it is a question whether the sender still has a role in the
+// configuration, and is answered only when it has none. With voters it tells this gateway that its vote was given to
+// another one: the identity is void for good, and the gateway follows under a new one.
 func (n *Node) handleRemoved(from string, f Frame) {
 	if len(f.Voters) == 0 {
 		if n.raft != nil && n.conf != nil && n.roleOf(f.ID) == roleNone {
@@ -170,20 +178,21 @@
 	if n.raft == nil || n.onSaved != nil || slices.Contains(f.Voters, n.id.ID) || f.Applied < n.applied || n.isLeader() {
 		return
 	}
-	n.logInfo("this gateway's vote was given to another while it was away: it follows, as somebody else")
+	n.logInfo("this gateway's vote was given to another gateway while it was away: it follows under a new identity")
 	n.resetIdentity(&raftpb.ConfState{Voters: f.Voters}, nil)
 }
 
-// anew has this gateway give up its identity, and all that its store holds of the log: from now on it follows, as somebody else.
+// resetIdentity drops this gateway's identity and all that its store holds of the log. From then on it follows under
+// a new identity.
 func (n *Node) resetIdentity(conf *raftpb.ConfState, founding *Founding) {
 	n.id = Identity{ID: n.randomID(), Name: n.settings.Name}
 	n.raft, n.storage, n.leader, n.upstream, n.storeCheck, n.revokedReason = nil, nil, "", "", nil, ""
 	n.conf = conf
 	n.applied, n.readIndex = 0, readIndexState{lastSeq: n.readIndex.lastSeq}
-	n.incarnation, n.seq, n.joinAt = 0, 0, n.now // its store is another, so it joins as another
+	n.incarnation, n.seq, n.joinAt = 0, 0, n.now // with a new store identity it has to join again
 	n.nonce += 2
 	n.starts = 1
-	for _, pending := range n.pending { // they may have been agreed: under another incarnation they would count once more
+	for _, pending := range n.pending { // these may have been committed: proposed under another incarnation they would be applied twice
 		if pending.token != 0 {
 			n.emit(Outcome{Token: pending.token, Err: ErrGivenUp})
 		}
