--- a/internal/quorum/fuzz_test.go
+++ b/internal/quorum/fuzz_test.go
@@ -7,47 +7,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Whatever bytes come as a frame are refused or read as what they say; what is read harms neither a gateway that belongs to no
-// fleet nor one that follows.
+// Any bytes are rejected or decoded consistently as a frame; a decoded frame harms neither a gateway that belongs to
+// no fleet nor a follower.
 func FuzzFrame(f *testing.F) {
-	for _, x := range []Frame{{Kind: Hello, ID: 7, Nonce: 3, EchoNonce: 1}, {Kind: KindFounding, Founding: &Founding{Cluster: 5, Voters: map[string]uint64{"v0": 1}}},
+	for _, frame := range []Frame{{Kind: Hello, ID: 7, Nonce: 3, EchoNonce: 1}, {Kind: KindFounding, Founding: &Founding{Cluster: 5, Voters: map[string]uint64{"v0": 1}}},
 		{Kind: KindRenew, Nonce: 9, Renewals: []Renewal{{Incarnation: 1, Name: "f0"}}}, {Kind: KindLog, Leader: "v0", Applied: 3, Entries: [][]byte{{1}}, Voters: []uint64{1}},
 		{Kind: KindLog, Snapshot: []byte("no state"), Applied: 9}, {Kind: KindPropose, Commands: []Command{{Book: "members", Kind: cmdJoin}}}, {Kind: KindYield}, {Kind: KindRemoved, Voters: []uint64{4}}} {
-		f.Add(x.Append(nil)[FrameHead:], uint32(0))
+		f.Add(frame.Append(nil)[FrameHead:], uint32(0))
 	}
 	f.Add([]byte{0xa1, 0x01}, uint32(1))
-	f.Fuzz(func(t *testing.T, content []byte, spoil uint32) {
+	f.Fuzz(func(t *testing.T, content []byte, checksumMask uint32) {
 		var head [FrameHead]byte
 		binary.BigEndian.PutUint32(head[:], uint32(len(content)))
-		binary.BigEndian.PutUint64(head[4:], xxhash.Sum64(content)^uint64(spoil))
+		binary.BigEndian.PutUint64(head[4:], xxhash.Sum64(content)^uint64(checksumMask))
 		if n, err := Length(head); err != nil || n != len(content) {
 			return
 		}
-		x, err := Read(head, content)
-		if spoil != 0 && err == nil {
-			t.Fatal("a wrong checksum was taken")
+		frame, err := Read(head, content)
+		if checksumMask != 0 && err == nil {
+			t.Fatal("a wrong checksum was accepted")
 		}
 		if err != nil {
 			return
 		}
-		text := x.Append(nil)
+		encoded := frame.Append(nil)
 		var again [FrameHead]byte
-		copy(again[:], text)
-		if y, err := Read(again, text[FrameHead:]); err != nil || string(y.Append(nil)) != string(text) {
-			t.Fatalf("read as %+v, then %+v, %v", x, y, err)
+		copy(again[:], encoded)
+		if y, err := Read(again, encoded[FrameHead:]); err != nil || string(y.Append(nil)) != string(encoded) {
+			t.Fatalf("decoded as %+v, then %+v, %v", frame, y, err)
 		}
 		set := Defaults()
 		set.Name, set.Peers, set.Founders = "f0", map[string]string{"v0": "a", "v1": "b"}, []string{"f0", "v0", "v1"}
-		for _, held := range []Store{{}, {Identity: Identity{ID: 3, Name: "f0"}, Founding: &Founding{Cluster: x.Cluster, Voters: map[string]uint64{"v0": 1}}}} {
-			n, err := New(set, held, map[string]Book{"ledger": &ledger{}}, 11, 0)
+		for _, store := range []Store{{}, {Identity: Identity{ID: 3, Name: "f0"}, Founding: &Founding{Cluster: frame.Cluster, Voters: map[string]uint64{"v0": 1}}}} {
+			n, err := New(set, store, map[string]Book{"ledger": &ledger{}}, 11, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
 			n.Handle(1, Saved{})
 			n.upstream = "v0"
 			for i := range 3 {
-				if x.Kind != KindRaft { // raft itself takes only what its own peers say
-					n.Handle(float64(2+i), Received{From: "v0", Frame: x})
+				if frame.Kind != KindRaft { // raft accepts only messages of its own peers
+					n.Handle(float64(2+i), Received{From: "v0", Frame: frame})
 				}
 				n.Handle(float64(2+i), Saved{})
 			}
@@ -55,40 +55,40 @@
 	})
 }
 
-// A large frame goes out in pieces and comes back whole, with others in between; pieces that don't fit are refused.
+// A large frame is sent in fragments and reassembled, with other frames in between; invalid fragments are rejected.
 func TestFragments(t *testing.T) {
 	large := Frame{Kind: KindLog, Applied: 9, Snapshot: make([]byte, 3*MaxFragmentSize+17)}
 	large.Snapshot[MaxFragmentSize] = 7
-	var j Joiner
-	var got Frame
-	pieces := large.Pieces()
-	for i, b := range pieces {
+	var joiner Joiner
+	var joined Frame
+	fragments := large.Pieces()
+	for i, b := range fragments {
 		var head [FrameHead]byte
 		copy(head[:], b)
 		if n, err := Length(head); err != nil || n != len(b)-FrameHead {
-			t.Fatalf("piece %d: %d, %v", i, n, err)
+			t.Fatalf("fragment %d: %d, %v", i, n, err)
 		}
 		f, err := Read(head, b[FrameHead:])
 		if err != nil {
 			t.Fatal(err)
 		}
-		if x, whole, err := j.Join(Frame{Kind: KindYield, Nonce: 3}); err != nil || !whole || x.Nonce != 3 {
-			t.Fatalf("in between: %+v, %v", x, err)
+		if x, whole, err := joiner.Join(Frame{Kind: KindYield, Nonce: 3}); err != nil || !whole || x.Nonce != 3 {
+			t.Fatalf("a frame in between: %+v, %v", x, err)
 		}
-		x, whole, err := j.Join(f)
-		if err != nil || whole != (i == len(pieces)-1) {
-			t.Fatalf("piece %d of %d: %t, %v", i, len(pieces), whole, err)
+		x, whole, err := joiner.Join(f)
+		if err != nil || whole != (i == len(fragments)-1) {
+			t.Fatalf("fragment %d of %d: %t, %v", i, len(fragments), whole, err)
 		}
-		got = x
+		joined = x
 	}
-	if string(got.Append(nil)) != string(large.Append(nil)) || len(pieces) < 4 {
-		t.Errorf("%d pieces make something else", len(pieces))
+	if string(joined.Append(nil)) != string(large.Append(nil)) || len(fragments) < 4 {
+		t.Errorf("%d fragments make another frame", len(fragments))
 	}
 	for _, f := range []Frame{{Kind: KindFragment}, {Kind: KindFragment, Applied: MostWhole + 1, Data: []byte{1}}, {Kind: KindFragment, Applied: 5, Data: make([]byte, 9)},
 		{Kind: KindFragment, Applied: MaxFragmentSize + 1, Data: make([]byte, MaxFragmentSize+1)}} {
-		var j Joiner
-		if _, whole, err := j.Join(f); err == nil || whole {
-			t.Errorf("a piece of %d bytes of %d is taken", len(f.Data), f.Applied)
+		var joiner Joiner
+		if _, whole, err := joiner.Join(f); err == nil || whole {
+			t.Errorf("a fragment of %d bytes of %d is accepted", len(f.Data), f.Applied)
 		}
 	}
 }
--- a/internal/quorum/liveness_test.go
+++ b/internal/quorum/liveness_test.go
@@ -6,133 +6,136 @@
 	"testing"
 )
 
-// Four commands of a gateway are always under way, and the first four are lost, one after another, as while there is no leader. What
-// follows does not come out of turn for good, four in each Retry: seen on processes, where a job of 400 steps stood almost still after a
-// change of leader.
+// A gateway keeps four commands in flight, and the first four are lost one after another, as while there is no
+// leader. The later ones must not be committed out of order for good, four in each Retry interval: that was seen on
+// real processes, where a job of 400 steps almost stopped after a change of leader.
 func TestLostProposalsDoNotStallLaterOnes(t *testing.T) {
-	for _, name := range []string{"a voter", "a follower"} {
-		s := begun(t, 61, 3, 1)
+	for _, role := range []string{"a voter", "a follower"} {
+		s := newRunningSim(t, 61, 3, 1)
 		s.delay = [2]float64{2, 2}
-		who := "f0"
-		if lead := s.leaders()[0]; name == "a voter" {
-			who = s.names[slices.IndexFunc(s.names, func(x string) bool { return x != lead })]
+		proposer := "f0"
+		if leader := s.leaders()[0]; role == "a voter" {
+			proposer = s.names[slices.IndexFunc(s.names, func(x string) bool { return x != leader })]
 		}
-		const all = 400
+		const total = 400
 		done := 0
-		s.ended = func(uint64, Outcome) {
+		s.onOutcome = func(uint64, Outcome) {
 			done++
-			s.after(0, func() { s.propose(who, "x") })
+			s.after(0, func() { s.propose(proposer, "x") })
 		}
 		s.loss = 1
 		for i := range 4 {
-			s.after(100*float64(i), func() { s.propose(who, "x") })
+			s.after(100*float64(i), func() { s.propose(proposer, "x") })
 		}
 		s.after(350, func() { s.loss = 0 })
-		at := s.now
-		s.play(200_000, func() bool { return done >= all })
-		// In turn, those of a voter take a few ms; a follower sees what was agreed at its beats, 100 ms for each four.
-		if took := s.now - at; took > 14_000 {
-			t.Errorf("%s: %d of %d commands took %.0f ms", name, done, all, took)
+		started := s.now
+		s.run(200_000, func() bool { return done >= total })
+		// In order, the commands of a voter take a few ms; a follower sees its commands committed at its beats, 100
+		// ms for four of them.
+		if elapsed := s.now - started; elapsed > 14_000 {
+			t.Errorf("%s: %d of %d commands took %.0f ms", role, done, total, elapsed)
 		} else {
-			t.Logf("%s: %.0f ms", name, took)
+			t.Logf("%s: %.0f ms", role, elapsed)
 		}
 	}
 }
 
-// Clocks that run 1% fast and slow, and jump ahead by more than a lease, the leader's too: no two gateways hold different commands at one
-// place, nobody is lost by the 1%, and who was said to be silent for a jump is there again by itself.
+// Clocks run 1% fast and slow, and jump ahead by more than a lease, also the leader's. No two gateways hold different
+// commands at one index, the 1% lets no lease expire, and a member declared silent because of a jump returns by
+// itself.
 func TestClockSkew(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newSim(t, 700+seed, 3, 2)
 		for i, name := range s.names {
-			s.all[name].fast = []float64{1.01, 0.99, 1, 1.01, 0.99}[i]
+			s.gateways[name].clockRate = []float64{1.01, 0.99, 1, 1.01, 0.99}[i]
 		}
 		s.start(s.names...)
-		if !s.play(20_000, s.level) {
-			t.Fatalf("seed %d: not level", seed)
+		if !s.run(20_000, s.converged) {
+			t.Fatalf("seed %d: not converged", seed)
 		}
-		say := func() {
+		proposeAll := func() {
 			for _, name := range s.names {
-				s.made++
-				s.propose(name, fmt.Sprintf("%s-%06d", name, s.made))
+				s.lastID++
+				s.propose(name, fmt.Sprintf("%s-%06d", name, s.lastID))
 			}
 		}
 		for range 60 {
-			say()
-			s.play(500, nil)
+			proposeAll()
+			s.run(500, nil)
 		}
 		for _, name := range s.names {
-			if m := s.all["v0"].node.members.Names[name]; m.Losses > 0 {
-				t.Errorf("seed %d: %s was said to be lost", seed, name)
+			if m := s.gateways["v0"].node.members.Names[name]; m.Losses > 0 {
+				t.Errorf("seed %d: the lease of %s expired", seed, name)
 			}
 		}
 		for range 12 {
 			name := s.names[int(s.chance.Next())%len(s.names)]
-			if l := s.leaders(); len(l) > 0 && s.chance.Below() < 0.5 {
-				name = l[0]
+			if leaders := s.leaders(); len(leaders) > 0 && s.chance.Below() < 0.5 {
+				name = leaders[0]
 			}
-			s.all[name].ahead += 10_000 * s.chance.Below()
-			s.all[name].handle(nil)
-			say()
-			s.play(200+2000*s.chance.Below(), nil)
+			s.gateways[name].clockOffset += 10_000 * s.chance.Below()
+			s.gateways[name].handle(nil)
+			proposeAll()
+			s.run(200+2000*s.chance.Below(), nil)
 		}
-		if s.play(20_000, nil); !s.level() {
-			t.Errorf("seed %d: not level after the last jump", seed)
+		if s.run(20_000, nil); !s.converged() {
+			t.Errorf("seed %d: not converged after the last jump", seed)
 		}
 		for _, name := range s.names {
-			if m := s.all["v0"].node.members.Names[name]; m.Standing != Joined {
+			if m := s.gateways["v0"].node.members.Names[name]; m.Standing != Joined {
 				t.Errorf("seed %d: %s is %v", seed, name, m.Standing)
 			}
 		}
-		s.same()
+		s.checkConsistency()
 	}
 }
 
-// A sync that took long once, as one amid which a machine stood still, bars nobody for good. All voters had one and nobody leads: their disks
-// are tried again, and one does. One of three had one, and lost its vote meanwhile: it finds out, and follows as somebody else. Seen on
-// processes: it stayed a voter of its own belief, with what it had asked for, until it was started anew.
+// One slow sync, as when a machine is suspended during it, must not bar a voter for good. When all voters had one and
+// there is no leader, they try their disks again and one of them leads. When one of three had one and was replaced
+// meanwhile, it finds out and follows under a new identity. On real processes such a gateway went on as a voter, with
+// its commands pending, until it was restarted.
 func TestSlowDiskIsRetried(t *testing.T) {
-	for _, all := range []bool{true, false} {
-		s := begun(t, 63, 3, 2)
-		for _, g := range s.all {
-			g.set.Replace = 2500
+	for _, allSlow := range []bool{true, false} {
+		s := newRunningSim(t, 63, 3, 2)
+		for _, g := range s.gateways {
+			g.settings.Replace = 2500
 			g.node.settings.Replace = 2500
 		}
-		lead := s.leaders()[0]
-		slow := slices.DeleteFunc([]string{"v0", "v1", "v2"}, func(x string) bool { return !all && x == lead })
-		if !all {
+		leader := s.leaders()[0]
+		slow := slices.DeleteFunc([]string{"v0", "v1", "v2"}, func(x string) bool { return !allSlow && x == leader })
+		if !allSlow {
 			slow = slow[:1]
 		}
 		for _, name := range slow {
-			s.all[name].took = 3000
+			s.gateways[name].syncMS = 3000
 		}
 		for i := range 3 {
 			s.propose("f0", fmt.Sprint("x", i))
-			s.play(5000, nil)
+			s.run(5000, nil)
 		}
-		if all {
-			s.part([]string{"v0"}, []string{"v1"}, []string{"v2"}, []string{"f0", "f1"})
+		if allSlow {
+			s.partition([]string{"v0"}, []string{"v1"}, []string{"v2"}, []string{"f0", "f1"})
 		} else {
-			s.part(slow, slices.DeleteFunc(slices.Clone(s.names), func(x string) bool { return x == slow[0] }))
+			s.partition(slow, slices.DeleteFunc(slices.Clone(s.names), func(x string) bool { return x == slow[0] }))
 		}
-		s.play(12_000, nil)
+		s.run(12_000, nil)
 		for _, name := range slow {
-			if !s.all[name].node.diskSlow {
-				t.Fatalf("%s was not slow", name)
+			if !s.gateways[name].node.diskSlow {
+				t.Fatalf("the disk of %s did not count as slow", name)
 			}
-			s.all[name].took = 1
+			s.gateways[name].syncMS = 1
 		}
 		s.heal()
-		if !s.play(20_000, func() bool {
+		if !s.run(20_000, func() bool {
 			for _, name := range slow {
-				if g := s.all[name].node; g.incarnation == 0 || !all && g.raft != nil && g.roleOf(g.id.ID) == roleVoter {
+				if g := s.gateways[name].node; g.incarnation == 0 || !allSlow && g.raft != nil && g.roleOf(g.id.ID) == roleVoter {
 					return false
 				}
 			}
-			return len(s.leaders()) == 1 && s.level()
+			return len(s.leaders()) == 1 && s.converged()
 		}) {
-			t.Errorf("all %t: leaders %v, %v", all, s.leaders(), s.all[slow[0]].said)
+			t.Errorf("all slow %t: leaders %v, %v", allSlow, s.leaders(), s.gateways[slow[0]].logLines)
 		}
-		s.same()
+		s.checkConsistency()
 	}
 }
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -115,7 +115,7 @@
 // initialIndex is the log index at which every fleet begins, the same for all founders.
 const initialIndex = 1
 
-// New returns a node with the state of its store. The nonce must be drawn anew for each process.
+// New returns a node with the state of its store. Each process must draw a nonce of its own.
 func New(settings Settings, store Store, books map[string]Book, nonce uint64, now float64) (*Node, error) {
 	n := &Node{settings: settings, now: now, rng: chance.Chance((settings.Seed^nonce)>>1 | 1), nonce: nonce, id: store.Identity, founding: store.Founding,
 		members: newMembers(settings.Members), books: books, emptyFounders: map[string]founderHello{}, lastRenewal: map[uint64]float64{},
--- a/internal/quorum/readindex_test.go
+++ b/internal/quorum/readindex_test.go
@@ -6,59 +6,60 @@
 	"testing"
 )
 
-// Whatever is cut, delayed, frozen, killed and elected: who says that it knows all that was agreed before a time does, a leader that was
-// replaced and does not know it included; and once faults stop all know it again, within two questions.
+// Under partitions, delays, suspended and killed processes and elections, a gateway that claims to have seen all
+// commands committed before a time has seen them, also a replaced leader that does not know it is replaced. Once
+// faults stop all gateways are up to date again within two request intervals.
 func TestFreshness(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSim(t, 900+seed, 3, 2)
-		for _, g := range s.all {
-			g.set.Sight, g.set.Keep = 200, []int{4, 50}[seed%2]
+		for _, g := range s.gateways {
+			g.settings.Sight, g.settings.Keep = 200, []int{4, 50}[seed%2]
 		}
 		s.start(s.names...)
-		if !s.play(20_000, s.level) {
-			t.Fatalf("seed %d: not level", seed)
+		if !s.run(20_000, s.converged) {
+			t.Fatalf("seed %d: not converged", seed)
 		}
-		type told struct {
+		type commitSeen struct {
 			at    float64
 			index uint64
 		}
-		var agreed []told // outcomes, as whoever asked was told them
-		s.ended = func(_ uint64, o Outcome) {
+		var commits []commitSeen // outcomes, at the time their gateway got them
+		s.onOutcome = func(_ uint64, o Outcome) {
 			if o.Err == nil && o.Index > 0 {
-				agreed = append(agreed, told{s.now, o.Index})
+				commits = append(commits, commitSeen{s.now, o.Index})
 			}
 		}
-		sighted := 0
+		checks := 0
 		check := func() bool {
 			for _, name := range s.names {
-				g := s.all[name]
+				g := s.gateways[name]
 				if !g.up || g.frozen {
 					continue
 				}
 				at, knows := g.node.Sight()
-				for _, a := range agreed {
-					if knows && a.at < at && g.node.applied < a.index {
-						t.Fatalf("seed %d: at %.0f ms %s knows all before %.0f, and has not followed %d, agreed at %.0f", seed, s.now, name, at, a.index, a.at)
+				for _, commit := range commits {
+					if knows && commit.at < at && g.node.applied < commit.index {
+						t.Fatalf("seed %d: at %.0f ms %s claims to have seen all before %.0f, and has not applied index %d, committed at %.0f", seed, s.now, name, at, commit.index, commit.at)
 					}
 				}
 				if knows {
-					sighted++
+					checks++
 				}
 			}
 			return false
 		}
 		for n := range 60 {
 			name := s.names[int(s.chance.Next())%len(s.names)]
-			g := s.all[name]
+			g := s.gateways[name]
 			if l := s.leaders(); len(l) > 0 && s.chance.Below() < 0.4 {
-				name, g = l[0], s.all[l[0]]
+				name, g = l[0], s.gateways[l[0]]
 			}
 			switch s.chance.Next() % 7 {
 			case 0:
 				i := 1 + int(s.chance.Next())%(len(s.names)-1)
-				s.part(s.names[:i], s.names[i:])
+				s.partition(s.names[:i], s.names[i:])
 			case 1:
-				s.part([]string{name}, slices.DeleteFunc(slices.Clone(s.names), func(x string) bool { return x == name }))
+				s.partition([]string{name}, slices.DeleteFunc(slices.Clone(s.names), func(x string) bool { return x == name }))
 			case 2:
 				if g.up && !g.frozen {
 					s.freeze(name)
@@ -74,33 +75,33 @@
 				if !g.up {
 					s.start(name)
 				} else if g.frozen {
-					s.wake(name)
+					s.resume(name)
 				}
 			}
 			for _, x := range s.names {
-				if g := s.all[x]; g.up && !g.frozen && g.node.incarnation != 0 {
+				if g := s.gateways[x]; g.up && !g.frozen && g.node.incarnation != 0 {
 					s.propose(x, fmt.Sprintf("%s-%04d", x, n))
 				}
 			}
-			s.play(100+900*s.chance.Below(), check)
+			s.run(100+900*s.chance.Below(), check)
 		}
 		s.heal()
 		s.delay = [2]float64{1, 5}
 		for _, name := range s.names {
-			if g := s.all[name]; !g.up {
+			if g := s.gateways[name]; !g.up {
 				s.start(name)
 			} else if g.frozen {
-				s.wake(name)
+				s.resume(name)
 			}
 		}
-		s.play(20_000, check)
+		s.run(20_000, check)
 		for _, name := range s.names {
-			if at, _ := s.all[name].node.Sight(); s.now-at > 1000 {
+			if at, _ := s.gateways[name].node.Sight(); s.now-at > 1000 {
 				t.Errorf("seed %d: %s is %.0f ms behind", seed, name, s.now-at)
 			}
 		}
-		if sighted == 0 || len(agreed) < 10 {
-			t.Errorf("seed %d: nothing was looked at", seed)
+		if checks == 0 || len(commits) < 10 {
+			t.Errorf("seed %d: nothing was checked", seed)
 		}
 	}
 }
--- a/internal/quorum/recover.go
+++ b/internal/quorum/recover.go
@@ -35,7 +35,7 @@
 // Recover creates a new fleet from a store whose fleet has lost its majority for good. Its gateway is the only voter,
 // all entries in the store count as committed, and incarnations and tokens skip all that can have been given out. The
 // record is to be written to that store; no other copy of the store may be in use. Books are the state machines of
-// the gateway; the nonce must be drawn anew.
+// the gateway; the nonce must be a fresh random number.
 func Recover(store Store, books map[string]Book, nonce uint64) (Record, Recovery, error) {
 	report := Recovery{Name: store.Identity.Name, Identity: store.Identity.ID, Starts: store.Starts}
 	switch {
--- a/internal/quorum/sim_test.go
+++ b/internal/quorum/sim_test.go
@@ -16,44 +16,45 @@
 	"poppymill/internal/chance"
 )
 
-// sim plays gateways in virtual time: one queue of what is due, chance from a seed, disks that keep only what was synced.
+// sim runs gateways in virtual time: one event queue, seeded randomness, and disks that keep only what was synced.
 type sim struct {
-	t      *testing.T
-	now    float64
-	made   int
-	due    dues
-	chance chance.Chance
-	all    map[string]*gate
-	names  []string
-	cut    map[[2]string]bool // from, to
-	loss   float64
-	twice  float64
-	delay  [2]float64
-	frames map[string]int // sent, by who sends
-	bytes  int
-	agreed map[uint64]string // what stands at each place, the same for all
-	wrong  []string
-	ended  func(uint64, Outcome)
-	copies bool // old copies of stores are put back: gateways may say so
+	t               *testing.T
+	now             float64
+	lastID          int
+	queue           eventQueue
+	chance          chance.Chance
+	gateways        map[string]*simGateway
+	names           []string
+	cut             map[[2]string]bool // links cut, as {from, to}
+	loss            float64
+	duplication     float64
+	delay           [2]float64
+	frames          map[string]int // frames sent, by sender
+	bytes           int
+	committed       map[uint64]string // the command committed at each index, the same on all gateways
+	violations      []string
+	onOutcome       func(uint64, Outcome)
+	expectOldCopies bool // the test restores old copies of stores: gateways may report them
 }
 
-type gate struct {
-	s       *sim
-	set     Settings
-	disk    disk
-	node    *Node
-	life    int
-	up      bool
-	frozen  bool
-	held    []func() // what came while it was frozen
-	rung    float64
-	fast    float64 // its clock, for each ms
-	ahead   float64 // ms that its clock has jumped by
-	took    float64 // ms of a sync
-	fails   bool
-	book    *ledger
-	outcome map[uint64]Outcome
-	said    []string
+// simGateway is a gateway of the simulation: its process, its disk and its clock.
+type simGateway struct {
+	s           *sim
+	settings    Settings
+	disk        disk
+	node        *Node
+	generation  int
+	up          bool
+	frozen      bool
+	frozenCalls []func() // calls held back while it is frozen
+	timerAt     float64
+	clockRate   float64 // ms of its clock per ms
+	clockOffset float64 // ms that its clock is ahead
+	syncMS      float64 // ms that a sync takes
+	diskFails   bool
+	ledger      *ledger
+	outcome     map[uint64]Outcome
+	logLines    []string
 }
 
 // disk is a store as it would be read after a crash.
@@ -67,7 +68,7 @@
 	entries  []*raftpb.Entry
 }
 
-func (d *disk) put(r Record) {
+func (d *disk) apply(r Record) {
 	if r.Anew {
 		d.hard, d.snapshot, d.entries = nil, nil, nil
 	}
@@ -85,11 +86,11 @@
 	}
 	if r.Snapshot != nil {
 		d.snapshot = proto.Clone(r.Snapshot).(*raftpb.Snapshot)
-		at := r.Snapshot.GetMetadata().GetIndex()
+		index := r.Snapshot.GetMetadata().GetIndex()
 		if r.Compact == 0 {
 			d.entries = nil
 		}
-		d.entries = slices.DeleteFunc(d.entries, func(e *raftpb.Entry) bool { return e.GetIndex() <= at })
+		d.entries = slices.DeleteFunc(d.entries, func(e *raftpb.Entry) bool { return e.GetIndex() <= index })
 	}
 	if len(r.Entries) > 0 {
 		first := r.Entries[0].GetIndex()
@@ -104,36 +105,38 @@
 }
 
 func (d disk) store() Store {
-	s := Store{Identity: d.identity, Starts: d.starts, Marks: maps.Clone(d.marks), Founding: d.founding, Entries: slices.Clone(d.entries)}
+	store := Store{Identity: d.identity, Starts: d.starts, Marks: maps.Clone(d.marks), Founding: d.founding, Entries: slices.Clone(d.entries)}
 	if d.hard != nil {
-		s.Hard = proto.Clone(d.hard).(*raftpb.HardState)
+		store.Hard = proto.Clone(d.hard).(*raftpb.HardState)
 	}
 	if d.snapshot != nil {
-		s.Snapshot = proto.Clone(d.snapshot).(*raftpb.Snapshot)
+		store.Snapshot = proto.Clone(d.snapshot).(*raftpb.Snapshot)
 	}
-	return s
+	return store
 }
 
-type due struct {
-	at float64
-	n  int
-	do func()
+type event struct {
+	at  float64
+	seq int
+	do  func()
 }
 
-type dues []due
+type eventQueue []event
 
-func (d dues) Len() int           { return len(d) }
-func (d dues) Less(i, j int) bool { return d[i].at < d[j].at || d[i].at == d[j].at && d[i].n < d[j].n }
-func (d dues) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *dues) Push(x any)        { *d = append(*d, x.(due)) }
-func (d *dues) Pop() any {
+func (d eventQueue) Len() int { return len(d) }
+func (d eventQueue) Less(i, j int) bool {
+	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].seq < d[j].seq
+}
+func (d eventQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+func (d *eventQueue) Push(x any)   { *d = append(*d, x.(event)) }
+func (d *eventQueue) Pop() any {
 	old := *d
 	x := old[len(old)-1]
 	*d = old[:len(old)-1]
 	return x
 }
 
-// ledger is a book that keeps what it was told, in order.
+// ledger is a state machine that keeps its commands in order.
 type ledger struct{ Lines []string }
 
 func (l *ledger) Apply(index uint64, c Command) any {
@@ -148,9 +151,9 @@
 	return canon.Decode(b, &l.Lines)
 }
 
-// newSim makes voters v0, v1 ... and followers f0, f1 ..., dealt over three clubs, none of them started.
+// newSim returns voters v0, v1 ... and followers f0, f1 ..., spread over three clubs, none of them started.
 func newSim(t *testing.T, seed uint64, voters, followers int) *sim {
-	s := &sim{t: t, chance: chance.Chance(seed*2 + 1), all: map[string]*gate{}, cut: map[[2]string]bool{}, delay: [2]float64{1, 5}, agreed: map[uint64]string{}, frames: map[string]int{}}
+	s := &sim{t: t, chance: chance.Chance(seed*2 + 1), gateways: map[string]*simGateway{}, cut: map[[2]string]bool{}, delay: [2]float64{1, 5}, committed: map[uint64]string{}, frames: map[string]int{}}
 	for range 4 {
 		s.chance.Next()
 	}
@@ -164,14 +167,14 @@
 		}
 		set := Defaults()
 		set.Name, set.Zone, set.Seed, set.Peers, set.Keep = name, fmt.Sprintf("club-%d", i%3), seed, map[string]string{}, 50
-		s.all[name] = &gate{s: s, set: set, took: 1, fast: 1, outcome: map[uint64]Outcome{}}
+		s.gateways[name] = &simGateway{s: s, settings: set, syncMS: 1, clockRate: 1, outcome: map[uint64]Outcome{}}
 		s.names = append(s.names, name)
 	}
-	for _, g := range s.all {
-		g.set.Founders = founders
+	for _, g := range s.gateways {
+		g.settings.Founders = founders
 		for _, name := range s.names {
-			if name != g.set.Name {
-				g.set.Peers[name] = name
+			if name != g.settings.Name {
+				g.settings.Peers[name] = name
 			}
 		}
 	}
@@ -179,54 +182,54 @@
 }
 
 func (s *sim) after(ms float64, do func()) {
-	s.made++
-	heap.Push(&s.due, due{s.now + ms, s.made, do})
+	s.lastID++
+	heap.Push(&s.queue, event{s.now + ms, s.lastID, do})
 }
 
-// play goes on for some time, or until something holds.
-func (s *sim) play(ms float64, until func() bool) bool {
-	still, end := 0, s.now+ms
-	for len(s.due) > 0 && s.due[0].at <= end {
-		d := heap.Pop(&s.due).(due)
-		if still++; d.at > s.now {
-			still = 0
-		} else if still > 100_000 {
-			s.t.Fatalf("time stands still at %.0f ms", s.now)
+// run advances the simulation by some time, or until a condition holds.
+func (s *sim) run(ms float64, done func() bool) bool {
+	sameTime, end := 0, s.now+ms
+	for len(s.queue) > 0 && s.queue[0].at <= end {
+		e := heap.Pop(&s.queue).(event)
+		if sameTime++; e.at > s.now {
+			sameTime = 0
+		} else if sameTime > 100_000 {
+			s.t.Fatalf("endless loop of events at %.0f ms", s.now)
 		}
-		s.now = d.at
-		d.do()
-		if until != nil && until() {
+		s.now = e.at
+		e.do()
+		if done != nil && done() {
 			return true
 		}
 	}
 	s.now = end
-	return until == nil
+	return done == nil
 }
 
 func (s *sim) start(names ...string) {
 	for _, name := range names {
-		g := s.all[name]
-		g.life++
-		g.book = &ledger{}
+		g := s.gateways[name]
+		g.generation++
+		g.ledger = &ledger{}
 		var err error
-		g.node, err = New(g.set, g.disk.store(), map[string]Book{"ledger": g.book, "cell": &cell{}}, uint64(s.chance.Next())<<8|uint64(g.life), g.clock())
+		g.node, err = New(g.settings, g.disk.store(), map[string]Book{"ledger": g.ledger, "cell": &valueAndLease{}}, uint64(s.chance.Next())<<8|uint64(g.generation), g.clock())
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		g.up, g.frozen, g.held, g.rung = true, false, nil, -1
+		g.up, g.frozen, g.frozenCalls, g.timerAt = true, false, nil, -1
 		g.handle(nil)
 	}
 }
 
 func (s *sim) kill(names ...string) {
 	for _, name := range names {
-		s.all[name].up = false
-		s.all[name].life++
+		s.gateways[name].up = false
+		s.gateways[name].generation++
 	}
 }
 
-// part cuts all ways between groups; heal mends all.
-func (s *sim) part(groups ...[]string) {
+// partition cuts all links between the groups; heal restores all links.
+func (s *sim) partition(groups ...[]string) {
 	for i, a := range groups {
 		for j, b := range groups {
 			if i != j {
@@ -242,36 +245,36 @@
 
 func (s *sim) heal() { clear(s.cut) }
 
-// freeze stops a process as SIGSTOP does: what comes waits, its time stands still for it.
-func (s *sim) freeze(name string) { s.all[name].frozen = true }
-func (s *sim) wake(name string) {
-	g := s.all[name]
+// freeze suspends a process as SIGSTOP does: its events wait, and its timers do not run.
+func (s *sim) freeze(name string) { s.gateways[name].frozen = true }
+func (s *sim) resume(name string) {
+	g := s.gateways[name]
 	g.frozen = false
-	held := g.held
-	g.held = nil
+	held := g.frozenCalls
+	g.frozenCalls = nil
 	for _, do := range held {
 		do()
 	}
 	g.handle(nil)
 }
 
-// clock is the time by a gate's own clock.
-func (g *gate) clock() float64 { return g.s.now*g.fast + g.ahead }
+// clock is the time on the gateway's own clock.
+func (g *simGateway) clock() float64 { return g.s.now*g.clockRate + g.clockOffset }
 
-func (g *gate) handle(e any) {
+func (g *simGateway) handle(e any) {
 	if !g.up {
 		return
 	}
 	if g.frozen {
-		g.held = append(g.held, func() { g.handle(e) })
+		g.frozenCalls = append(g.frozenCalls, func() { g.handle(e) })
 		return
 	}
-	s, life := g.s, g.life
+	s, generation := g.s, g.generation
 	before := g.node.applied
 	defer func() {
-		// Only what gives up its log, or is brought up to vote, begins anew; nobody goes back to where it was.
-		if now := g.node.applied; now < before && now != 0 && g.up && g.life == life && !s.copies {
-			s.wrong = append(s.wrong, fmt.Sprintf("%.0f: %s goes back from %d to %d", s.now, g.set.Name, before, now))
+		// The applied index goes back only to 0, when a gateway drops its log or becomes a learner.
+		if now := g.node.applied; now < before && now != 0 && g.up && g.generation == generation && !s.expectOldCopies {
+			s.violations = append(s.violations, fmt.Sprintf("%.0f: the applied index of %s went back from %d to %d", s.now, g.settings.Name, before, now))
 		}
 	}()
 	for _, a := range g.node.Handle(g.clock(), e) {
@@ -279,70 +282,70 @@
 		case Send:
 			g.send(a)
 		case Save:
-			s.after(g.took, func() {
-				if !g.up || g.life != life {
+			s.after(g.syncMS, func() {
+				if !g.up || g.generation != generation {
 					return
 				}
-				if g.fails {
+				if g.diskFails {
 					g.handle(Broken{Err: fmt.Errorf("disk full")})
 					return
 				}
-				g.disk.put(a.Record)
-				g.handle(Saved{Took: g.took})
+				g.disk.apply(a.Record)
+				g.handle(Saved{Took: g.syncMS})
 			})
 		case Agreed:
-			text := fmt.Sprintf("%s %s %x %d %d", a.Command.Book, a.Command.Kind, a.Command.Data, a.Command.From, a.Command.Seq)
+			entry := fmt.Sprintf("%s %s %x %d %d", a.Command.Book, a.Command.Kind, a.Command.Data, a.Command.From, a.Command.Seq)
 			if a.Command.Kind == "snapshot" {
 				continue
 			}
-			if old, ok := s.agreed[a.Index]; ok && old != text {
-				s.wrong = append(s.wrong, fmt.Sprintf("%.0f: at %d %s has %s, others %s", s.now, a.Index, g.set.Name, text, old))
+			if other, ok := s.committed[a.Index]; ok && other != entry {
+				s.violations = append(s.violations, fmt.Sprintf("%.0f: at index %d %s has %s, others have %s", s.now, a.Index, g.settings.Name, entry, other))
 			}
-			s.agreed[a.Index] = text
+			s.committed[a.Index] = entry
 		case Outcome:
 			g.outcome[a.Token] = a
-			if s.ended != nil {
-				s.ended(a.Token, a)
+			if s.onOutcome != nil {
+				s.onOutcome(a.Token, a)
 			}
 		case Say:
-			g.said = append(g.said, fmt.Sprintf("%.0f %s %v", s.now, a.Text, a.Fields))
+			g.logLines = append(g.logLines, fmt.Sprintf("%.0f %s %v", s.now, a.Text, a.Fields))
 		}
 	}
-	if next := g.node.Next(); next != g.rung {
-		g.rung = next
-		s.after(max(0, (next-g.clock())/g.fast), func() {
-			if g.up && g.life == life && g.rung == next {
-				g.rung = -1
+	if next := g.node.Next(); next != g.timerAt {
+		g.timerAt = next
+		s.after(max(0, (next-g.clock())/g.clockRate), func() {
+			if g.up && g.generation == generation && g.timerAt == next {
+				g.timerAt = -1
 				g.handle(nil)
 			}
 		})
 	}
 }
 
-func (g *gate) send(a Send) {
-	s, to := g.s, g.s.all[a.To]
+func (g *simGateway) send(a Send) {
+	s, to := g.s, g.s.gateways[a.To]
 	if to == nil {
 		return
 	}
-	// What goes out is read again from its bytes, as on a wire.
-	text := a.Frame.Append(nil)
-	s.frames[g.set.Name]++
-	s.bytes += len(text)
-	times := 1
+	// Frames are encoded and decoded again, as on the wire.
+	encoded := a.Frame.Append(nil)
+	s.frames[g.settings.Name]++
+	s.bytes += len(encoded)
+	copies := 1
 	if s.chance.Below() < s.loss {
-		times = 0
-	} else if s.chance.Below() < s.twice {
-		times = 2
+		copies = 0
+	} else if s.chance.Below() < s.duplication {
+		copies = 2
 	}
-	for range times {
-		from := g.set.Name
+	for range copies {
+		from := g.settings.Name
 		s.after(s.delay[0]+(s.delay[1]-s.delay[0])*s.chance.Below(), func() {
 			if s.cut[[2]string{from, a.To}] || !to.up {
 				return
 			}
 			var head [FrameHead]byte
-			copy(head[:], text)
-			f, err := Read(head, text[FrameHead:])
+			copy(head[:], encoded)
+			f, err := Read(head, encoded[FrameHead:])
 			if err != nil {
 				s.t.Fatal(err)
 			}
@@ -351,72 +354,72 @@
 	}
 }
 
-// leaders are those that believe they lead.
+// leaders returns the gateways that take themselves for the leader.
 func (s *sim) leaders() (all []string) {
 	for _, name := range s.names {
-		if g := s.all[name]; g.up && !g.frozen && g.node.isLeader() {
+		if g := s.gateways[name]; g.up && !g.frozen && g.node.isLeader() {
 			all = append(all, name)
 		}
 	}
 	return all
 }
 
-// level tells whether all that are up know the same, as far as anybody does.
-func (s *sim) level() bool {
-	most := uint64(0)
-	for _, g := range s.all {
+// converged reports whether all running gateways have joined and applied as much as any of them.
+func (s *sim) converged() bool {
+	maxApplied := uint64(0)
+	for _, g := range s.gateways {
 		if g.up {
-			most = max(most, g.node.applied)
+			maxApplied = max(maxApplied, g.node.applied)
 		}
 	}
-	for _, g := range s.all {
-		if g.up && !g.frozen && (g.node.applied != most || g.node.incarnation == 0) {
+	for _, g := range s.gateways {
+		if g.up && !g.frozen && (g.node.applied != maxApplied || g.node.incarnation == 0) {
 			return false
 		}
 	}
-	return most > 0
+	return maxApplied > 0
 }
 
-// same checks that all books that are level hold the same to the byte.
-func (s *sim) same() {
+// checkConsistency checks that gateways with the same applied index hold the same state to the byte.
+func (s *sim) checkConsistency() {
 	s.t.Helper()
 	states := map[uint64][]byte{}
 	for _, name := range s.names {
-		g := s.all[name]
+		g := s.gateways[name]
 		if !g.up {
 			continue
 		}
-		text := g.node.encodeState()
-		if old := states[g.node.applied]; old != nil && !bytes.Equal(old, text) {
-			s.t.Errorf("%s differs at %d", name, g.node.applied)
+		state := g.node.encodeState()
+		if other := states[g.node.applied]; other != nil && !bytes.Equal(other, state) {
+			s.t.Errorf("the state of %s differs at index %d", name, g.node.applied)
 		}
-		states[g.node.applied] = text
+		states[g.node.applied] = state
 	}
-	for _, w := range s.wrong {
-		s.t.Error(w)
+	for _, violation := range s.violations {
+		s.t.Error(violation)
 	}
 	for _, name := range s.names {
-		for _, line := range s.all[name].said {
-			if !s.copies && strings.Contains(line, "old copy") {
-				s.t.Errorf("%s takes its own store for an old copy: %s", name, line)
+		for _, line := range s.gateways[name].logLines {
+			if !s.expectOldCopies && strings.Contains(line, "old copy") {
+				s.t.Errorf("%s reports its store as an old copy: %s", name, line)
 			}
 		}
 	}
 }
 
 func (s *sim) propose(name, text string) uint64 {
-	s.made++
-	token := uint64(s.made)
-	s.all[name].handle(Propose{Token: token, Command: Command{Book: "ledger", Kind: "line", Data: []byte(text)}})
+	s.lastID++
+	token := uint64(s.lastID)
+	s.gateways[name].handle(Propose{Token: token, Command: Command{Book: "ledger", Kind: "line", Data: []byte(text)}})
 	return token
 }
 
 func (s *sim) lines() []string {
-	var best *ledger
-	for _, name := range slices.Sorted(maps.Keys(s.all)) {
-		if g := s.all[name]; g.book != nil && (best == nil || len(g.book.Lines) > len(best.Lines)) {
-			best = g.book
+	var longest *ledger
+	for _, name := range slices.Sorted(maps.Keys(s.gateways)) {
+		if g := s.gateways[name]; g.ledger != nil && (longest == nil || len(g.ledger.Lines) > len(longest.Lines)) {
+			longest = g.ledger
 		}
 	}
-	return best.Lines
+	return longest.Lines
 }
--- a/internal/quorum/voters.go
+++ b/internal/quorum/voters.go
@@ -48,14 +48,14 @@
 	if n.voterChange.goneSince == nil {
 		n.voterChange.goneSince = map[uint64]float64{}
 	}
-	var gone uint64
+	var outgoing uint64
 	for _, id := range n.conf.GetVoters() {
 		member := n.memberByIdentity(id)
 		if id == n.id.ID || member != nil && member.Standing == Joined && progress[id].RecentActive {
 			active++
 			delete(n.voterChange.goneSince, id)
-			if gone == 0 && id != n.id.ID && n.retiring[member.Name] {
-				gone = id // still active, but about to go down: its vote is moved first
+			if outgoing == 0 && id != n.id.ID && n.retiring[member.Name] {
+				outgoing = id // still active, but about to go down: its vote is moved first
 			}
 			continue
 		}
@@ -63,8 +63,8 @@
 		if !known {
 			n.voterChange.goneSince[id], since = n.now, n.now
 		}
-		if gone == 0 && n.now >= max(since, n.voterChange.leaderSince)+n.settings.Replace {
-			gone = id
+		if outgoing == 0 && n.now >= max(since, n.voterChange.leaderSince)+n.settings.Replace {
+			outgoing = id
 		}
 	}
 	if learners := n.conf.GetLearners(); len(learners) > 0 {
@@ -72,24 +72,24 @@
 		member := n.memberByIdentity(id)
 		learnerProgress := progress[id]
 		switch {
-		case member == nil || member.Standing != Joined || gone == 0 && !n.tooFewVoters() || n.now > n.voterChange.learnerSince+4*n.settings.Replace:
+		case member == nil || member.Standing != Joined || outgoing == 0 && !n.tooFewVoters() || n.now > n.voterChange.learnerSince+4*n.settings.Replace:
 			// The learner is gone, or the voter it was to replace is back.
 			n.proposeConfChange("learner removed", id, raftpb.ConfChangeType_ConfChangeRemoveNode)
 		case 2*active > len(n.conf.GetVoters()) && learnerProgress.Match+16 > n.applied && learnerProgress.Match > 0:
-			if gone != 0 {
-				n.proposeConfChange("learner replaces a voter", id, raftpb.ConfChangeType_ConfChangeAddNode, gone)
+			if outgoing != 0 {
+				n.proposeConfChange("learner replaces a voter", id, raftpb.ConfChangeType_ConfChangeAddNode, outgoing)
 			} else {
 				n.proposeConfChange("learner becomes a voter", id, raftpb.ConfChangeType_ConfChangeAddNode)
 			}
 		}
 		return
 	}
-	if gone == 0 && !n.tooFewVoters() || 2*active <= len(n.conf.GetVoters()) {
+	if outgoing == 0 && !n.tooFewVoters() || 2*active <= len(n.conf.GetVoters()) {
 		return
 	}
 	zones := map[string]int{}
 	for _, id := range n.conf.GetVoters() {
-		if member := n.memberByIdentity(id); member != nil && id != gone {
+		if member := n.memberByIdentity(id); member != nil && id != outgoing {
 			zones[member.Zone]++
 		}
 	}
