--- a/internal/quorum/recover.go
+++ b/internal/quorum/recover.go
@@ -10,69 +10,70 @@
 	"poppymill/internal/chance"
 )
 
-// Leaper is a Book that gives out numbers which must stay above all that were given out before, also where it is not known which
-// those were.
-type Leaper interface{ Leap() }
+// TokenAllocator is a Book that gives out numbers which must be higher than all given out before, also when those are
+// not known. Leap skips a range that none of them can have reached.
+type TokenAllocator interface{ Leap() }
 
-// leap is by how much incarnations rise when a fleet is made of what is left of another: more than were given out after the store
-// that is left was written.
-const leap = 1 << 32
+// incarnationLeap is added to the last incarnation when a fleet is recovered from a store: more than can have been
+// assigned since that store was written.
+const incarnationLeap = 1 << 32
 
-// Recovery is what a store holds of a fleet, and what is made of it.
+// Recovery describes the fleet that a store belongs to, and the one recovered from it.
 type Recovery struct {
 	Name     string   `json:"name"`
 	Fleet    uint64   `json:"fleet"`
 	Identity uint64   `json:"identity"`
 	Starts   uint64   `json:"starts"`
 	Term     uint64   `json:"term"`
-	Agreed   uint64   `json:"agreed"` // as far as the store itself knows
-	Last     uint64   `json:"last"`   // the newest entry in it
+	Agreed   uint64   `json:"agreed"` // commit index known to the store
+	Last     uint64   `json:"last"`   // index of its last entry
 	Voters   []string `json:"voters"`
 	Members  int      `json:"members"`
-	Next     uint64   `json:"next_fleet,omitempty"` // 0: nothing was made of it
+	Next     uint64   `json:"next_fleet,omitempty"` // 0: none was recovered
 }
 
-// Recover makes another fleet of a store whose own has lost its majority for good: it votes alone there, whatever the store holds
-// counts as agreed, and incarnations and tokens leap above all that can have been given out. The record is to be written to that
-// store, of which nobody may hold another copy in use. Books are those that the gateway has; nonce is drawn anew.
+// Recover creates a new fleet from a store whose fleet has lost its majority for good. Its gateway is the only voter,
+// all entries in the store count as committed, and incarnations and tokens skip all that can have been given out. The
+// record is to be written to that store; no other copy of the store may be in use. Books are the state machines of
+// the gateway; the nonce must be a fresh random number.
 func Recover(store Store, books map[string]Book, nonce uint64) (Record, Recovery, error) {
-	r := Recovery{Name: store.Identity.Name, Identity: store.Identity.ID, Starts: store.Starts}
+	report := Recovery{Name: store.Identity.Name, Identity: store.Identity.ID, Starts: store.Starts}
 	switch {
 	case store.Identity.ID == 0 || store.Founding == nil:
-		return Record{}, r, errors.New("the store belongs to no fleet")
+		return Record{}, report, errors.New("the store belongs to no fleet")
 	case store.Snapshot.GetMetadata().GetIndex() == 0:
-		return Record{}, r, errors.New("the store holds nothing of the log: its gateway never voted")
+		return Record{}, report, errors.New("the store holds nothing of the log: its gateway never voted")
 	}
-	n := &Node{set: Settings{Name: store.Identity.Name}, chance: chance.Chance(nonce>>1 | 1), id: store.Identity, founded: store.Founding, members: newMembers(mostListed), books: books,
-		names: map[uint64]string{}, renewed: map[uint64]float64{}}
+	n := &Node{settings: Settings{Name: store.Identity.Name}, rng: chance.Chance(nonce>>1 | 1), id: store.Identity, founding: store.Founding, members: newMembers(maxListed), books: books,
+		peerNames: map[uint64]string{}, lastRenewal: map[uint64]float64{}}
 	meta := store.Snapshot.GetMetadata()
-	if err := n.restore(store.Snapshot.GetData(), meta.GetIndex()); err != nil {
-		return Record{}, r, fmt.Errorf("snapshot: %w", err)
+	if err := n.restoreState(store.Snapshot.GetData(), meta.GetIndex()); err != nil {
+		return Record{}, report, fmt.Errorf("snapshot: %w", err)
 	}
 	voters := meta.GetConfState().GetVoters()
 	for _, e := range store.Entries {
 		if e.GetType() == raftpb.EntryType_EntryNormal {
-			n.apply(e.GetIndex(), e.Data)
+			n.applyCommand(e.GetIndex(), e.Data)
 		} else {
 			n.applied = e.GetIndex()
 		}
 	}
-	r.Fleet, r.Term, r.Agreed, r.Last, r.Members = store.Founding.Cluster, store.Hard.GetTerm(), max(store.Hard.GetCommit(), meta.GetIndex()), n.applied, len(n.members.Names)
+	report.Fleet, report.Term, report.Agreed, report.Last, report.Members = store.Founding.Cluster, store.Hard.GetTerm(), max(store.Hard.GetCommit(), meta.GetIndex()), n.applied, len(n.members.Names)
 	for _, id := range voters {
-		r.Voters = append(r.Voters, n.name(id))
+		report.Voters = append(report.Voters, n.nameOf(id))
 	}
-	n.members.Last += leap
-	for _, b := range books {
-		if l, ok := b.(Leaper); ok {
-			l.Leap()
+	n.members.LastIncarnation += incarnationLeap
+	for _, book := range books {
+		if allocator, ok := book.(TokenAllocator); ok {
+			allocator.Leap()
 		}
 	}
-	n.chance.Next()
-	id := Identity{ID: n.draw(), Name: store.Identity.Name}
-	was := append([]uint64{store.Founding.Cluster}, store.Founding.Was...)
-	f := &Founding{Cluster: n.draw(), Voters: map[string]uint64{id.Name: id.ID}, Was: was[:min(len(was), 16)]}
-	r.Next = f.Cluster
-	index, term := n.applied+1, r.Term+1
-	s := &raftpb.Snapshot{Data: n.state(), Metadata: &raftpb.SnapshotMetadata{ConfState: &raftpb.ConfState{Voters: []uint64{id.ID}}, Index: &index, Term: &term}}
-	return Record{Identity: &id, Starts: 1, Founding: f, Anew: true, Snapshot: proto.Clone(s).(*raftpb.Snapshot), Hard: &raftpb.HardState{Term: &term, Commit: &index}}, r, nil
+	n.rng.Next()
+	id := Identity{ID: n.randomID(), Name: store.Identity.Name}
+	predecessors := append([]uint64{store.Founding.Cluster}, store.Founding.Predecessors...)
+	founding := &Founding{Cluster: n.randomID(), Voters: map[string]uint64{id.Name: id.ID}, Predecessors: predecessors[:min(len(predecessors), 16)]}
+	report.Next = founding.Cluster
+	index, term := n.applied+1, report.Term+1
+	snapshot := &raftpb.Snapshot{Data: n.encodeState(), Metadata: &raftpb.SnapshotMetadata{ConfState: &raftpb.ConfState{Voters: []uint64{id.ID}}, Index: &index, Term: &term}}
+	return Record{Identity: &id, Starts: 1, Founding: founding, Anew: true, Snapshot: proto.Clone(snapshot).(*raftpb.Snapshot), Hard: &raftpb.HardState{Term: &term, Commit: &index}}, report, nil
 }
--- a/internal/quorum/report.go
+++ b/internal/quorum/report.go
@@ -6,26 +6,26 @@
 	"go.etcd.io/raft/v3"
 )
 
-// Report is what a gateway knows of the agreement, for people and for scripts.
+// Report is the state of the replicated log as seen by a gateway, for operators and scripts.
 type Report struct {
 	Name        string         `json:"name"`
 	Cluster     uint64         `json:"fleet"`
 	Identity    uint64         `json:"identity"`
 	Incarnation uint64         `json:"incarnation"`
-	Role        string         `json:"role"` // leader, voter, candidate, follower, none, broken or yielded
+	Role        string         `json:"role"`
 	Leader      string         `json:"leader"`
 	Term        uint64         `json:"term"`
 	Applied     uint64         `json:"applied"`
-	Age         float64        `json:"age_ms"` // since it last heard of whom its view comes from
+	Age         float64        `json:"age_ms"` // since it last heard from the leader or its upstream voter
 	Voters      []string       `json:"voters"`
-	Moving      bool           `json:"moving"`   // a vote is on its way to another: until it is there, a majority of those before and of those after is needed
-	Majority    bool           `json:"majority"` // as far as can be told from here
-	Open        int            `json:"open"`     // commands of its own that wait to be agreed
-	Frames      uint64         `json:"frames"`   // sent to peers since its start
+	Moving      bool           `json:"moving"`   // a joint configuration is in effect: it needs a majority of both the old and the new voters
+	Majority    bool           `json:"majority"` // whether a majority can commit, as far as this gateway knows
+	Open        int            `json:"open"`     // its uncommitted commands
+	Frames      uint64         `json:"frames"`   // sent to peers since the start
 	Members     []MemberReport `json:"members"`
 }
 
-// MemberReport is one member in a report.
+// MemberReport is one member in a Report.
 type MemberReport struct {
 	Name        string  `json:"name"`
 	Zone        string  `json:"zone"`
@@ -35,57 +35,57 @@
 	Since       uint64  `json:"since"`
 	Losses      uint64  `json:"losses"`
 	Votes       bool    `json:"votes"`
-	Heard       float64 `json:"heard_ms,omitempty"` // at the leader: since it was last heard of
+	Heard       float64 `json:"heard_ms,omitempty"` // at the leader: since its last renewal
 }
 
-// Report tells how things stand.
+// Report returns the current state.
 func (n *Node) Report(now float64) Report {
-	r := Report{Name: n.set.Name, Identity: n.id.ID, Incarnation: n.inc, Leader: n.leader, Applied: n.applied, Open: len(n.open), Role: "follower"}
-	if n.founded != nil {
-		r.Cluster = n.founded.Cluster
+	report := Report{Name: n.settings.Name, Identity: n.id.ID, Incarnation: n.incarnation, Leader: n.leader, Applied: n.applied, Open: len(n.pending), Role: "follower"}
+	if n.founding != nil {
+		report.Cluster = n.founding.Cluster
 	}
 	switch {
 	case n.yielded:
-		r.Role = "yielded"
-	case n.dead:
-		r.Role = "broken"
-	case n.founded == nil:
-		r.Role = "none"
-	case n.leads():
-		r.Role = "leader"
+		report.Role = "yielded"
+	case n.broken:
+		report.Role = "broken"
+	case n.founding == nil:
+		report.Role = "none"
+	case n.isLeader():
+		report.Role = "leader"
 	case n.raft != nil && n.raft.BasicStatus().RaftState != raft.StateFollower:
-		r.Role = "candidate"
+		report.Role = "candidate"
 	case n.raft != nil:
-		r.Role = "voter"
+		report.Role = "voter"
 	}
 	if n.raft != nil {
-		r.Term, r.Moving = n.raft.BasicStatus().GetTerm(), len(n.conf.GetVotersOutgoing()) > 0
-		r.Age = max(0, now-n.heard)
+		report.Term, report.Moving = n.raft.BasicStatus().GetTerm(), len(n.conf.GetVotersOutgoing()) > 0
+		report.Age = max(0, now-n.leaderHeardAt)
 	} else {
-		r.Age = max(0, now-n.hosted)
+		report.Age = max(0, now-n.upstreamHeardAt)
 	}
-	if r.Majority = n.leader != "" && r.Age < n.set.Election; n.leads() {
-		// It steps down once it hears no majority; until then only a disk that does not answer keeps it from agreeing.
-		r.Age, r.Majority = 0, !n.hangs
+	if report.Majority = n.leader != "" && report.Age < n.settings.Election; n.isLeader() {
+		// A leader that loses its majority steps down; until then only a hung disk keeps it from committing.
+		report.Age, report.Majority = 0, !n.diskHung
 	}
-	for _, m := range n.members.All() {
-		x := MemberReport{Name: m.Name, Zone: m.Zone, Address: m.Address, Incarnation: m.Incarnation, Standing: m.Standing.String(),
-			Since: m.Since, Losses: m.Losses}
-		if m.Identity != 0 && n.votes(m.Identity) == votes {
-			x.Votes = true
-			r.Voters = append(r.Voters, m.Name)
+	for _, member := range n.members.All() {
+		memberReport := MemberReport{Name: member.Name, Zone: member.Zone, Address: member.Address, Incarnation: member.Incarnation, Standing: member.Standing.String(),
+			Since: member.Since, Losses: member.Losses}
+		if member.Identity != 0 && n.roleOf(member.Identity) == roleVoter {
+			memberReport.Votes = true
+			report.Voters = append(report.Voters, member.Name)
 		}
-		if at, ok := n.renewed[m.Incarnation]; ok && n.leads() {
-			x.Heard = now - at
+		if at, ok := n.lastRenewal[member.Incarnation]; ok && n.isLeader() {
+			memberReport.Heard = now - at
 		}
-		r.Members = append(r.Members, x)
+		report.Members = append(report.Members, memberReport)
 	}
-	return r
+	return report
 }
 
-// Address is where a peer is reached: as this gateway was told at its start, else as the peer itself said.
+// Address returns the address of a peer: the one configured at the start, else the one in the peer's own join.
 func (n *Node) Address(name string) string {
-	if a := n.set.Peers[name]; a != "" {
+	if a := n.settings.Peers[name]; a != "" {
 		return a
 	}
 	if m := n.members.Names[name]; m != nil {
@@ -94,19 +94,19 @@
 	return ""
 }
 
-// Voters are the names of those that vote, sorted; nobody while one of them is not known by name, or a vote is on its way from one to
-// another: until it is there, whoever had it is needed as well.
-func (n *Node) Voters() (all []string) {
+// Voters returns the names of the voters, sorted. It returns nil while one of them is not known by name, or during a
+// joint configuration, in which the outgoing voters are needed as well.
+func (n *Node) Voters() (names []string) {
 	if len(n.conf.GetVotersOutgoing()) > 0 {
 		return nil
 	}
 	for _, id := range n.conf.GetVoters() {
-		name := n.name(id)
+		name := n.nameOf(id)
 		if name == "" {
 			return nil
 		}
-		all = append(all, name)
+		names = append(names, name)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
