--- a/internal/bite/main.go
+++ b/internal/bite/main.go
@@ -81,7 +81,7 @@
 	{"a new process goes by what the old one had read", "internal/purges/book.go", "\t\t\told.Seen = 0\n", "", sweeps, "TestWhoHasFollowed"},
 	{"a part of a name is matched", "internal/purges/shelf.go", "regexp.Compile(`\\A(?:` + text + `)\\z`)", "regexp.Compile(text)", sweeps, "TestHolds"},
 	{"patterns are lost by a restart", "internal/purges/shelf.go", "\t\ts.Patterns[i].re = re\n", "\t\ts.Patterns[i].re = regexp.MustCompile(\"^$\")\n\t\t_ = re\n", sweeps, "TestHolds"},
-	{"copies are not looked at as they come in", "internal/caches/pool.go", "p.Oldest != nil && born < p.Oldest(q)", "p.Oldest != nil && born < p.Oldest(q)-1e9", front, "TestVoids"},
+	{"copies are not looked at as they come in", "internal/caches/pool.go", "p.Oldest != nil && createdAt < p.Oldest(pull)", "p.Oldest != nil && createdAt < p.Oldest(pull)-1e9", front, "TestVoids"},
 	{"a gateway that can't hear goes on", "internal/purges/view.go", "v.Delay > 0 && now-known > inTime*v.Delay {", "v.Delay > 0 && now-known > 1e9*v.Delay {", front, "TestVoids"},
 	{"a frozen gateway goes by the time of before", "internal/gateway/void.go", "Oldest(v.now(), v.known(),", "Oldest(v.known(), v.known(),", front, "TestVoids"},
 	{"a stale copy answers at once", "internal/purges/view.go", "\t\treturn max(hard, soft)\n", "\t\treturn max(hard, 0*soft)\n", front, "TestVoids"},
--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -1,4 +1,4 @@
-// Package buffer lends buffers of one size from a bounded pool, and chains them to bodies.
+// Package buffer provides a bounded pool of buffers of one size, and reference-counted bodies made of them.
 package buffer
 
 import (
@@ -8,31 +8,31 @@
 	"poppymill/internal/assert"
 )
 
-// Size of every buffer: a read of a socket, or a piece of a body.
+// Size is the size of each buffer in bytes. A buffer holds a socket read or a piece of a body.
 const Size = 16 << 10
 
-// Pool lends at most so many buffers at a time and keeps those that come back. The bound is what keeps bodies
-// within the memory limit: a peer that can't get one loses its connection, not the gateway its life.
+// Pool lends out a limited number of buffers and reuses returned ones. The limit keeps bodies within the memory limit:
+// if the pool is exhausted, a peer loses its connection instead of the process running out of memory.
 type Pool struct {
-	mu   sync.Mutex
-	free [][]byte
-	out  int
-	peak int // of out, since the last Trim
-	most int
+	mu    sync.Mutex
+	free  [][]byte
+	lent  int
+	peak  int // maximum of lent since the last Trim
+	limit int // of lent
 }
 
-// NewPool makes a pool of at most so many bytes.
-func NewPool(bytes int) *Pool { return &Pool{most: max(1, bytes/Size)} }
+// NewPool returns a pool of buffers with at most the given total of bytes, but of at least one buffer.
+func NewPool(bytes int) *Pool { return &Pool{limit: max(1, bytes/Size)} }
 
-// Get lends an empty buffer; nil where the pool is exhausted.
+// Get returns an empty buffer, or nil if the pool is exhausted.
 func (p *Pool) Get() []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.out == p.most {
+	if p.lent == p.limit {
 		return nil
 	}
-	p.out++
-	p.peak = max(p.peak, p.out)
+	p.lent++
+	p.peak = max(p.peak, p.lent)
 	if n := len(p.free); n > 0 {
 		b := p.free[n-1]
 		p.free = p.free[:n-1]
@@ -41,61 +41,61 @@
 	return make([]byte, 0, Size)
 }
 
-// Put gives a buffer back.
+// Put returns a buffer to the pool.
 func (p *Pool) Put(b []byte) {
-	assert.That(cap(b) == Size, "a buffer comes back as it was lent")
+	assert.That(cap(b) == Size, "a returned buffer has the size of the pool")
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.out--
-	assert.That(p.out >= 0, "no buffer comes back twice")
+	p.lent--
+	assert.That(p.lent >= 0, "no buffer is returned twice")
 	p.free = append(p.free, b[:0])
 }
 
-// Trim gives back what was not needed since the last one: a burst's buffers must not count against the memory limit
-// for the rest of the day.
+// Trim frees the unused buffers that were not needed since the last call, so that the buffers of a burst don't count
+// against the memory limit for the rest of the day.
 func (p *Pool) Trim() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if keep := max(0, p.peak-p.out); keep < len(p.free) {
+	if keep := max(0, p.peak-p.lent); keep < len(p.free) {
 		clear(p.free[keep:])
 		p.free = p.free[:keep]
 	}
-	p.peak = p.out
+	p.peak = p.lent
 }
 
-// Out counts the buffers that are lent now.
+// Out returns the number of buffers in use.
 func (p *Pool) Out() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.out
+	return p.lent
 }
 
-// Chain is a body. Whoever passes it on passes its one hold on it too, or takes another; the last to let go
-// gives the buffers back. A nil chain is an empty body.
+// Chain is a reference-counted body in pooled buffers. Passing it on passes the reference too, unless the caller takes
+// another one by Hold. The last Release returns the buffers. A nil Chain is an empty body.
 type Chain struct {
 	pool  *Pool
 	parts [][]byte
 	size  int
-	holds atomic.Int32
+	refs  atomic.Int32
 }
 
-// NewChain makes an empty body with one hold on it.
+// NewChain returns an empty body with one reference.
 func NewChain(p *Pool) *Chain {
 	c := &Chain{pool: p}
-	c.holds.Store(1)
+	c.refs.Store(1)
 	return c
 }
 
-// Append copies bytes to the end; false where the pool is exhausted.
+// Append copies bytes to the end of the body; false if the pool is exhausted.
 func (c *Chain) Append(b []byte) bool {
 	for len(b) > 0 {
 		last := len(c.parts) - 1
 		if last < 0 || len(c.parts[last]) == Size {
-			fresh := c.pool.Get()
-			if fresh == nil {
+			next := c.pool.Get()
+			if next == nil {
 				return false
 			}
-			c.parts = append(c.parts, fresh)
+			c.parts = append(c.parts, next)
 			last++
 		}
 		part := c.parts[last]
@@ -107,7 +107,7 @@
 	return true
 }
 
-// Len is the body's length.
+// Len returns the length of the body in bytes.
 func (c *Chain) Len() int {
 	if c == nil {
 		return 0
@@ -115,7 +115,7 @@
 	return c.size
 }
 
-// Parts are the body's pieces, to be read only.
+// Parts returns the buffers of the body, which must not be changed.
 func (c *Chain) Parts() [][]byte {
 	if c == nil {
 		return nil
@@ -123,21 +123,21 @@
 	return c.parts
 }
 
-// Hold takes another hold.
+// Hold adds a reference.
 func (c *Chain) Hold() *Chain {
 	if c != nil {
-		assert.That(c.holds.Add(1) > 1, "no hold on a body that was let go")
+		assert.That(c.refs.Add(1) > 1, "no reference is added to a released body")
 	}
 	return c
 }
 
-// Release lets go of one hold.
+// Release drops a reference.
 func (c *Chain) Release() {
 	if c == nil {
 		return
 	}
-	left := c.holds.Add(-1)
-	assert.That(left >= 0, "a body is let go once for each hold")
+	left := c.refs.Add(-1)
+	assert.That(left >= 0, "a body is released only once for each reference")
 	if left != 0 {
 		return
 	}
--- a/internal/caches/pool.go
+++ b/internal/caches/pool.go
@@ -14,214 +14,224 @@
 	"poppymill/router"
 )
 
-var errNoBuffer = errors.New("no buffer left to read into")
+var errNoBuffer = errors.New("no read buffer available")
 
-// Pull is one pull on its way, from Pool.Pull until its one End.
+// Pull is one request to a node. It is in flight from Pool.Pull until its single End is reported.
 type Pull struct {
-	ID, Node string
-	Fields   string
-	Body     *buffer.Chain // the pool takes its own hold
-	Mine     string        // the tag of the client's copy, which may be the one
-	Copies   bool          // an answer is a copy, which says how old it is
-	MaxAge   float64       // ms, of a copy as the pull is sent; 0: any will do
-	Before   *Pull         // the last pull of the same download; they go by one ID
-	Owner    any
-	link     *link
-	item     *Item
-	sent     float64
-	idle     float64 // for how long its connection had been idle; 0: it was new, or not idle
-	own      bool    // the pool's own question
-	done     bool
-}
-
-// End is how a pull or a probe ended.
+	ID, Node    string
+	Fields      string
+	Body        *buffer.Chain // the pool takes its own reference
+	Mine        string        // checksum of the client's own copy, which the node may confirm by KEEP
+	Copies      bool          // a fulfilled reply carries a copy, so it must give sum and t0
+	MaxAge      float64       // maximum age of the copy, in ms, when the pull is sent; 0: no limit
+	Before      *Pull         // the previous pull of the same download, which has the same ID
+	Owner       any
+	conn        *conn
+	command     *Item
+	sentAt      float64
+	idleBefore  float64 // ms for which the connection was idle before this pull; 0: new or busy
+	healthCheck bool    // sent by the pool itself; its End is not reported
+	ended       bool
+}
+
+// End is the result of a pull or a probe.
 type End struct {
 	Pull   *Pull
-	Probe  string // the node, where it was a probe
+	Probe  string // the node, if this was a probe
 	Status router.Status
 	Note   router.Note
 	Load   map[string]float64
-	Keep   bool // the client's own copy is the one
+	Keep   bool // the client's own copy is current
 	Body   *buffer.Chain
 	At     float64
 }
 
-// Limits of a pool, as the settings and the machine give them.
+// Limits are the limits of a pool, from the settings and from the resources of the machine.
 type Limits struct {
-	Streams int     // on a connection
-	Idle    float64 // ms after which a connection is closed
-	Conns   int     // in all
-	Reports bool    // probes ask for the load too
-	Checks  bool    // probes are allowed, so that a connection that has gone silent may be asked
-	Answer  float64 // ms within which what is only alive answers: as long as a connection may take to come up
-	Names   func(string) string
+	Streams int                 // pulls per connection
+	Idle    float64             // ms without traffic after which a connection is closed
+	Conns   int                 // connections to all nodes together
+	Reports bool                // probes also ask for the load
+	Checks  bool                // probes are allowed, so a silent connection may be sent a health check
+	Answer  float64             // ms within which a live node replies to a health check; equal to the connect timeout
+	Names   func(string) string // maps the name of a gauge to the name that the router uses
 }
 
-// Pool holds the connections to all nodes.
+// Pool is a connection pool to all nodes. It isn't safe for concurrent use.
 type Pool struct {
-	limits  Limits
-	dial    func(address string) Wire
-	Oldest  func(*Pull) float64 // from which birth on, Unix ms, a copy does as it arrives; nil: any that was asked for
-	nodes   map[string]*node
-	links   map[Wire]*link
-	tags    int
-	ends    []End
-	probes  map[string]*Pull // by tag
-	reuse   reuse
-	closed  bool
-	watched float64
-	usual   float64 // ms that an answer takes of late
-
-	Dialled, Malformed, Short, Late, Mute, Old int // counters; Short of descriptors or buffers
-}
-
+	limits      Limits
+	dial        func(address string) Wire
+	Oldest      func(*Pull) float64 // oldest creation time, in Unix ms, that a copy may have when it arrives; nil: not checked
+	nodes       map[string]*node
+	conns       map[Wire]*conn
+	lastProbeID int
+	results     []End
+	probes      map[string]*Pull // by ID
+	reuse       reuseStats
+	closed      bool
+	lastWatch   float64
+	meanAnswer  float64 // moving average of the time to a reply, in ms
+
+	Dialled, Malformed, Short, Late, Mute, Old int // counters; Short counts lacks of connections or buffers
+}
+
+// node is one node with the connections to it.
 type node struct {
 	id, address string
-	booted      float64
-	links       []*link
-	shunned     bool // nothing new may go to it
-	gone        bool // it is forgotten with its last connection
-}
-
-// link is one connection with what is open on it.
-type link struct {
-	node    *node
-	wire    Wire
-	up      bool
-	retired bool // takes no more pulls, and closes with the last on it
-	open    map[string]*Pull
-	past    map[string]bool // ids whose pulls have ended: an answer may still come, or a second copy of one
-	order   []string        // of past, the oldest first
-	used    float64
-	heard   float64
-	check   *Pull // asks whether anybody is there at all
-}
-
-// NewPool makes a pool that opens its connections by dial.
+	startedAt   float64
+	conns       []*conn
+	excluded    bool // gets no new pulls and no health checks
+	removed     bool // deleted together with its last connection
+}
+
+// conn is one connection and the pulls in flight on it.
+type conn struct {
+	node        *node
+	wire        Wire
+	up          bool
+	retired     bool // takes no more pulls and closes after the last one in flight
+	open        map[string]*Pull
+	endedIDs    map[string]bool // IDs of ended pulls, for which a late or duplicate reply may still arrive
+	endedOrder  []string        // of endedIDs, oldest first
+	lastSent    float64
+	lastReply   float64
+	healthCheck *Pull // the health check in flight, if any
+}
+
+// NewPool returns a pool that opens its connections by dial.
 func NewPool(l Limits, dial func(address string) Wire) *Pool {
-	return &Pool{limits: l, dial: dial, nodes: map[string]*node{}, links: map[Wire]*link{}, probes: map[string]*Pull{}}
+	return &Pool{limits: l, dial: dial, nodes: map[string]*node{}, conns: map[Wire]*conn{}, probes: map[string]*Pull{}}
 }
 
-// List tells the address of a node and when its process started: what comes anew gets new connections.
-func (p *Pool) List(id, address string, booted float64) {
+// List adds or updates a node. If its address or the start time of its process has changed, its connections are
+// retired and new ones opened.
+func (p *Pool) List(id, address string, startedAt float64) {
 	n := p.nodes[id]
 	if n == nil {
 		n = &node{id: id}
 		p.nodes[id] = n
 	}
-	if n.address != address || n.booted != booted {
-		p.retire(n)
+	if n.address != address || n.startedAt != startedAt {
+		p.retireConns(n)
 	}
-	n.address, n.booted, n.shunned, n.gone = address, booted, false, false
+	n.address, n.startedAt, n.excluded, n.removed = address, startedAt, false, false
 }
 
-// Shun tells that nothing new may go to a node, not even a question whether it is there.
+// Shun stops all new traffic to a node, health checks included.
 func (p *Pool) Shun(id string) {
 	if n := p.nodes[id]; n != nil {
-		n.shunned = true
+		n.excluded = true
 	}
 }
 
-// Gone tells that a node is no more. What is open to it goes on.
+// Gone removes a node. Pulls in flight to it continue.
 func (p *Pool) Gone(id string) {
 	if n := p.nodes[id]; n != nil {
-		n.shunned, n.gone = true, true
-		p.retire(n)
-		p.leave(n)
+		n.excluded, n.removed = true, true
+		p.retireConns(n)
+		p.deleteIfRemoved(n)
 	}
 }
 
-// leave forgets a node that is gone, as lists bring new ones all day.
-func (p *Pool) leave(n *node) {
-	if n.gone && len(n.links) == 0 {
+// deleteIfRemoved deletes a removed node that has no connections left. Lists keep bringing new nodes, so the map would
+// grow without bound otherwise.
+func (p *Pool) deleteIfRemoved(n *node) {
+	if n.removed && len(n.conns) == 0 {
 		delete(p.nodes, n.id)
 	}
 }
 
-func (p *Pool) retire(n *node) {
-	for _, l := range n.links {
-		l.retired = true
-		p.tidy(l)
+// retireConns retires all connections to a node.
+func (p *Pool) retireConns(n *node) {
+	for _, c := range n.conns {
+		c.retired = true
+		p.closeIfDrained(c)
 	}
 }
 
-// tidy closes a connection that is of no more use.
-func (p *Pool) tidy(l *link) {
-	if l.retired && len(l.open) == 0 {
-		l.wire.Close()
+// closeIfDrained closes a retired connection that has no pulls in flight.
+func (p *Pool) closeIfDrained(c *conn) {
+	if c.retired && len(c.open) == 0 {
+		c.wire.Close()
 	}
 }
 
-// Pull sends a pull. Its end comes by Ends, at once where it can't be sent.
-func (p *Pool) Pull(q *Pull, now float64) {
-	p.send(q, command(make([]byte, 0, 256), []string{"GET", q.ID, q.Fields}, q.Body.Len()), now)
+// Pull sends a pull. Ends reports its result, immediately if it can't be sent.
+func (p *Pool) Pull(pull *Pull, now float64) {
+	p.send(pull, appendCommand(make([]byte, 0, 256), []string{"GET", pull.ID, pull.Fields}, pull.Body.Len()), now)
 }
 
-// send goes on to another connection where one has ended and its end is not told yet, or is stuck: nothing ran.
-func (p *Pool) send(q *Pull, head []byte, now float64) {
-	l := p.link(q, now)
-	if l == nil {
-		// Short of connections, which is no node's doing.
-		p.end(q, End{Status: router.NeverSent, At: now})
+// send puts a pull on a connection. If that connection has closed, with its Down event still to come, or its write queue
+// is full, it tries another one, which is safe because nothing was sent.
+func (p *Pool) send(pull *Pull, head []byte, now float64) {
+	c := p.pickConn(pull, now)
+	if c == nil {
+		// The pool is out of connections, which isn't a failure of the node.
+		p.finish(pull, End{Status: router.NeverSent, At: now})
 		return
 	}
-	if !p.put(l, q, head, now) {
-		p.send(q, head, now)
+	if !p.sendOn(c, pull, head, now) {
+		p.send(pull, head, now)
 	}
 }
 
-func (p *Pool) put(l *link, q *Pull, head []byte, now float64) bool {
-	if len(l.open) == 0 && !math.IsInf(l.heard, -1) {
-		q.idle = now - l.idleSince()
-		p.reuse.note(q.idle, now, true, false)
+// sendOn queues a pull on a connection; false if the connection accepts no more, in which case it is retired.
+func (p *Pool) sendOn(c *conn, pull *Pull, head []byte, now float64) bool {
+	if len(c.open) == 0 && !math.IsInf(c.lastReply, -1) {
+		pull.idleBefore = now - c.idleSince()
+		p.reuse.record(pull.idleBefore, now, true, false)
 	}
-	q.link, l.open[q.ID], l.used, q.sent = l, q, now, now
-	q.item = &Item{head: head}
-	if q.Body.Len() > 0 {
-		q.item.body = q.Body.Hold()
+	pull.conn, c.open[pull.ID], c.lastSent, pull.sentAt = c, pull, now, now
+	pull.command = &Item{head: head}
+	if pull.Body.Len() > 0 {
+		pull.command.body = pull.Body.Hold()
 	}
-	if l.wire.Send(q.item) {
+	if c.wire.Send(pull.command) {
 		return true
 	}
-	l.retired = true
-	delete(l.open, q.ID)
-	p.tidy(l)
+	c.retired = true
+	delete(c.open, pull.ID)
+	p.closeIfDrained(c)
 	return false
 }
 
-// link finds the connection with the least open, or opens one while the node has few: what spoils or stops one
-// connection takes along all that is open on it. One on which an answer to an earlier pull of the same download, or
-// a second copy of it, may still come is passed over: nobody could tell the two apart. So is one that may be mute.
-// What is up and answers goes first, busy or not: a connection may come up late, and is opened for what comes next. What
-// has been quiet for longer than answers take may be silent for good, where a new connection finds out soon.
-func (p *Pool) link(q *Pull, now float64) *link {
-	n := p.nodes[q.Node]
+// pickConn returns a connection for a pull, or nil if there is none.
+//
+// It prefers the connection with the fewest pulls in flight, and opens new ones while the node has few, because a
+// connection that breaks or stalls takes all pulls on it along. It skips connections on which a late or duplicate reply
+// to an earlier pull of the same download may still arrive, as the two replies have the same ID, and connections with a
+// health check in flight, which may be dead. A responsive connection goes first even if it is busy, since a new one may
+// be slow to come up; the new one is opened for later pulls. A connection that has been silent for longer than replies
+// usually take may be dead, and connecting anew finds that out sooner.
+func (p *Pool) pickConn(pull *Pull, now float64) *conn {
+	n := p.nodes[pull.Node]
 	if n == nil {
 		return nil
 	}
-	var best *link
-	lively, coming := false, false // of the best; whether one is on its way up
-	for _, l := range slices.Clone(n.links) {
-		p.rest(l, now)
-		coming = coming || !l.up && !l.retired
-		if l.retired || l.check != nil || len(l.open) >= p.limits.Streams || l.open[q.ID] != nil || l.past[q.ID] || q.met(l) {
+	var best *conn
+	bestReady, connecting := false, false // whether best is responsive; whether a connection is being set up
+	for _, c := range slices.Clone(n.conns) {
+		p.retireIfIdle(c, now)
+		connecting = connecting || !c.up && !c.retired
+		if c.retired || c.healthCheck != nil || len(c.open) >= p.limits.Streams ||
+			c.open[pull.ID] != nil || c.endedIDs[pull.ID] || pull.usedConn(c) {
 			continue
 		}
-		if ready := l.answers(p, now); best == nil || ready && !lively || ready == lively &&
-			(len(l.open) < len(best.open) || len(l.open) == len(best.open) && l.heard > best.heard) {
-			best, lively = l, ready
+		if ready := c.responsive(p, now); best == nil || ready && !bestReady || ready == bestReady &&
+			(len(c.open) < len(best.open) || len(c.open) == len(best.open) && c.lastReply > best.lastReply) {
+			best, bestReady = c, ready
 		}
 	}
-	if best != nil && (len(best.open) == 0 || len(n.links) >= p.each()) {
+	if best != nil && (len(best.open) == 0 || len(n.conns) >= p.connsPerNode()) {
 		return best
 	}
-	if lively {
-		if !coming && !p.closed && len(p.links) < p.limits.Conns {
+	if bestReady {
+		if !connecting && !p.closed && len(p.conns) < p.limits.Conns {
 			p.connect(n, now)
 		}
 		return best
 	}
-	if p.closed || len(p.links) >= p.limits.Conns && (best != nil || !p.evict()) {
+	if p.closed || len(p.conns) >= p.limits.Conns && (best != nil || !p.evictIdle()) {
 		if best == nil {
 			p.Short++
 		}
@@ -230,373 +240,390 @@
 	return p.connect(n, now)
 }
 
-// answers tells whether a connection is up and no longer quiet than answers take of late.
-func (l *link) answers(p *Pool, now float64) bool {
-	if !l.up || len(l.open) == 0 {
-		return l.up
+// responsive reports whether a connection is up and has not been silent for longer than replies usually take.
+func (c *conn) responsive(p *Pool, now float64) bool {
+	if !c.up || len(c.open) == 0 {
+		return c.up
 	}
-	first := math.Inf(1)
-	for _, q := range l.open {
-		first = min(first, q.sent)
+	oldestSent := math.Inf(1)
+	for _, pull := range c.open {
+		oldestSent = min(oldestSent, pull.sentAt)
 	}
-	return now-max(first, l.heard) <= cmp.Or(p.usual, p.limits.Answer)
+	return now-max(oldestSent, c.lastReply) <= cmp.Or(p.meanAnswer, p.limits.Answer)
 }
 
-func (p *Pool) connect(n *node, now float64) *link {
-	l := &link{node: n, wire: p.dial(n.address), open: map[string]*Pull{}, past: map[string]bool{}, used: now,
-		heard: math.Inf(-1)}
-	n.links = append(n.links, l)
-	p.links[l.wire] = l
+// connect opens a connection to a node.
+func (p *Pool) connect(n *node, now float64) *conn {
+	c := &conn{node: n, wire: p.dial(n.address), open: map[string]*Pull{}, endedIDs: map[string]bool{}, lastSent: now,
+		lastReply: math.Inf(-1)}
+	n.conns = append(n.conns, c)
+	p.conns[c.wire] = c
 	p.Dialled++
-	return l
+	return c
 }
 
-// gather has what waits for connections that are not up yet go by those that are: it never was written.
-func (p *Pool) gather(n *node, now float64) {
-	for _, l := range slices.Clone(n.links) {
-		if l.up {
+// moveQueued moves pulls that wait for connections still being set up to connections that are up. They were never
+// written, so nothing is sent twice.
+func (p *Pool) moveQueued(n *node, now float64) {
+	for _, c := range slices.Clone(n.conns) {
+		if c.up {
 			continue
 		}
-		for _, id := range slices.Sorted(maps.Keys(l.open)) {
-			if q := l.open[id]; l.wire.Remove(q.item) {
-				delete(l.open, id)
-				p.send(q, q.item.head, now)
+		for _, id := range slices.Sorted(maps.Keys(c.open)) {
+			if pull := c.open[id]; c.wire.Remove(pull.command) {
+				delete(c.open, id)
+				p.send(pull, pull.command.head, now)
 			}
 		}
-		p.tidy(l)
+		p.closeIfDrained(c)
 	}
 }
 
-// each is how many connections a node may have while others' pulls could share one: half of the node's part, so that
-// nodes that need more find room.
-func (p *Pool) each() int { return max(1, min(mostEach, p.limits.Conns/(2*max(1, len(p.nodes))))) }
+// connsPerNode returns how many connections a node may have before its pulls share them. It is half of the node's
+// equal share, which leaves room for nodes that need more.
+func (p *Pool) connsPerNode() int {
+	return max(1, min(maxConnsPerNode, p.limits.Conns/(2*max(1, len(p.nodes)))))
+}
 
-const mostEach = 16
+// maxConnsPerNode is the upper bound of connsPerNode.
+const maxConnsPerNode = 16
 
-// met tells whether an earlier pull of the same download went by a connection.
-func (q *Pull) met(l *link) bool {
-	for b := q.Before; b != nil; b = b.Before {
-		if b.link == l {
+// usedConn reports whether an earlier pull of the same download used a connection.
+func (q *Pull) usedConn(c *conn) bool {
+	for earlier := q.Before; earlier != nil; earlier = earlier.Before {
+		if earlier.conn == c {
 			return true
 		}
 	}
 	return false
 }
 
-// evict closes a connection on which nothing is open, the one not used for longest.
-func (p *Pool) evict() bool {
-	var oldest *link
-	for _, l := range p.inOrder() {
-		if len(l.open) == 0 && (oldest == nil || l.used < oldest.used) {
-			oldest = l
+// evictIdle closes the least recently used connection with no pulls in flight; false if there is none.
+func (p *Pool) evictIdle() bool {
+	var oldest *conn
+	for _, c := range p.sortedConns() {
+		if len(c.open) == 0 && (oldest == nil || c.lastSent < oldest.lastSent) {
+			oldest = c
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	p.forget(oldest)
+	p.removeConn(oldest)
 	oldest.wire.Close()
 	return true
 }
 
-func (p *Pool) forget(l *link) {
-	delete(p.links, l.wire)
-	for i, o := range l.node.links {
-		if o == l {
-			l.node.links = append(l.node.links[:i], l.node.links[i+1:]...)
+// removeConn deletes a connection from the pool and from its node.
+func (p *Pool) removeConn(c *conn) {
+	delete(p.conns, c.wire)
+	for i, o := range c.node.conns {
+		if o == c {
+			c.node.conns = append(c.node.conns[:i], c.node.conns[i+1:]...)
 			break
 		}
 	}
-	p.leave(l.node)
+	p.deleteIfRemoved(c.node)
 }
 
-// mostPast bounds what a connection remembers of pulls that have ended: some seconds of them.
-const mostPast = 256
+// maxEndedIDs bounds the IDs of ended pulls that a connection remembers, which cover some seconds.
+const maxEndedIDs = 256
 
-func (l *link) remember(id string) {
-	if l.past[id] {
+// rememberEnded adds the ID of an ended pull and drops the oldest one if there are too many.
+func (c *conn) rememberEnded(id string) {
+	if c.endedIDs[id] {
 		return
 	}
-	if len(l.order) == mostPast {
-		delete(l.past, l.order[0])
-		l.order = append(l.order[:0], l.order[1:]...)
+	if len(c.endedOrder) == maxEndedIDs {
+		delete(c.endedIDs, c.endedOrder[0])
+		c.endedOrder = append(c.endedOrder[:0], c.endedOrder[1:]...)
 	}
-	l.past[id] = true
-	l.order = append(l.order, id)
+	c.endedIDs[id] = true
+	c.endedOrder = append(c.endedOrder, id)
 }
 
-// Drop gives a pull up; its end comes by Ends with the status given, or as never sent where that is proven.
-func (p *Pool) Drop(q *Pull, status router.Status, now float64) {
-	if q.done {
+// Drop cancels a pull. Ends reports it with the given status, or as never sent (or not connected) if it provably wasn't
+// written.
+func (p *Pool) Drop(pull *Pull, status router.Status, now float64) {
+	if pull.ended {
 		return
 	}
-	l := q.link
-	if l.wire.Remove(q.item) {
-		if status = router.NeverSent; !l.up {
+	c := pull.conn
+	if c.wire.Remove(pull.command) {
+		if status = router.NeverSent; !c.up {
 			status = router.NotConnected
 		}
-	} else if l.wire.Stuck() && q.item.state.Load() == taken {
-		// It may come whole to the node long after its download's answer, or after word of a drain or a purge: the
-		// connection ends, and what else it had not written proves never to have run.
-		l.retired = true
-		l.wire.Close()
+	} else if c.wire.Stuck() && pull.command.state.Load() == stateWriting {
+		// The rest of the command could reach the node long after the client got its answer, or after a drain or a purge.
+		// Closing the connection prevents that, and proves that its unwritten pulls never ran.
+		c.retired = true
+		c.wire.Close()
 	} else {
-		// What says nothing for as long as a pull may take, may be a machine that is no more: whether it still
-		// is there, a new connection finds out sooner than the next pull's time-out.
-		if status == router.TimedOut && l.heard < q.sent {
-			l.retired = true
+		// A connection that was silent for the whole time-out of a pull may lead to a dead machine. A new connection
+		// finds that out sooner than the time-out of the next pull.
+		if status == router.TimedOut && c.lastReply < pull.sentAt {
+			c.retired = true
 		}
-		drop := &Item{head: command(nil, []string{"DROP", q.ID}, -1)}
-		if p.probes[q.ID] == nil && !l.wire.Send(drop) {
-			l.retired = true
+		drop := &Item{head: appendCommand(nil, []string{"DROP", pull.ID}, -1)}
+		if p.probes[pull.ID] == nil && !c.wire.Send(drop) {
+			c.retired = true
 		}
 	}
-	p.end(q, End{Status: status, At: now})
-	p.tidy(l)
+	p.finish(pull, End{Status: status, At: now})
+	p.closeIfDrained(c)
 }
 
-// Recall takes back a pull that must not go out any more, if it still waits to be written. What is being written on a connection
-// that is stuck would go out once the node reads again: the connection ends, as it does in Drop.
-func (p *Pool) Recall(q *Pull, now float64) {
+// Recall cancels a pull that must not be sent any more, if it is still queued. If it is being written on a stuck
+// connection, it would go out once the node reads again, so the connection is closed, as in Drop.
+func (p *Pool) Recall(pull *Pull, now float64) {
 	switch {
-	case q.done:
-	case q.link.wire.Remove(q.item):
-		p.end(q, End{Status: router.NeverSent, At: now})
-		p.tidy(q.link)
-	case q.item.state.Load() == taken && q.link.wire.Stuck():
-		q.link.retired = true
-		q.link.wire.Close()
-	}
-}
-
-// Withdraw takes back what still waits to be written, as on a connection that is slow to come up, of the pulls
-// named: word of a drain or a purge binds it too. It never ran, and may go out anew at once.
-func (p *Pool) Withdraw(named func(*Pull) bool, now float64) {
-	for _, l := range p.inOrder() {
-		for _, tag := range slices.Sorted(maps.Keys(l.open)) {
-			if q := l.open[tag]; named(q) {
-				p.Recall(q, now)
+	case pull.ended:
+	case pull.conn.wire.Remove(pull.command):
+		p.finish(pull, End{Status: router.NeverSent, At: now})
+		p.closeIfDrained(pull.conn)
+	case pull.command.state.Load() == stateWriting && pull.conn.wire.Stuck():
+		pull.conn.retired = true
+		pull.conn.wire.Close()
+	}
+}
+
+// Withdraw recalls the matching pulls that are still queued, for instance on a connection that is slow to come up, since
+// a drain or a purge applies to them too. They never ran, so they may be sent again at once.
+func (p *Pool) Withdraw(match func(*Pull) bool, now float64) {
+	for _, c := range p.sortedConns() {
+		for _, id := range slices.Sorted(maps.Keys(c.open)) {
+			if pull := c.open[id]; match(pull) {
+				p.Recall(pull, now)
 			}
 		}
 	}
 }
 
-// Probe asks how a node is; its end comes by Ends.
+// Probe asks a node for its health, and for its load if the limits say so. Ends reports the result.
 func (p *Pool) Probe(id string, now float64) *Pull {
-	word := "PING"
+	name := "PING"
 	if p.limits.Reports {
-		word = "LOAD"
+		name = "LOAD"
 	}
-	p.tags++
-	q := &Pull{ID: "p" + strconv.Itoa(p.tags), Node: id}
-	p.probes[q.ID] = q
-	p.send(q, command(nil, []string{word, q.ID}, -1), now)
-	return q
+	p.lastProbeID++
+	pull := &Pull{ID: "p" + strconv.Itoa(p.lastProbeID), Node: id}
+	p.probes[pull.ID] = pull
+	p.send(pull, appendCommand(nil, []string{name, pull.ID}, -1), now)
+	return pull
 }
 
-func (p *Pool) end(q *Pull, e End) {
-	assert.That(!q.done, "a pull ends once")
-	if q.done {
+// finish records the result of a pull, a probe or a health check.
+func (p *Pool) finish(pull *Pull, e End) {
+	assert.That(!pull.ended, "a pull ends only once")
+	if pull.ended {
 		e.Body.Release()
 		return
 	}
-	q.done = true
-	if l := q.link; l != nil {
-		delete(l.open, q.ID)
-		if l.remember(q.ID); l.check == q {
-			l.check = nil
+	pull.ended = true
+	if c := pull.conn; c != nil {
+		delete(c.open, pull.ID)
+		if c.rememberEnded(pull.ID); c.healthCheck == pull {
+			c.healthCheck = nil
 		}
 	}
-	if e.Pull = q; p.probes[q.ID] == q {
-		e.Probe = q.Node
-		delete(p.probes, q.ID)
+	if e.Pull = pull; p.probes[pull.ID] == pull {
+		e.Probe = pull.Node
+		delete(p.probes, pull.ID)
 	}
-	if q.own {
+	if pull.healthCheck {
 		return
 	}
-	p.ends = append(p.ends, e)
+	p.results = append(p.results, e)
 }
 
-// Ends takes what has ended since it was last called.
+// Ends returns the results since the last call and clears them.
 func (p *Pool) Ends() []End {
-	e := p.ends
-	p.ends = nil
+	e := p.results
+	p.results = nil
 	return e
 }
 
-var words = map[string]router.Status{
+// statusByReply maps the word of a reply to the status of its pull or probe.
+var statusByReply = map[string]router.Status{
 	"DONE": router.Fulfilled, "KEEP": router.Fulfilled, "LACK": router.Missed, "WAIT": router.TurnedAway,
 	"BROKE": router.Failed, "PAST": router.NeverSent, "FIT": router.Fulfilled, "UNFIT": router.Failed,
 }
 
-var notes = map[string]router.Note{
+// noteByResult maps the field res of a reply to a note for the router.
+var noteByResult = map[string]router.Note{
 	"warm": router.Held, "fill": router.FilledBySource, "piggy": router.JoinedFill, "aged": router.HeldOld,
 }
 
-// Handle takes what a wire tells.
+// Handle processes an event of a wire.
 func (p *Pool) Handle(e Event) {
 	switch e := e.(type) {
 	case Up:
-		if l := p.links[e.Wire]; l != nil {
-			l.up = true
-			p.gather(l.node, e.At)
+		if c := p.conns[e.Wire]; c != nil {
+			c.up = true
+			p.moveQueued(c.node, e.At)
 		}
 	case Answered:
-		p.answered(e)
+		p.handleReply(e)
 	case Down:
 		if e.Bad != nil {
 			p.Malformed++
 		}
-		l := p.links[e.Wire]
-		if l == nil {
+		c := p.conns[e.Wire]
+		if c == nil {
 			return
 		}
-		p.forget(l)
-		p.lost(l, e.Up, e.At)
+		p.removeConn(c)
+		p.connLost(c, e.Up, e.At)
 	}
 }
 
-// lost ends all that is open on a connection that is no more, at once: what was written whole may have run, what was
-// not never will; where the connection never came up, that is the node's doing.
-func (p *Pool) lost(l *link, up bool, now float64) {
-	for _, id := range slices.Sorted(maps.Keys(l.open)) {
-		q, status := l.open[id], router.NotConnected
-		if q.item.state.Load() != queued {
+// connLost ends all pulls in flight on a closed connection. A pull that was written completely may have run; one that was
+// not never will. If the connection never came up, the pulls fail as not connected, which counts against the node.
+func (p *Pool) connLost(c *conn, up bool, now float64) {
+	for _, id := range slices.Sorted(maps.Keys(c.open)) {
+		pull, status := c.open[id], router.NotConnected
+		if pull.command.state.Load() != stateQueued {
 			status = router.Broken
-			if q.idle > 0 && l.heard < q.sent && now-q.sent < p.limits.Answer {
-				p.reuse.note(q.idle, now, false, true)
+			if pull.idleBefore > 0 && c.lastReply < pull.sentAt && now-pull.sentAt < p.limits.Answer {
+				p.reuse.record(pull.idleBefore, now, false, true)
 			}
 		} else if up {
 			status = router.NeverSent
 		}
-		p.end(q, End{Status: status, At: now})
+		p.finish(pull, End{Status: status, At: now})
 	}
 }
 
-// fail gives up a connection of which nothing more can be believed, or that is mute.
-func (p *Pool) fail(l *link, now float64) {
-	for _, id := range slices.Sorted(maps.Keys(l.open)) {
-		// What waits is taken back first: it must not be written while the connection closes.
-		if q := l.open[id]; l.wire.Remove(q.item) {
-			p.end(q, End{Status: router.NeverSent, At: now})
+// failConn closes a connection that sent an invalid reply or has stalled.
+func (p *Pool) failConn(c *conn, now float64) {
+	for _, id := range slices.Sorted(maps.Keys(c.open)) {
+		// Queued pulls are removed first, so that they aren't written while the connection closes.
+		if pull := c.open[id]; c.wire.Remove(pull.command) {
+			p.finish(pull, End{Status: router.NeverSent, At: now})
 		}
 	}
-	l.wire.Close()
-	p.forget(l)
-	p.lost(l, true, now)
+	c.wire.Close()
+	p.removeConn(c)
+	p.connLost(c, true, now)
 }
 
-func (p *Pool) answered(e Answered) {
-	l, r := p.links[e.Wire], e.Reply
-	if l == nil {
-		r.Body.Release()
+// handleReply validates a reply and ends the pull or the probe that it belongs to.
+func (p *Pool) handleReply(e Answered) {
+	c, reply := p.conns[e.Wire], e.Reply
+	if c == nil {
+		reply.Body.Release()
 		return
 	}
-	l.heard = e.At
-	q := l.open[r.Tag]
-	if q == nil {
-		p.Late++ // a second copy, or what was given up, or never asked: it harms nothing
-		r.Body.Release()
+	c.lastReply = e.At
+	pull := c.open[reply.Tag]
+	if pull == nil {
+		p.Late++ // a duplicate, or a reply to a dropped or unknown pull; harmless
+		reply.Body.Release()
 		return
 	}
-	status, known := words[r.Word]
-	_, probe := p.probes[r.Tag]
-	fields, readable := parseFields(r.Fields)
-	born, dated := number(fields["t0"])
-	brings := status != router.Fulfilled || probe || !q.Copies || dated && tag(fields["sum"])
-	keeps := r.Word != "KEEP" || q.Mine != "" && fields["sum"] == q.Mine && r.Body.Len() == 0
-	if !known || !readable || probe != (r.Word == "FIT" || r.Word == "UNFIT") || !keeps || !brings {
-		// Where one answer is not what it must be, none after it can be believed.
+	status, known := statusByReply[reply.Word]
+	_, isProbe := p.probes[reply.Tag]
+	fields, readable := parseFields(reply.Fields)
+	createdAt, hasTime := parseTime(fields["t0"])
+	complete := status != router.Fulfilled || isProbe || !pull.Copies || hasTime && isChecksum(fields["sum"])
+	validKeep := reply.Word != "KEEP" || pull.Mine != "" && fields["sum"] == pull.Mine && reply.Body.Len() == 0
+	if !known || !readable || isProbe != (reply.Word == "FIT" || reply.Word == "UNFIT") || !validKeep || !complete {
+		// After one invalid reply, no later reply on this connection can be trusted.
 		p.Malformed++
-		r.Body.Release()
-		p.fail(l, e.At)
+		reply.Body.Release()
+		p.failConn(c, e.At)
 		return
 	}
 	switch {
-	case r.Short:
+	case reply.Short:
 		p.Short++
 		status = router.Broken
-	case status == router.Fulfilled && q.Copies && !probe && q.MaxAge > 0 && born < q.sent-q.MaxAge-ageSlack:
+	case status == router.Fulfilled && pull.Copies && !isProbe && pull.MaxAge > 0 &&
+		createdAt < pull.sentAt-pull.MaxAge-ageTolerance:
 		p.Old++
 		status = router.Failed
-	case status == router.Fulfilled && q.Copies && !probe && p.Oldest != nil && born < p.Oldest(q):
+	case status == router.Fulfilled && pull.Copies && !isProbe && p.Oldest != nil && createdAt < p.Oldest(pull):
 		p.Old++
 		status = router.Failed
 	}
-	end := End{Status: status, Note: notes[fields["res"]], Load: p.load(fields["gauges"]),
-		Keep: r.Word == "KEEP", At: e.At}
+	end := End{Status: status, Note: noteByResult[fields["res"]], Load: p.parseLoad(fields["gauges"]),
+		Keep: reply.Word == "KEEP", At: e.At}
 	if status == router.Fulfilled && !end.Keep {
-		end.Body = r.Body
+		end.Body = reply.Body
 	} else {
-		r.Body.Release()
+		reply.Body.Release()
 	}
-	if !probe {
-		p.usual += (e.At - q.sent - p.usual) / 32
+	if !isProbe {
+		p.meanAnswer += (e.At - pull.sentAt - p.meanAnswer) / 32
 	}
-	p.end(q, end)
-	p.tidy(l)
+	p.finish(pull, end)
+	p.closeIfDrained(c)
 }
 
-// ageSlack is what the clocks of two machines, and rounding, may make a copy look older than it is.
-const ageSlack = 50.0
+// ageTolerance is by how many ms clock skew between two machines, and rounding, may make a copy look too old.
+const ageTolerance = 50.0
 
-// seldom is how many times as long as an answer takes of late a connection may be silent before it is asked: where large
-// objects take longer than a connection does to come up, each of them would else bring a question, which the fleet pays for.
-const seldom = 3.0
+// healthCheckFactor is for how many times the average reply time a connection may be silent before it gets a health check.
+// Without it, each large object that takes longer than the connect timeout would cause a check, a cost that adds up over
+// all gateways.
+const healthCheckFactor = 3.0
 
-// Watch finds connections that have stopped amid an answer or gone silent, as a whole, and so before the pulls on
-// them time out one by one. What is merely slow answers the question whether it is there.
+// Watch finds connections that have stalled in the middle of a reply or gone silent, and fails them as a whole before
+// their pulls time out one by one. A node that is only slow replies to the health check.
 func (p *Pool) Watch(now float64) {
-	late := now-p.watched > p.limits.Answer/2 // the gateway itself was held up, and may not have read yet
-	if p.watched = now; late {
+	delayed := now-p.lastWatch > p.limits.Answer/2 // this process was paused and may have unread data
+	if p.lastWatch = now; delayed {
 		return
 	}
-	for _, l := range p.inOrder() {
-		if len(l.open) == 0 || !l.up || l.node.shunned {
+	for _, c := range p.sortedConns() {
+		if len(c.open) == 0 || !c.up || c.node.excluded {
 			continue
 		}
-		first := math.Inf(1)
-		for _, q := range l.open {
-			if q.item.state.Load() == written {
-				first = min(first, q.sent)
+		oldestSent := math.Inf(1)
+		for _, pull := range c.open {
+			if pull.command.state.Load() == stateWritten {
+				oldestSent = min(oldestSent, pull.sentAt)
 			}
 		}
-		at, amid := l.wire.Heard()
-		quiet := now - max(first, at)
+		lastRead, midReply := c.wire.Heard()
+		silentFor := now - max(oldestSent, lastRead)
 		switch {
-		case amid && now-at > p.limits.Answer, l.check != nil && now-max(l.check.sent, at) > p.limits.Answer:
+		case midReply && now-lastRead > p.limits.Answer,
+			c.healthCheck != nil && now-max(c.healthCheck.sentAt, lastRead) > p.limits.Answer:
 			p.Mute++
-			p.fail(l, now)
-		case l.check != nil && at > l.check.sent:
-			p.end(l.check, End{Status: router.CalledOff, At: now}) // what it says answers the question
-			p.tidy(l)
-		case l.check == nil && p.limits.Checks && quiet > max(p.limits.Answer, seldom*p.usual):
-			l.check = p.ask(l, now)
+			p.failConn(c, now)
+		case c.healthCheck != nil && lastRead > c.healthCheck.sentAt:
+			p.finish(c.healthCheck, End{Status: router.CalledOff, At: now}) // any data shows that the node is alive
+			p.closeIfDrained(c)
+		case c.healthCheck == nil && p.limits.Checks && silentFor > max(p.limits.Answer, healthCheckFactor*p.meanAnswer):
+			c.healthCheck = p.sendHealthCheck(c, now)
 		}
 	}
 }
 
-func (p *Pool) inOrder() (all []*link) {
+// sortedConns returns all connections in the order of their nodes' names.
+func (p *Pool) sortedConns() (all []*conn) {
 	for _, name := range slices.Sorted(maps.Keys(p.nodes)) {
-		all = append(all, p.nodes[name].links...)
+		all = append(all, p.nodes[name].conns...)
 	}
 	return all
 }
 
-// ask puts a question on one connection; who asks is the pool itself, so its end is nobody's.
-func (p *Pool) ask(l *link, now float64) *Pull {
-	p.tags++
-	q := &Pull{ID: "p" + strconv.Itoa(p.tags), Node: l.node.id, own: true}
-	p.probes[q.ID] = q
-	if !p.put(l, q, command(nil, []string{"PING", q.ID}, -1), now) {
-		delete(p.probes, q.ID)
+// sendHealthCheck sends a PING on one connection; nil if it can't be sent. The pool handles the result itself.
+func (p *Pool) sendHealthCheck(c *conn, now float64) *Pull {
+	p.lastProbeID++
+	pull := &Pull{ID: "p" + strconv.Itoa(p.lastProbeID), Node: c.node.id, healthCheck: true}
+	p.probes[pull.ID] = pull
+	if !p.sendOn(c, pull, appendCommand(nil, []string{"PING", pull.ID}, -1), now) {
+		delete(p.probes, pull.ID)
 		return nil
 	}
-	return q
+	return pull
 }
 
-// load reads a report; what is no number is left out: reports are hearsay, and a download must not hang on one.
-func (p *Pool) load(text string) map[string]float64 {
+// parseLoad parses a load report. Values that aren't finite numbers are skipped: reports are unreliable, and a bad one
+// must not fail a download.
+func (p *Pool) parseLoad(text string) map[string]float64 {
 	if text == "" {
 		return nil
 	}
@@ -610,30 +637,30 @@
 	return load
 }
 
-// Tidy closes connections that have been idle.
+// Tidy closes connections that have been idle for too long.
 func (p *Pool) Tidy(now float64) {
-	for _, l := range p.inOrder() {
-		p.rest(l, now)
+	for _, c := range p.sortedConns() {
+		p.retireIfIdle(c, now)
 	}
 }
 
-// rest closes a connection that has been idle a little before its peer would: a pull that crosses the peer's
-// close is written whole and may have run, for all that can be known. So it is where something on the way lets go of
-// idle connections sooner.
-func (p *Pool) rest(l *link, now float64) {
-	if idle := now - l.idleSince(); len(l.open) == 0 && (idle > 0.9*p.limits.Idle || idle > p.reuse.until(now)) {
-		l.retired = true
-		p.tidy(l)
+// retireIfIdle closes an idle connection shortly before its peer would. A pull that crosses the peer's close is written
+// completely, so it can't be known whether it ran. The same applies if a device on the path drops idle connections sooner.
+func (p *Pool) retireIfIdle(c *conn, now float64) {
+	if idle := now - c.idleSince(); len(c.open) == 0 && (idle > 0.9*p.limits.Idle || idle > p.reuse.maxIdle(now)) {
+		c.retired = true
+		p.closeIfDrained(c)
 	}
 }
 
-func (l *link) idleSince() float64 { return max(l.used, l.heard) }
+// idleSince returns the time of the last command or reply on a connection.
+func (c *conn) idleSince() float64 { return max(c.lastSent, c.lastReply) }
 
-// Open counts the pulls that are open at a node.
+// Open returns the number of pulls in flight to a node, probes not counted.
 func (p *Pool) Open(id string) (open int) {
 	if n := p.nodes[id]; n != nil {
-		for _, l := range n.links {
-			for tag := range l.open {
+		for _, c := range n.conns {
+			for tag := range c.open {
 				if p.probes[tag] == nil {
 					open++
 				}
@@ -643,13 +670,13 @@
 	return open
 }
 
-// Conns counts the connections there are.
-func (p *Pool) Conns() int { return len(p.links) }
+// Conns returns the number of connections.
+func (p *Pool) Conns() int { return len(p.conns) }
 
-// Close gives all connections up, for good.
+// Close closes all connections; no new ones are opened.
 func (p *Pool) Close() {
 	p.closed = true
-	for w := range p.links {
+	for w := range p.conns {
 		w.Close()
 	}
 }
--- a/internal/caches/resp.go
+++ b/internal/caches/resp.go
@@ -1,7 +1,7 @@
-// Package caches speaks RESP with the caches, the parents and the origin.
+// Package caches is a client of caches, parents and the origin, which speak RESP.
 //
-// Parser and Pool are the protocol: they are fed bytes and events and know no socket and no clock. Wire is the
-// driver of one connection. Pool belongs to the gateway's one goroutine.
+// Parser and Pool implement the protocol on bytes and events, without sockets or clocks. Dialer opens connections over
+// TCP that implement Wire. A Pool is used by a single goroutine of the gateway.
 package caches
 
 import (
@@ -13,131 +13,131 @@
 	"poppymill/internal/buffer"
 )
 
-// Bounds on what one answer may hold.
+// Limits on a single reply.
 const (
-	mostParts  = 4
-	mostWord   = 4 << 10
-	mostAnswer = 240_000 // an object's bytes
-	mostLine   = 16
+	maxStrings     = 4       // bulk strings in the array
+	maxStringBytes = 4 << 10 // per string before the body
+	maxBodyBytes   = 240_000 // an object
+	maxLengthLine  = 16      // bytes of a line with a length
 )
 
-// Reply is one answer as it came: a tag, a word, fields, a body.
+// Reply is one reply as received: the ID of its command (Tag), a word for the outcome, fields and a body.
 type Reply struct {
 	Tag, Word, Fields string
 	Body              *buffer.Chain
-	Short             bool // no buffer was left for the body
+	Short             bool // the body is incomplete, as no buffer was available
 }
 
-// Parser reads RESP arrays of bulk strings.
+// Parser is an incremental parser of RESP arrays of bulk strings.
 type Parser struct {
-	pool  *buffer.Pool
-	line  []byte // of a length, until its end
-	left  int    // bulk strings to come of this array
-	part  int    // which comes next
-	need  int    // bytes of the present one, with its line end; -1: its length comes first
-	words [3][]byte
-	body  *buffer.Chain
-	short bool
+	pool        *buffer.Pool
+	lengthLine  []byte    // the length line read so far
+	stringsLeft int       // of the current array
+	index       int       // of the current string in the array
+	bytesLeft   int       // of the current string with its CRLF; -1: its length line comes first
+	header      [3][]byte // tag, word and fields
+	body        *buffer.Chain
+	truncated   bool
 }
 
-// NewParser makes a parser for a new connection.
-func NewParser(pool *buffer.Pool) *Parser { return &Parser{pool: pool, need: -1} }
+// NewParser returns a parser for a new connection that takes buffers for bodies from pool.
+func NewParser(pool *buffer.Pool) *Parser { return &Parser{pool: pool, bytesLeft: -1} }
 
-// Feed reads bytes, however they are split, and appends what it finds. After an error the connection is of no
-// more use.
-func (p *Parser) Feed(b []byte, found []Reply) ([]Reply, error) {
+// Feed parses the next bytes of the stream, which may be split anywhere, and appends the completed replies. After an
+// error the connection is unusable.
+func (p *Parser) Feed(b []byte, replies []Reply) ([]Reply, error) {
 	for len(b) > 0 {
-		if p.need < 0 {
-			n, rest, err := p.length(b)
+		if p.bytesLeft < 0 {
+			n, rest, err := p.readLength(b)
 			if b = rest; err != nil {
-				return found, err
+				return replies, err
 			}
 			if n < 0 {
-				return found, nil
+				return replies, nil
 			}
-			if p.left == 0 {
-				p.left, p.part = n, 0
+			if p.stringsLeft == 0 {
+				p.stringsLeft, p.index = n, 0
 			} else {
-				p.need = n + 2
+				p.bytesLeft = n + 2
 			}
 			continue
 		}
-		text := b[:max(0, min(len(b), p.need-2))]
+		text := b[:max(0, min(len(b), p.bytesLeft-2))]
 		switch {
-		case p.part < 3:
-			p.words[p.part] = append(p.words[p.part], text...)
-		case p.part == 3 && len(text) > 0:
+		case p.index < 3:
+			p.header[p.index] = append(p.header[p.index], text...)
+		case p.index == 3 && len(text) > 0:
 			if p.body == nil {
 				p.body = buffer.NewChain(p.pool)
 			}
-			p.short = !p.body.Append(text) || p.short
+			p.truncated = !p.body.Append(text) || p.truncated
 		}
 		b = b[len(text):]
-		p.need -= len(text)
-		for p.need > 0 && p.need <= 2 && len(b) > 0 {
-			if b[0] != "\n\r"[p.need-1] {
-				return found, errors.New("a string does not end where it should")
+		p.bytesLeft -= len(text)
+		for p.bytesLeft > 0 && p.bytesLeft <= 2 && len(b) > 0 {
+			if b[0] != "\n\r"[p.bytesLeft-1] {
+				return replies, errors.New("bulk string is not terminated by CRLF")
 			}
 			b = b[1:]
-			p.need--
+			p.bytesLeft--
 		}
-		if p.need > 0 {
+		if p.bytesLeft > 0 {
 			continue
 		}
-		p.need = -1
-		p.part++
-		if p.left--; p.left > 0 {
+		p.bytesLeft = -1
+		p.index++
+		if p.stringsLeft--; p.stringsLeft > 0 {
 			continue
 		}
-		found = append(found, Reply{Tag: string(p.words[0]), Word: string(p.words[1]),
-			Fields: string(p.words[2]), Body: p.body, Short: p.short})
-		p.body, p.short = nil, false
-		for i := range p.words {
-			p.words[i] = p.words[i][:0]
+		replies = append(replies, Reply{Tag: string(p.header[0]), Word: string(p.header[1]),
+			Fields: string(p.header[2]), Body: p.body, Short: p.truncated})
+		p.body, p.truncated = nil, false
+		for i := range p.header {
+			p.header[i] = p.header[i][:0]
 		}
 	}
-	return found, nil
+	return replies, nil
 }
 
-// length reads the line before an array or a string; -1 while it is not whole.
-func (p *Parser) length(b []byte) (int, []byte, error) {
+// readLength reads the length line of an array or a string. It returns -1 while the line is incomplete.
+func (p *Parser) readLength(b []byte) (int, []byte, error) {
 	for i, c := range b {
 		if c != '\n' {
-			if p.line = append(p.line, c); len(p.line) > mostLine {
-				return 0, nil, errors.New("a length is too long")
+			if p.lengthLine = append(p.lengthLine, c); len(p.lengthLine) > maxLengthLine {
+				return 0, nil, errors.New("length line is too long")
 			}
 			continue
 		}
-		sign, most := byte('*'), mostParts
-		if p.left > 0 {
-			if sign, most = '$', mostWord; p.part >= 3 {
-				most = mostAnswer
+		prefix, limit := byte('*'), maxStrings
+		if p.stringsLeft > 0 {
+			if prefix, limit = '$', maxStringBytes; p.index >= 3 {
+				limit = maxBodyBytes
 			}
 		}
-		text, ok := strings.CutSuffix(string(p.line), "\r")
-		p.line = p.line[:0]
-		if !ok || text == "" || text[0] != sign {
-			return 0, nil, fmt.Errorf("%q in place of a length", text)
+		text, ok := strings.CutSuffix(string(p.lengthLine), "\r")
+		p.lengthLine = p.lengthLine[:0]
+		if !ok || text == "" || text[0] != prefix {
+			return 0, nil, fmt.Errorf("%q instead of a length", text)
 		}
 		n, err := strconv.ParseUint(text[1:], 10, 31)
-		if err != nil || int(n) > most || sign == '*' && n < 3 {
-			return 0, nil, fmt.Errorf("length %q", text)
+		if err != nil || int(n) > limit || prefix == '*' && n < 3 {
+			return 0, nil, fmt.Errorf("invalid length %q", text)
 		}
 		return int(n), b[i+1:], nil
 	}
 	return -1, nil, nil
 }
 
-// Release lets go of what has come in part.
+// Release releases the body of an incomplete reply.
 func (p *Parser) Release() {
 	p.body.Release()
 	p.body = nil
 }
 
-// Amid tells whether an answer is under way.
-func (p *Parser) Amid() bool { return p.left > 0 || len(p.line) > 0 }
+// MidReply reports whether a reply has been received in part.
+func (p *Parser) MidReply() bool { return p.stringsLeft > 0 || len(p.lengthLine) > 0 }
 
-// parseFields reads a list name=value,name=value, or - for none; false where it is none.
+// parseFields parses fields as name=value,name=value, or - for none; false if they are malformed.
 func parseFields(text string) (map[string]string, bool) {
 	if text == "-" {
 		return nil, true
@@ -153,37 +153,38 @@
 	return fields, true
 }
 
-// tag tells whether a word is a copy's tag: 16 hex digits.
-func tag(s string) bool {
+// isChecksum reports whether s is the checksum of a copy: 16 hex digits.
+func isChecksum(s string) bool {
 	_, err := strconv.ParseUint(s, 16, 64)
 	return err == nil && len(s) == 16
 }
 
-// number reads a time as the protocol writes one.
-func number(s string) (float64, bool) {
+// parseTime parses a time of the protocol: whole milliseconds of Unix time.
+func parseTime(s string) (float64, bool) {
 	n, err := strconv.ParseUint(s, 10, 53)
 	return float64(n), err == nil
 }
 
-func length(out []byte, sign byte, n int) []byte {
-	return append(strconv.AppendInt(append(out, sign), int64(n), 10), lineEnd...)
+// appendLength appends a length line.
+func appendLength(out []byte, prefix byte, n int) []byte {
+	return append(strconv.AppendInt(append(out, prefix), int64(n), 10), lineEnd...)
 }
 
-// command writes an array of short strings; where a body of the given length is to follow, it opens
-// that too; -1 is none.
-func command(out []byte, words []string, body int) []byte {
+// appendCommand appends an array of strings. A bodyLen of 0 or more adds a last string of that length, whose bytes the
+// caller sends unless it is empty; -1 means no body.
+func appendCommand(out []byte, words []string, bodyLen int) []byte {
 	n := len(words)
-	if body >= 0 {
+	if bodyLen >= 0 {
 		n++
 	}
-	out = length(out, '*', n)
+	out = appendLength(out, '*', n)
 	for _, w := range words {
-		out = append(append(length(out, '$', len(w)), w...), lineEnd...)
+		out = append(append(appendLength(out, '$', len(w)), w...), lineEnd...)
 	}
-	if body >= 0 {
-		out = length(out, '$', body)
+	if bodyLen >= 0 {
+		out = appendLength(out, '$', bodyLen)
 	}
-	if body == 0 {
+	if bodyLen == 0 {
 		out = append(out, lineEnd...)
 	}
 	return out
--- a/internal/caches/wire.go
+++ b/internal/caches/wire.go
@@ -12,48 +12,50 @@
 	"poppymill/internal/buffer"
 )
 
-// Item is one command on its way to a node.
+// Item is one command to a node, in the write queue of a wire.
 type Item struct {
 	head  []byte
 	body  *buffer.Chain
 	state atomic.Int32
 }
 
+// The states of an Item.
 const (
-	queued int32 = iota
-	taken        // being written: it may be whole at the node before the writer knows
-	written
+	stateQueued  int32 = iota
+	stateWriting       // the node may receive all of it before the write returns
+	stateWritten
 )
 
-// Wire is a connection as the pool sees it: it never blocks, and tells what happens by events.
+// Wire is a connection as the pool uses it. Its methods never block; it reports what happens by events.
 type Wire interface {
-	Send(*Item) bool                // false: too much waits already
-	Remove(*Item) bool              // true: it was not taken yet and never will be
-	Stuck() bool                    // the node has not read for longer than any write takes
-	Heard() (at float64, amid bool) // when bytes last came, and whether an answer is not whole yet
-	Close()                         // gives up all that is open on it
+	Send(*Item) bool                // false: the queue is full, or the wire is closed
+	Remove(*Item) bool              // true: the item has not been written and never will be
+	Stuck() bool                    // a write has blocked for too long, as the node does not read
+	Heard() (at float64, amid bool) // time of the last read, and whether a reply is incomplete
+	Close()                         // closes the connection with everything in flight on it
 }
 
-// Event is one of the types below.
+// Event is an Up, Answered or Down event of a wire.
 type Event any
 
-// What a wire tells.
+// Events of a wire.
 type (
-	// Up tells that a connection is there.
+	// Up reports that the connection is established.
 	Up struct {
 		Wire Wire
 		At   float64
 	}
-	// Answered is one answer.
+	// Answered reports a reply.
 	Answered struct {
 		Wire  Wire
 		Reply Reply
 		At    float64
 	}
-	// Down is the last that a wire tells. Why is nil where the peer or the gateway closed it.
+	// Down is the last event of a wire. Bad is the protocol error, or nil if the peer or the gateway closed the
+	// connection.
 	Down struct {
 		Wire Wire
-		Up   bool // it had been up
+		Up   bool // it had been established
 		Bad  error
 		At   float64
 	}
@@ -62,51 +64,52 @@
 // Dialer opens wires over TCP.
 type Dialer struct {
 	Pool    *buffer.Pool // for bodies
-	Reads   *buffer.Pool // for reading; one for each connection
+	Reads   *buffer.Pool // for reads; one buffer per connection
 	Now     func() float64
-	Connect time.Duration
-	Post    func(Event) // may block for as long as the gateway is busy
-	Live    sync.WaitGroup
+	Connect time.Duration  // connect timeout
+	Post    func(Event)    // may block while the gateway is busy
+	Live    sync.WaitGroup // of the wires that are not down yet
 }
 
-// Dial starts a connection; what becomes of it is told by events.
+// Dial starts to open a connection. Its events report the outcome.
 func (d *Dialer) Dial(address string) Wire {
-	w := &wire{dialer: d, wake: make(chan struct{}, 1)}
+	w := &tcpWire{dialer: d, wake: make(chan struct{}, 1)}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	d.Live.Add(1)
 	go w.run(address)
 	return w
 }
 
-// Bounds of what waits to be written; past them a node has not read for long.
+// Limits on unwritten items and on the duration of a write. Beyond them, the node has stopped reading for a while.
 const (
-	mostItems = 256
-	blocked   = 10 * time.Millisecond
+	maxQueued  = 256
+	stuckAfter = 10 * time.Millisecond
 )
 
-type wire struct {
-	dialer *Dialer
-	mu     sync.Mutex
-	nc     net.Conn
-	queue  []*Item
-	closed bool
-	wake   chan struct{}
-	since  atomic.Int64    // when the write under way began, in Unix ns; 0: none is
-	heard  atomic.Uint64   // when bytes last came, as the bits of a float64
-	amid   atomic.Bool     // an answer is not whole yet
-	ctx    context.Context // ends with the wire
-	cancel context.CancelFunc
+// tcpWire is a Wire over TCP, with one goroutine that reads and one that writes.
+type tcpWire struct {
+	dialer     *Dialer
+	mu         sync.Mutex
+	netConn    net.Conn
+	queue      []*Item
+	closed     bool
+	wake       chan struct{}
+	writeStart atomic.Int64    // start of the current write, in Unix ns; 0: none
+	lastRead   atomic.Uint64   // time of the last read, as the bits of a float64
+	midReply   atomic.Bool     // a reply has been received in part
+	ctx        context.Context // canceled when the wire closes
+	cancel     context.CancelFunc
 }
 
-func (w *wire) Send(i *Item) bool {
+func (w *tcpWire) Send(item *Item) bool {
 	w.mu.Lock()
-	full := len(w.queue) >= mostItems || w.closed
+	full := len(w.queue) >= maxQueued || w.closed
 	if !full {
-		w.queue = append(w.queue, i)
+		w.queue = append(w.queue, item)
 	}
 	w.mu.Unlock()
 	if full {
-		i.body.Release()
+		item.body.Release()
 		return false
 	}
 	select {
@@ -116,30 +119,32 @@
 	return true
 }
 
-func (w *wire) Remove(i *Item) bool {
+func (w *tcpWire) Remove(item *Item) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if i.state.Load() != queued {
+	if item.state.Load() != stateQueued {
 		return false
 	}
-	for n, q := range w.queue {
-		if q == i {
+	for n, other := range w.queue {
+		if other == item {
 			w.queue = append(w.queue[:n], w.queue[n+1:]...)
-			i.body.Release()
+			item.body.Release()
 			return true
 		}
 	}
-	return true // a wire that closed let go of it unwritten
+	return true // the wire closed and released it unwritten
 }
 
-func (w *wire) Stuck() bool {
-	since := w.since.Load()
-	return since != 0 && time.Now().UnixNano()-since > int64(blocked)
+func (w *tcpWire) Stuck() bool {
+	started := w.writeStart.Load()
+	return started != 0 && time.Now().UnixNano()-started > int64(stuckAfter)
 }
 
-func (w *wire) Heard() (float64, bool) { return math.Float64frombits(w.heard.Load()), w.amid.Load() }
+func (w *tcpWire) Heard() (float64, bool) {
+	return math.Float64frombits(w.lastRead.Load()), w.midReply.Load()
+}
 
-func (w *wire) Close() {
+func (w *tcpWire) Close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
@@ -147,23 +152,24 @@
 	}
 	w.closed = true
 	w.cancel()
-	if w.nc != nil {
-		w.nc.Close()
+	if w.netConn != nil {
+		w.netConn.Close()
 	}
 }
 
-func (w *wire) run(address string) {
+// run connects and then serves the connection until it ends.
+func (w *tcpWire) run(address string) {
 	defer w.dialer.Live.Done()
 	d := net.Dialer{Timeout: w.dialer.Connect}
-	nc, err := d.DialContext(w.ctx, "tcp", address)
+	netConn, err := d.DialContext(w.ctx, "tcp", address)
 	w.mu.Lock()
 	if err == nil && w.closed {
-		nc.Close()
+		netConn.Close()
 		err = net.ErrClosed
 	}
-	w.nc = nc
+	w.netConn = netConn
 	w.mu.Unlock()
-	var bad error
+	var protocolErr error
 	if err == nil {
 		w.dialer.Post(Up{Wire: w, At: w.dialer.Now()})
 		done := make(chan struct{})
@@ -171,51 +177,53 @@
 			w.write()
 			close(done)
 		}()
-		bad = w.read()
+		protocolErr = w.read()
 		w.Close()
 		<-done
 	}
 	w.Close()
 	w.mu.Lock()
-	for _, i := range w.queue {
-		i.body.Release()
+	for _, item := range w.queue {
+		item.body.Release()
 	}
 	w.queue = nil
 	w.mu.Unlock()
-	w.dialer.Post(Down{Wire: w, Up: err == nil, Bad: bad, At: w.dialer.Now()})
+	w.dialer.Post(Down{Wire: w, Up: err == nil, Bad: protocolErr, At: w.dialer.Now()})
 }
 
-func (w *wire) read() error {
+// read posts replies until the connection ends. It returns an error only if the reply was malformed or no buffer was left.
+func (w *tcpWire) read() error {
 	b := w.dialer.Reads.Get()
 	if b == nil {
 		return errNoBuffer
 	}
 	defer w.dialer.Reads.Put(b)
 	b = b[:cap(b)]
-	p := NewParser(w.dialer.Pool)
-	defer p.Release()
-	var found []Reply
+	parser := NewParser(w.dialer.Pool)
+	defer parser.Release()
+	var replies []Reply
 	for {
-		n, err := w.nc.Read(b)
+		n, err := w.netConn.Read(b)
 		at := w.dialer.Now()
-		var bad error
-		found, bad = p.Feed(b[:n], found[:0])
-		w.heard.Store(math.Float64bits(at))
-		w.amid.Store(p.Amid())
-		for i, r := range found {
-			w.dialer.Post(Answered{Wire: w, Reply: r, At: at})
-			found[i] = Reply{}
+		var protocolErr error
+		replies, protocolErr = parser.Feed(b[:n], replies[:0])
+		w.lastRead.Store(math.Float64bits(at))
+		w.midReply.Store(parser.MidReply())
+		for i, reply := range replies {
+			w.dialer.Post(Answered{Wire: w, Reply: reply, At: at})
+			replies[i] = Reply{}
 		}
-		if bad != nil || err != nil {
-			return bad
+		if protocolErr != nil || err != nil {
+			return protocolErr
 		}
 	}
 }
 
-func (w *wire) write() {
-	defer w.nc.Close()
+// write writes queued items, as many as there are in one call, until the connection ends.
+func (w *tcpWire) write() {
+	defer w.netConn.Close()
 	var pieces net.Buffers
-	var limit time.Time
+	var deadline time.Time
 	for {
 		select {
 		case <-w.ctx.Done():
@@ -223,64 +231,66 @@
 		case <-w.wake:
 		}
 		w.mu.Lock()
-		todo := w.queue
+		batch := w.queue
 		w.queue = nil
-		for _, i := range todo {
-			i.Take()
+		for _, item := range batch {
+			item.Take()
 		}
 		w.mu.Unlock()
 		pieces = pieces[:0]
-		for _, i := range todo {
-			pieces = i.Pieces(pieces)
+		for _, item := range batch {
+			pieces = item.Pieces(pieces)
 		}
-		// A connection that can't take a command in about the time in which it must come up counts as down too.
-		// Setting the limit costs as much as a small write, so it is set for more than one.
+		// A connection that can't take a command within about the connect timeout counts as down too. Setting the deadline
+		// costs as much as a small write, so one deadline serves several writes.
 		now := time.Now()
-		if limit.Sub(now) < w.dialer.Connect {
-			limit = now.Add(2 * w.dialer.Connect)
-			w.nc.SetWriteDeadline(limit)
+		if deadline.Sub(now) < w.dialer.Connect {
+			deadline = now.Add(2 * w.dialer.Connect)
+			w.netConn.SetWriteDeadline(deadline)
 		}
-		w.since.Store(now.UnixNano())
-		rest := pieces
-		n, err := rest.WriteTo(w.nc)
-		w.since.Store(0)
+		w.writeStart.Store(now.UnixNano())
+		remaining := pieces
+		n, err := remaining.WriteTo(w.netConn)
+		w.writeStart.Store(0)
 		clear(pieces)
-		for _, i := range todo {
-			n -= i.size()
-			i.Wrote(n >= 0)
+		for _, item := range batch {
+			n -= item.size()
+			item.Wrote(n >= 0)
 		}
-		assert.That(err != nil || n == 0, "a write without error is whole")
+		assert.That(err != nil || n == 0, "a write without error is complete")
 		if err != nil {
 			return
 		}
 	}
 }
 
+// lineEnd terminates length lines and strings.
 var lineEnd = []byte("\r\n")
 
-// Take tells that the item is about to be written: from now on it may be whole at the node at any time.
-func (i *Item) Take() { i.state.Store(taken) }
+// Take marks the item as being written. From now on the node may have received all of it at any time.
+func (i *Item) Take() { i.state.Store(stateWriting) }
 
-// Pieces appends what is to be written.
-func (i *Item) Pieces(to [][]byte) [][]byte {
-	to = append(append(to, i.head), i.body.Parts()...)
+// Pieces appends the bytes to write, as slices for a vectored write.
+func (i *Item) Pieces(pieces [][]byte) [][]byte {
+	pieces = append(append(pieces, i.head), i.body.Parts()...)
 	if i.body != nil {
-		to = append(to, lineEnd)
+		pieces = append(pieces, lineEnd)
 	}
-	return to
+	return pieces
 }
 
-// Wrote tells whether all of it was written before the connection ended. If not, it never was whole at the node
-// and never will be.
+// Wrote records whether the whole item was written before the connection ended. If not, the node has not received all
+// of it and never will.
 func (i *Item) Wrote(whole bool) {
 	if whole {
-		i.state.Store(written)
+		i.state.Store(stateWritten)
 	} else {
-		i.state.Store(queued)
+		i.state.Store(stateQueued)
 	}
 	i.body.Release()
 }
 
+// size returns the length of the item in bytes on the connection.
 func (i *Item) size() int64 {
 	n := len(i.head) + i.body.Len()
 	if i.body != nil {
