--- a/internal/channel/channel_test.go
+++ b/internal/channel/channel_test.go
@@ -11,32 +11,33 @@
 	"poppymill/router"
 )
 
-const plain = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
+const okHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
 
-var answers = []struct{ name, in, want, err string }{
-	{"events", plain + ": hello\n\nid: 1\ndata: a\ndata: b\n\nid:2\r\ndata:c\r\n\r\nretry: 5\nodd\n\n", `1 "a\nb"; 2 "c"`, ""},
-	{"an event that breaks off", plain + "id: 1\ndata: a\n\nid: 2\ndata: b\n", `1 "a"`, ""},
-	{"chunks", "HTTP/1.1 200 OK\r\ntransfer-Encoding:  Chunked\r\n\r\n8;x=y\r\nid: 1\nda\r\n9\r\nta: abc\n\n\r\n0\r\nX: y\r\n\r\nmore",
+var readerCases = []struct{ name, in, want, err string }{
+	{"events", okHead + ": hello\n\nid: 1\ndata: a\ndata: b\n\nid:2\r\ndata:c\r\n\r\nretry: 5\nodd\n\n", `1 "a\nb"; 2 "c"`, ""},
+	{"incomplete event", okHead + "id: 1\ndata: a\n\nid: 2\ndata: b\n", `1 "a"`, ""},
+	{"chunked", "HTTP/1.1 200 OK\r\ntransfer-Encoding:  Chunked\r\n\r\n8;x=y\r\nid: 1\nda\r\n9\r\nta: abc\n\n\r\n0\r\nX: y\r\n\r\nmore",
 		`1 "abc"; done`, ""},
-	{"a length", "HTTP/1.0 200 OK\r\nContent-Length: 9\r\n\r\ndata: a\n\nand", `"a"; done`, ""},
-	{"a refusal", "HTTP/1.1 503 Busy\r\n\r\n", "", `answered "HTTP/1.1 503 Busy"`},
-	{"no HTTP", "hello\n", "", `answered "hello"`},
-	{"no header", "HTTP/1.1 200 OK\r\nodd\r\n", "", `header "odd"`},
-	{"an odd coding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n", "", `transfer encoding "gzip"`},
-	{"a length that is none", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n", "", `content length "-4"`},
-	{"a chunk without size", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", "", `chunk of size "xyz"`},
-	{"a chunk without end", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", "", "a chunk does not end where it should"},
-	{"an endless line", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("y", mostHead), "", "a line of the head is too long"},
+	{"content length", "HTTP/1.0 200 OK\r\nContent-Length: 9\r\n\r\ndata: a\n\nand", `"a"; done`, ""},
+	{"refused", "HTTP/1.1 503 Busy\r\n\r\n", "", `unexpected status line "HTTP/1.1 503 Busy"`},
+	{"not HTTP", "hello\n", "", `unexpected status line "hello"`},
+	{"invalid header", "HTTP/1.1 200 OK\r\nodd\r\n", "", `invalid header "odd"`},
+	{"unsupported transfer encoding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n", "", `unsupported transfer encoding "gzip"`},
+	{"invalid content length", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n", "", `invalid content length "-4"`},
+	{"invalid chunk size", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", "", `invalid chunk size "xyz"`},
+	{"unterminated chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", "", "chunk is not terminated by CRLF"},
+	{"header line too long", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("y", maxLineBytes), "", "header or chunk line is too long"},
 }
 
+// feed parses in, in pieces of size bytes, and returns the events and the error as text.
 func feed(in string, size int) (string, string) {
 	r := NewReader()
 	var out []string
 	var err error
 	for b := []byte(in); len(b) > 0 && err == nil; b = b[min(size, len(b)):] {
-		var found []Message
-		found, err = r.Feed(b[:min(size, len(b))], nil)
-		for _, m := range found {
+		var messages []Message
+		messages, err = r.Feed(b[:min(size, len(b))], nil)
+		for _, m := range messages {
 			out = append(out, strings.TrimSpace(fmt.Sprintf("%s %q", m.ID, m.Data)))
 		}
 	}
@@ -50,7 +51,7 @@
 }
 
 func TestFeed(t *testing.T) {
-	for _, c := range answers {
+	for _, c := range readerCases {
 		for _, size := range []int{1, 2, 3, 1000, 1 << 20} {
 			if got, err := feed(c.in, size); got != c.want || err != c.err {
 				t.Errorf("%s, in pieces of %d: %s, error %q; want %s, %q", c.name, size, got, err, c.want, c.err)
@@ -60,32 +61,32 @@
 }
 
 func FuzzFeed(f *testing.F) {
-	for _, c := range answers {
+	for _, c := range readerCases {
 		if len(c.in) < 1000 {
 			f.Add([]byte(c.in))
 		}
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
 		got, err := feed(string(in), 1)
-		if whole, bad := feed(string(in), len(in)+1); whole != got || bad != err {
-			t.Errorf("whole: %s, %s; byte by byte: %s, %s", whole, bad, got, err)
+		if whole, wholeErr := feed(string(in), len(in)+1); whole != got || wholeErr != err {
+			t.Errorf("whole: %s, %s; byte by byte: %s, %s", whole, wholeErr, got, err)
 		}
 	})
 }
 
 const (
-	list = `{"cursor":3,"nodes":{"index":7,"snapshot":true,"endpoints":[{"name":"a","address":"x:1","zone":"z","type":"t",` +
+	listEvent = `{"cursor":3,"nodes":{"index":7,"snapshot":true,"endpoints":[{"name":"a","address":"x:1","zone":"z","type":"t",` +
 		`"group":2,"status":"draining","weight":1.5,"since_ms":9}]}}`
-	dropID     = `{"cursor":4,"drop":{"id":"7f","when":99.5}}`
-	dropFamily = `{"cursor":5,"drop":{"family":0,"when":98}}`
+	dropByID     = `{"cursor":4,"drop":{"id":"7f","when":99.5}}`
+	dropByFamily = `{"cursor":5,"drop":{"family":0,"when":98}}`
 )
 
 func TestParse(t *testing.T) {
 	node := Node{"x:1", router.Entry{Node: "a", Kind: "t", Zone: "z", State: router.Draining, Weight: 1.5, Cell: 2, Booted: 9}}
 	for in, want := range map[string]string{
-		list:       fmt.Sprint(News{Cursor: 3, Scope: router.Whole, Nodes: []Node{node}}),
-		dropID:     fmt.Sprint(News{Cursor: 4, Purge: true, Purged: router.Purged{Object: "7f"}, PurgeTime: 99.5}),
-		dropFamily: fmt.Sprint(News{Cursor: 5, Purge: true, PurgeTime: 98}),
+		listEvent:    fmt.Sprint(News{Cursor: 3, Scope: router.Whole, Nodes: []Node{node}}),
+		dropByID:     fmt.Sprint(News{Cursor: 4, Purge: true, Purged: router.Purged{Object: "7f"}, PurgeTime: 99.5}),
+		dropByFamily: fmt.Sprint(News{Cursor: 5, Purge: true, PurgeTime: 98}),
 	} {
 		if n, err := Parse([]byte(in)); err != nil || fmt.Sprint(n) != want {
 			t.Errorf("%s: %v, %v; want %s", in, n, err, want)
@@ -95,22 +96,23 @@
 		`{"cursor":1,"nodes":{"endpoints":[{"name":"a","address":"x:1","status":"odd"}]}}`,
 		`{"cursor":1,"nodes":{"endpoints":[{"name":"a","status":"ready"}]}}`} {
 		if n, err := Parse([]byte(in)); err == nil {
-			t.Errorf("%s: %v and no error", in, n)
+			t.Errorf("%s: %v, want an error", in, n)
 		}
 	}
-	if at, all, err := Known([]byte(`{"cursor":8,"cmds":[` + list + "," + dropID + `]}`)); at != 8 || len(all) != 2 ||
+	if at, all, err := Known([]byte(`{"cursor":8,"cmds":[` + listEvent + "," + dropByID + `]}`)); at != 8 || len(all) != 2 ||
 		err != nil || all[0].Scope != router.Restored {
-		t.Errorf("known: %v, %v, %v", at, all, err)
+		t.Errorf("Known: %v, %v, %v", at, all, err)
 	}
 	for _, in := range []string{"", "{}", `{"cursor":1,"cmds":[{}]}`} {
 		if _, _, err := Known([]byte(in)); err == nil {
-			t.Errorf("known %s: no error", in)
+			t.Errorf("Known(%s): no error", in)
 		}
 	}
 }
 
-// site is a channel that answers each call with the next of its scripts and then closes, or hangs where the script ends in "...".
-func site(t *testing.T, scripts ...string) (string, chan string) {
+// startServer starts a channel. It answers each request with the next script and closes, or hangs if the script ends in
+// "...". It returns its address and the Last-Event-ID of each request.
+func startServer(t *testing.T, scripts ...string) (string, chan string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -136,7 +138,8 @@
 	return l.Addr().String(), calls
 }
 
-func sent(cursors ...int) string {
+// purgeEvents returns the text of one purge event for each cursor.
+func purgeEvents(cursors ...int) string {
 	s := ""
 	for _, n := range cursors {
 		s += fmt.Sprintf("id: %d\ndata: {\"cursor\":%d,\"drop\":{\"id\":\"7f\",\"when\":1}}\n\n", n, n)
@@ -144,81 +147,91 @@
 	return s
 }
 
-// Whatever the channel does, each event is told once and in order, what can still be had is asked for again, and
-// what stays unreadable stops none after it.
+// Whatever the channel does, each event is delivered once and in order, missing and invalid events are requested again,
+// and an event that stays invalid doesn't block later ones.
 func TestFollow(t *testing.T) {
 	const bad = "id: 4\ndata: nonsense\n\n"
 	for _, c := range []struct {
 		name    string
 		scripts []string
-		told    []int64
+		events  []int64
 		calls   []string
-		passed  int64
+		skipped int64
 	}{
-		{"breaks amid an event", []string{plain + sent(3) + "id: 4\nda", plain + sent(4, 5) + "..."}, []int64{3, 4, 5}, []string{"2", "3"}, 0},
-		{"refuses once", []string{"HTTP/1.1 500 Sorry\r\n\r\n", plain + sent(3) + "..."}, []int64{3}, []string{"2", "2"}, 0},
-		{"twice", []string{plain + sent(3, 3, 4, 3, 4, 5) + "..."}, []int64{3, 4, 5}, []string{"2"}, 0},
-		{"skips a number", []string{plain + sent(3, 5) + "...", plain + sent(4, 5) + "..."}, []int64{3, 4, 5}, []string{"2", "3"}, 0},
-		{"lacks a number", []string{plain + sent(3, 5) + "...", plain + sent(5, 6) + "..."}, []int64{3, 5, 6}, []string{"2", "3"}, 1},
-		{"spoilt once", []string{plain + sent(3) + bad + "...", plain + sent(4, 5) + "..."}, []int64{3, 4, 5}, []string{"2", "3"}, 0},
-		{"spoilt twice", []string{plain + sent(3) + bad + sent(5) + "...", plain + bad + sent(5, 6) + "..."}, []int64{3, 5, 6}, []string{"2", "3"}, 1},
-		{"another number within", []string{plain + strings.Replace(sent(3), "id: 3", "id: 9", 1) + "...", plain + sent(3) + "..."},
+		{"breaks in the middle of an event", []string{okHead + purgeEvents(3) + "id: 4\nda", okHead + purgeEvents(4, 5) + "..."},
+			[]int64{3, 4, 5}, []string{"2", "3"}, 0},
+		{"refuses once", []string{"HTTP/1.1 500 Sorry\r\n\r\n", okHead + purgeEvents(3) + "..."},
 			[]int64{3}, []string{"2", "2"}, 0},
-		{"says nothing from the start", []string{"...", plain + sent(3) + "..."}, []int64{3}, []string{"2", "2"}, 0},
-		{"half a head, then nothing", []string{"HTTP/1.1 200 O...", plain + sent(3) + "..."}, []int64{3}, []string{"2", "2"}, 0},
-		{"half a line, then nothing", []string{plain + sent(3) + "id: 4\nda...", plain + sent(4) + "..."}, []int64{3, 4}, []string{"2", "3"}, 0},
-		{"an older one after a newer one, and a repeat", []string{plain + sent(3, 4) + sent(3) + sent(4, 5) + "..."}, []int64{3, 4, 5}, []string{"2"}, 0},
-		{"stops and stays open", []string{plain + sent(3) + "...", plain + sent(4) + "..."}, []int64{3, 4}, []string{"2", "3"}, 0},
+		{"duplicates", []string{okHead + purgeEvents(3, 3, 4, 3, 4, 5) + "..."}, []int64{3, 4, 5}, []string{"2"}, 0},
+		{"gap once", []string{okHead + purgeEvents(3, 5) + "...", okHead + purgeEvents(4, 5) + "..."},
+			[]int64{3, 4, 5}, []string{"2", "3"}, 0},
+		{"gap twice", []string{okHead + purgeEvents(3, 5) + "...", okHead + purgeEvents(5, 6) + "..."},
+			[]int64{3, 5, 6}, []string{"2", "3"}, 1},
+		{"invalid once", []string{okHead + purgeEvents(3) + bad + "...", okHead + purgeEvents(4, 5) + "..."},
+			[]int64{3, 4, 5}, []string{"2", "3"}, 0},
+		{"invalid twice", []string{okHead + purgeEvents(3) + bad + purgeEvents(5) + "...", okHead + bad + purgeEvents(5, 6) + "..."},
+			[]int64{3, 5, 6}, []string{"2", "3"}, 1},
+		{"ID differs from cursor", []string{okHead + strings.Replace(purgeEvents(3), "id: 3", "id: 9", 1) + "...", okHead + purgeEvents(3) + "..."},
+			[]int64{3}, []string{"2", "2"}, 0},
+		{"silent from the start", []string{"...", okHead + purgeEvents(3) + "..."}, []int64{3}, []string{"2", "2"}, 0},
+		{"silent within the head", []string{"HTTP/1.1 200 O...", okHead + purgeEvents(3) + "..."},
+			[]int64{3}, []string{"2", "2"}, 0},
+		{"silent within a line", []string{okHead + purgeEvents(3) + "id: 4\nda...", okHead + purgeEvents(4) + "..."},
+			[]int64{3, 4}, []string{"2", "3"}, 0},
+		{"out of order, and duplicates", []string{okHead + purgeEvents(3, 4) + purgeEvents(3) + purgeEvents(4, 5) + "..."},
+			[]int64{3, 4, 5}, []string{"2"}, 0},
+		{"silent after an event", []string{okHead + purgeEvents(3) + "...", okHead + purgeEvents(4) + "..."},
+			[]int64{3, 4}, []string{"2", "3"}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			at, calls := site(t, c.scripts...)
+			address, calls := startServer(t, c.scripts...)
 			ctx, cancel := context.WithCancel(context.Background())
-			told, done := make(chan int64, 9), make(chan bool)
-			f := &Follower{Address: at, Cursor: 2, Tell: func(n News) { told <- n.Cursor }, Trouble: func(error) {}}
+			delivered, done := make(chan int64, 9), make(chan bool)
+			f := &Follower{Address: address, Cursor: 2, Tell: func(n News) { delivered <- n.Cursor }, Trouble: func(error) {}}
 			go func() { f.Run(ctx); close(done) }()
-			for _, want := range c.told {
-				if got := <-told; got != want {
-					t.Errorf("told %d, want %d", got, want)
+			for _, want := range c.events {
+				if got := <-delivered; got != want {
+					t.Errorf("delivered %d, want %d", got, want)
 				}
 			}
 			for _, want := range c.calls {
 				if got := <-calls; got != want {
-					t.Errorf("called from %s, want %s", got, want)
+					t.Errorf("requested from %s, want %s", got, want)
 				}
 			}
 			cancel()
-			if <-done; len(told) > 0 || f.Passed.Load() != c.passed {
-				t.Errorf("%d told more, %d passed over", len(told), f.Passed.Load())
+			if <-done; len(delivered) > 0 || f.Passed.Load() != c.skipped {
+				t.Errorf("%d more delivered, %d skipped", len(delivered), f.Passed.Load())
 			}
 		})
 	}
 }
 
-// A follower that moves calls the new place at once from the last number, whatever the old one is at, and tells
-// what is known there; of several moves the newest holds.
+// After a move, the follower delivers the events known at the new place and requests the rest there at once, whatever the
+// old connection is doing. The latest of several moves wins.
 func TestMove(t *testing.T) {
-	old, _ := site(t, plain+sent(3)+"...")
-	unused, none := site(t, plain+sent(9)+"...")
-	next, calls := site(t, plain+sent(6)+"...")
-	told, done := make(chan int64, 9), make(chan bool)
+	oldAddress, _ := startServer(t, okHead+purgeEvents(3)+"...")
+	skippedAddress, skippedCalls := startServer(t, okHead+purgeEvents(9)+"...")
+	newAddress, calls := startServer(t, okHead+purgeEvents(6)+"...")
+	delivered, done := make(chan int64, 9), make(chan bool)
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &Follower{Address: old, Cursor: 2, Tell: func(n News) { told <- n.Cursor }, Trouble: func(error) {}}
+	f := &Follower{Address: oldAddress, Cursor: 2, Tell: func(n News) { delivered <- n.Cursor }, Trouble: func(error) {}}
 	go func() { f.Run(ctx); close(done) }()
-	if got := <-told; got != 3 {
-		t.Errorf("told %d first", got)
+	if got := <-delivered; got != 3 {
+		t.Errorf("delivered %d first, want 3", got)
 	}
-	f.mu.Lock() // both before the follower sees either
-	f.next = &Place{Address: unused}
+	f.mu.Lock() // both moves before the follower sees either
+	f.nextPlace = &Place{Address: skippedAddress}
 	f.mu.Unlock()
-	f.Move(Place{Address: next, Known: []News{{Cursor: 2}, {Cursor: 3}, {Cursor: 4}, {Cursor: 5}, {Cursor: 8}}})
+	f.Move(Place{Address: newAddress, Known: []News{{Cursor: 2}, {Cursor: 3}, {Cursor: 4}, {Cursor: 5}, {Cursor: 8}}})
 	for want := int64(4); want <= 6; want++ {
-		if got := <-told; got != want {
-			t.Errorf("told %d, want %d", got, want)
+		if got := <-delivered; got != want {
+			t.Errorf("delivered %d, want %d", got, want)
 		}
 	}
-	if got := <-calls; got != "5" || len(none) != 0 {
-		t.Errorf("called from %s", got)
+	if got := <-calls; got != "5" || len(skippedCalls) != 0 {
+		t.Errorf("requested from %s, want 5 and no request to the skipped place", got)
 	}
 	cancel()
 	<-done
--- a/internal/channel/event.go
+++ b/internal/channel/event.go
@@ -8,22 +8,23 @@
 	"poppymill/router"
 )
 
-// News is one numbered event: a change of the list, or a purge.
+// News is one numbered event: a change to the list of nodes, or a purge.
 type News struct {
 	Cursor    int64
 	Scope     router.Scope
 	Nodes     []Node
 	Purge     bool
-	Purged    router.Purged // its age is not known before it is told
+	Purged    router.Purged // without Age, which depends on when the event is processed
 	PurgeTime float64       // in Unix ms
 }
 
-// Node is an entry of the list with its address.
+// Node is an entry of the list of nodes with its address.
 type Node struct {
 	Address string
 	router.Entry
 }
 
+// event is the JSON form of an event.
 type event struct {
 	Cursor int64 `json:"cursor"`
 	Nodes  *struct {
@@ -46,20 +47,22 @@
 	} `json:"drop"`
 }
 
-var states = map[string]router.State{
+// stateByStatus maps the status of an endpoint to the state of the node.
+var stateByStatus = map[string]router.State{
 	"ready": router.Running, "draining": router.Draining, "gone": router.Gone,
 }
 
-// Parse reads the data of one event.
+// Parse parses the data of one event.
 func Parse(data []byte) (News, error) {
 	var e event
 	if err := json.Unmarshal(data, &e); err != nil {
 		return News{}, err
 	}
-	return e.news()
+	return e.toNews()
 }
 
-func (e event) news() (News, error) {
+// toNews validates and converts an event. After an error, the cursor is still that of the event.
+func (e event) toNews() (News, error) {
 	n := News{Cursor: e.Cursor}
 	switch {
 	case e.Cursor <= 0:
@@ -69,28 +72,29 @@
 			n.Scope = router.Whole
 		}
 		for _, p := range e.Nodes.Endpoints {
-			state, known := states[p.Status]
+			state, known := stateByStatus[p.Status]
 			if !known || p.Name == "" || p.Address == "" && state != router.Gone {
-				return n, fmt.Errorf("node %q is %q at %q", p.Name, p.Status, p.Address)
+				return n, fmt.Errorf("invalid node %q: status %q, address %q", p.Name, p.Status, p.Address)
 			}
 			n.Nodes = append(n.Nodes, Node{Address: p.Address, Entry: router.Entry{Node: p.Name, Kind: p.Type,
 				Zone: p.Zone, State: state, Weight: p.Weight, Cell: p.Group, Booted: p.Since}})
 		}
 	case e.Drop != nil:
 		if e.Drop.ID == "" && e.Drop.Family == nil {
-			return n, errors.New("a purge of nothing")
+			return n, errors.New("purge has neither id nor family")
 		}
 		n.Purge, n.PurgeTime, n.Purged.Object = true, e.Drop.When, e.Drop.ID
 		if e.Drop.Family != nil {
 			n.Purged.Group = *e.Drop.Family
 		}
 	default:
-		return n, errors.New("neither nodes nor drop")
+		return n, errors.New("event has neither nodes nor drop")
 	}
 	return n, nil
 }
 
-// Known reads what a configuration tells of the channel's past: its last number, and the events to it.
+// Known parses the past events of the channel in a configuration. It returns the cursor of the last event and the events
+// up to it.
 func Known(data []byte) (int64, []News, error) {
 	var known struct {
 		Cursor *int64  `json:"cursor"`
@@ -104,7 +108,7 @@
 	}
 	var all []News
 	for i, e := range known.Cmds {
-		n, err := e.news()
+		n, err := e.toNews()
 		if err != nil {
 			return 0, nil, fmt.Errorf("cmds %d: %w", i, err)
 		}
--- a/internal/channel/follower.go
+++ b/internal/channel/follower.go
@@ -12,55 +12,56 @@
 	"time"
 )
 
-// Follower keeps a connection to the channel.
+// Follower follows the channel over one connection at a time and reconnects when it breaks.
 type Follower struct {
 	Address string
-	Cursor  int64 // of the last event known
-	Tell    func(News)
-	Trouble func(error) // of a connection, or of an event that can't be read
+	Cursor  int64       // number of the last event processed
+	Tell    func(News)  // receives each event, in order
+	Trouble func(error) // receives errors of connections and of events that can't be parsed
 
-	Passed  atomic.Int64 // events that stayed unreadable or away on a second ask
-	mu      sync.Mutex
-	next    *Place
-	drop    context.CancelFunc // ends the present connection or wait
-	doubted int64              // the number from which was asked again, as what came after it was not in order
+	Passed        atomic.Int64 // events skipped because they were still invalid or missing when requested again
+	mu            sync.Mutex
+	nextPlace     *Place
+	cancel        context.CancelFunc // ends the current connection or back-off
+	retriedCursor int64              // cursor from which events were requested again, as the next one was invalid or missing
 }
 
-// Place is where the channel is from now on, and what is known of its past there.
+// Place is an address of the channel with the past events known there.
 type Place struct {
 	Address string
 	Known   []News
 }
 
-// How long a connection may take to come up and to answer, and be silent where a comment comes each second; and the
-// waits between tries. Word must be there within 2 s of a break and 4 s of a stop, one failed try included.
+// Time-outs of a connection, and the back-off between attempts. The channel sends a comment each second, so a longer
+// silence means that it has stopped. Events must arrive within 2 s after a connection breaks and within 4 s after it stops
+// silently, including one failed attempt.
 const (
-	upWithin    = 700 * time.Millisecond
-	silentFor   = 1800 * time.Millisecond
-	firstWait   = 50 * time.Millisecond
-	longestWait = 200 * time.Millisecond
+	connectTimeout = 700 * time.Millisecond
+	readTimeout    = 1800 * time.Millisecond
+	minBackoff     = 50 * time.Millisecond
+	maxBackoff     = 200 * time.Millisecond
 )
 
-// Move makes a follower call another place at once. Of several moves the newest holds.
+// Move makes the follower reconnect to another place at once. The latest of several moves wins.
 func (f *Follower) Move(p Place) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.next = &p
-	if f.drop != nil {
-		f.drop()
+	f.nextPlace = &p
+	if f.cancel != nil {
+		f.cancel()
 	}
 }
 
-// moved takes up a move. What is known there past the last number is told from there, as long as it goes on without
-// a gap; the rest is left for the channel to tell.
-func (f *Follower) moved(ctx context.Context) (on context.Context, ok bool) {
+// applyMove starts a new connection context and applies a pending move, if any. It delivers the known events after the
+// cursor up to the first gap; the channel sends the rest.
+func (f *Follower) applyMove(ctx context.Context) (connCtx context.Context, ok bool) {
 	f.mu.Lock()
-	on, f.drop = context.WithCancel(ctx)
-	p := f.next
-	f.next = nil
+	connCtx, f.cancel = context.WithCancel(ctx)
+	p := f.nextPlace
+	f.nextPlace = nil
 	f.mu.Unlock()
 	if p == nil {
-		return on, false
+		return connCtx, false
 	}
 	f.Address = p.Address
 	for _, n := range p.Known {
@@ -68,79 +69,81 @@
 			continue
 		}
 		if n.Cursor > f.Cursor+1 {
-			return on, true
+			return connCtx, true
 		}
 		f.Cursor = n.Cursor
 		f.Tell(n)
 	}
-	return on, true
+	return connCtx, true
 }
 
 // Run follows the channel until the context ends.
 func (f *Follower) Run(ctx context.Context) {
-	f.doubted = -1
-	wait := time.Duration(0)
+	f.retriedCursor = -1
+	backoff := time.Duration(0)
 	for ctx.Err() == nil {
-		on, moved := f.moved(ctx)
+		connCtx, moved := f.applyMove(ctx)
 		if moved {
-			wait = 0
+			backoff = 0
 		}
 		start := time.Now()
-		err := f.connect(on)
-		if on.Err() == nil {
+		err := f.stream(connCtx)
+		if connCtx.Err() == nil {
 			if !errors.Is(err, io.EOF) {
 				f.Trouble(err)
 			}
-			// At once where the connection had lived, or an event is to be asked for again; else in growing steps, so
-			// that all gateways together don't keep down a channel that starts.
-			if errors.Is(err, errAgain) || time.Since(start) > upWithin && !errors.Is(err, errNever) {
-				wait = 0
+			// Reconnect at once if the connection had lasted, or to request an event again. Otherwise back off
+			// exponentially, so that all gateways together don't overload a channel that is starting.
+			if errors.Is(err, errRetry) || time.Since(start) > connectTimeout && !errors.Is(err, errNotConnected) {
+				backoff = 0
 			}
 			select {
-			case <-on.Done():
-			case <-time.After(wait):
+			case <-connCtx.Done():
+			case <-time.After(backoff):
 			}
-			wait = min(longestWait, max(firstWait, 2*wait))
+			backoff = min(maxBackoff, max(minBackoff, 2*backoff))
 		}
-		f.drop()
+		f.cancel()
 	}
 }
 
+// Errors that decide on the back-off.
 var (
-	errNever = errors.New("no connection")
-	errAgain = errors.New("asked for again")
+	errNotConnected = errors.New("no connection")
+	errRetry        = errors.New("requesting again")
 )
 
-func (f *Follower) connect(ctx context.Context) error {
-	d := net.Dialer{Timeout: upWithin}
-	nc, err := d.DialContext(ctx, "tcp", f.Address)
+// stream requests the events after the cursor and processes them until the connection ends.
+func (f *Follower) stream(ctx context.Context) error {
+	d := net.Dialer{Timeout: connectTimeout}
+	conn, err := d.DialContext(ctx, "tcp", f.Address)
 	if err != nil {
-		return fmt.Errorf("%w: %w", errNever, err)
+		return fmt.Errorf("%w: %w", errNotConnected, err)
 	}
-	defer nc.Close()
-	defer context.AfterFunc(ctx, func() { nc.Close() })()
-	nc.SetDeadline(time.Now().Add(silentFor))
-	if _, err = fmt.Fprintf(nc, "GET /cmd/next HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\n"+
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	conn.SetDeadline(time.Now().Add(readTimeout))
+	if _, err = fmt.Fprintf(conn, "GET /cmd/next HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\n"+
 		"Last-Event-ID: %d\r\n\r\n", f.Address, f.Cursor); err != nil {
 		return err
 	}
 	r, b := NewReader(), make([]byte, 16<<10)
-	var found []Message
+	var messages []Message
 	for {
-		nc.SetReadDeadline(time.Now().Add(silentFor))
-		n, err := nc.Read(b)
+		conn.SetReadDeadline(time.Now().Add(readTimeout))
+		n, err := conn.Read(b)
 		if ctx.Err() != nil {
-			return ctx.Err() // what an old place said last may be told anew by the new one
+			return ctx.Err() // after a move, the new place may send these events again
 		}
-		var bad error
-		found, bad = r.Feed(b[:n], found[:0])
-		for _, m := range found {
-			if err := f.message(m); err != nil {
+		var protocolErr error
+		messages, protocolErr = r.Feed(b[:n], messages[:0])
+		for _, m := range messages {
+			if err := f.handleMessage(m); err != nil {
 				return err
 			}
 		}
-		if bad != nil {
-			return bad
+		if protocolErr != nil {
+			return protocolErr
 		}
 		if r.Done {
 			return io.EOF
@@ -151,30 +154,30 @@
 	}
 }
 
-// message tells an event that comes in its turn. One that can't be read, or leaves out a number, may have been
-// spoilt on the way: it is asked for once more from the last good number, and only what stays so is passed over.
-func (f *Follower) message(m Message) error {
+// handleMessage delivers the next event in order. An event that is invalid or leaves a gap may have been corrupted in
+// transit, so events are requested once more from the last good cursor; what is still invalid or missing is skipped.
+func (f *Follower) handleMessage(m Message) error {
 	news, err := Parse([]byte(m.Data))
-	if id, bad := strconv.ParseInt(m.ID, 10, 64); err == nil && (bad != nil || id != news.Cursor) {
-		err = fmt.Errorf("is number %d within", news.Cursor)
-	} else if err != nil && bad == nil {
+	if id, idErr := strconv.ParseInt(m.ID, 10, 64); err == nil && (idErr != nil || id != news.Cursor) {
+		err = fmt.Errorf("ID differs from cursor %d", news.Cursor)
+	} else if err != nil && idErr == nil {
 		news.Cursor = id
 	}
 	switch {
 	case news.Cursor > 0 && news.Cursor <= f.Cursor:
-		return nil // it was told before
+		return nil // delivered before
 	case err == nil && news.Cursor == f.Cursor+1:
-	case f.doubted != f.Cursor:
-		f.doubted = f.Cursor
+	case f.retriedCursor != f.Cursor:
+		f.retriedCursor = f.Cursor
 		if err == nil {
-			err = errors.New("comes out of turn")
+			err = errors.New("out of order")
 		}
-		return fmt.Errorf("event %q after %d: %w: %w", m.ID, f.Cursor, err, errAgain)
+		return fmt.Errorf("event %q after %d: %w: %w", m.ID, f.Cursor, err, errRetry)
 	default:
 		f.Passed.Add(1)
-		f.Trouble(fmt.Errorf("event %q after %d: passed over what can't be had (%v)", m.ID, f.Cursor, err))
+		f.Trouble(fmt.Errorf("event %q after %d: skipped what is missing or invalid (%v)", m.ID, f.Cursor, err))
 		if err != nil {
-			// A number that is itself in doubt must not make all up to it pass for told.
+			// The cursor of an invalid event may be wrong too, so it must not mark earlier events as delivered.
 			if news.Cursor == f.Cursor+1 {
 				f.Cursor = news.Cursor
 			}
--- a/internal/channel/sse.go
+++ b/internal/channel/sse.go
@@ -1,7 +1,7 @@
 // Package channel follows the command channel: changes of the list of nodes, and purges.
 //
-// Reader is the protocol, HTTP with server-sent events: it is fed bytes and knows no socket and no clock.
-// Follow is its driver.
+// Reader implements the protocol, server-sent events over HTTP, on bytes, without sockets or clocks. Follower connects to
+// the channel and uses it.
 package channel
 
 import (
@@ -12,158 +12,162 @@
 	"strings"
 )
 
-// Bounds on what the channel may make a gateway hold.
+// Limits on the memory that the channel can make a gateway use.
 const (
-	mostHead  = 16 << 10
-	mostEvent = 4 << 20 // a whole list of some thousand nodes
+	maxLineBytes  = 16 << 10 // status, header, chunk size or trailer line
+	maxEventBytes = 4 << 20  // enough for a list of several thousand nodes
 )
 
 // Message is one server-sent event.
 type Message struct{ ID, Data string }
 
-type stage int
+// readerState is what a Reader expects next.
+type readerState int
 
+// States of a Reader. inBody is a body that isn't chunked.
 const (
-	inHead stage = iota
-	inPlain
-	inSize
+	inHead readerState = iota
+	inBody
+	inChunkSize
 	inChunk
 	inChunkEnd
 	inTrailer
 )
 
-// Reader reads one answer of the channel.
+// Reader is an incremental parser of one HTTP response of the channel.
 type Reader struct {
-	stage   stage
-	line    []byte
-	left    int // of the chunk; of a plain body, -1 where its end is not told
-	first   bool
-	chunked bool
-	text    []byte // a line of the events
-	id      string
-	data    []byte
-	filled  bool
-	Done    bool // the answer has ended as it should
+	state        readerState
+	lineBuf      []byte // the line of the head or of the chunked coding read so far
+	bytesLeft    int    // of the chunk, or of a body that isn't chunked; -1: no length was given
+	atStatusLine bool
+	chunked      bool
+	eventLine    []byte // the line of the event stream read so far
+	id           string
+	data         []byte
+	hasData      bool // the current event has a data field
+	Done         bool // the response is complete
 }
 
-// NewReader waits for the answer to one call.
-func NewReader() *Reader { return &Reader{first: true, left: -1} }
+// NewReader returns a reader for the response to one request.
+func NewReader() *Reader { return &Reader{atStatusLine: true, bytesLeft: -1} }
 
-// Feed reads bytes, however they are split, and appends the events found. After an error the connection is of
-// no more use.
-func (r *Reader) Feed(b []byte, found []Message) ([]Message, error) {
+// Feed parses the next bytes of the response, which may be split anywhere, and appends the completed events. After an
+// error the connection is unusable.
+func (r *Reader) Feed(b []byte, messages []Message) ([]Message, error) {
 	for len(b) > 0 && !r.Done {
-		switch r.stage {
-		case inPlain, inChunk:
+		switch r.state {
+		case inBody, inChunk:
 			n := len(b)
-			if r.left >= 0 {
-				n = min(n, r.left)
-				r.left -= n
+			if r.bytesLeft >= 0 {
+				n = min(n, r.bytesLeft)
+				r.bytesLeft -= n
 			}
 			var err error
-			if found, err = r.body(b[:n], found); err != nil {
-				return found, err
+			if messages, err = r.parseBody(b[:n], messages); err != nil {
+				return messages, err
 			}
-			if b = b[n:]; r.left == 0 {
-				if r.Done = r.stage == inPlain; !r.Done {
-					r.stage = inChunkEnd
+			if b = b[n:]; r.bytesLeft == 0 {
+				if r.Done = r.state == inBody; !r.Done {
+					r.state = inChunkEnd
 				}
 			}
 		default:
 			end := bytes.IndexByte(b, '\n')
 			if end < 0 {
-				r.line, b = append(r.line, b...), nil
+				r.lineBuf, b = append(r.lineBuf, b...), nil
 			} else {
-				r.line, b = append(r.line, b[:end]...), b[end+1:]
+				r.lineBuf, b = append(r.lineBuf, b[:end]...), b[end+1:]
 			}
-			if len(r.line) > mostHead {
-				return found, errors.New("a line of the head is too long")
+			if len(r.lineBuf) > maxLineBytes {
+				return messages, errors.New("header or chunk line is too long")
 			}
 			if end < 0 {
 				continue
 			}
-			line := strings.TrimSuffix(string(r.line), "\r")
-			r.line = r.line[:0]
-			if err := r.headLine(line); err != nil {
-				return found, err
+			line := strings.TrimSuffix(string(r.lineBuf), "\r")
+			r.lineBuf = r.lineBuf[:0]
+			if err := r.parseLine(line); err != nil {
+				return messages, err
 			}
 		}
 	}
-	return found, nil
+	return messages, nil
 }
 
-func (r *Reader) headLine(line string) error {
+// parseLine processes a line of the head, a chunk size, the end of a chunk or a trailer.
+func (r *Reader) parseLine(line string) error {
 	switch {
-	case r.stage == inChunkEnd:
+	case r.state == inChunkEnd:
 		if line != "" {
-			return errors.New("a chunk does not end where it should")
+			return errors.New("chunk is not terminated by CRLF")
 		}
-		r.stage = inSize
-	case r.stage == inSize:
+		r.state = inChunkSize
+	case r.state == inChunkSize:
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
 		if err != nil {
-			return fmt.Errorf("chunk of size %q", line)
+			return fmt.Errorf("invalid chunk size %q", line)
 		}
-		if r.left, r.stage = int(n), inChunk; n == 0 {
-			r.stage = inTrailer
+		if r.bytesLeft, r.state = int(n), inChunk; n == 0 {
+			r.state = inTrailer
 		}
-	case r.stage == inTrailer:
+	case r.state == inTrailer:
 		r.Done = line == ""
-	case r.first:
-		r.first = false
+	case r.atStatusLine:
+		r.atStatusLine = false
 		version, rest, _ := strings.Cut(line, " ")
 		if status, _, _ := strings.Cut(rest, " "); !strings.HasPrefix(version, "HTTP/1.") || status != "200" {
-			return fmt.Errorf("answered %q", line)
+			return fmt.Errorf("unexpected status line %q", line)
 		}
 	case line == "":
-		if r.stage = inPlain; r.chunked {
-			r.stage = inSize
+		if r.state = inBody; r.chunked {
+			r.state = inChunkSize
 		}
-		r.Done = r.stage == inPlain && r.left == 0
+		r.Done = r.state == inBody && r.bytesLeft == 0
 	default:
 		name, value, ok := strings.Cut(line, ":")
 		if !ok {
-			return fmt.Errorf("header %q", line)
+			return fmt.Errorf("invalid header %q", line)
 		}
 		value = strings.TrimSpace(value)
 		switch strings.ToLower(name) {
 		case "transfer-encoding":
 			if !strings.EqualFold(value, "chunked") {
-				return fmt.Errorf("transfer encoding %q", value)
+				return fmt.Errorf("unsupported transfer encoding %q", value)
 			}
 			r.chunked = true
 		case "content-length":
 			n, err := strconv.ParseUint(value, 10, 31)
 			if err != nil {
-				return fmt.Errorf("content length %q", value)
+				return fmt.Errorf("invalid content length %q", value)
 			}
-			r.left = int(n)
+			r.bytesLeft = int(n)
 		}
 	}
 	return nil
 }
 
-func (r *Reader) body(b []byte, found []Message) ([]Message, error) {
+// parseBody parses bytes of the event stream.
+func (r *Reader) parseBody(b []byte, messages []Message) ([]Message, error) {
 	for len(b) > 0 {
 		end := bytes.IndexByte(b, '\n')
 		if end < 0 {
-			r.text, b = append(r.text, b...), nil
+			r.eventLine, b = append(r.eventLine, b...), nil
 		} else {
-			r.text, b = append(r.text, b[:end]...), b[end+1:]
+			r.eventLine, b = append(r.eventLine, b[:end]...), b[end+1:]
 		}
-		if len(r.text)+len(r.data) > mostEvent {
-			return found, errors.New("an event is too long")
+		if len(r.eventLine)+len(r.data) > maxEventBytes {
+			return messages, errors.New("event is too long")
 		}
 		if end < 0 {
 			break
 		}
-		line := bytes.TrimSuffix(r.text, []byte("\r"))
+		line := bytes.TrimSuffix(r.eventLine, []byte("\r"))
 		if len(line) == 0 {
-			if r.filled {
-				found = append(found, Message{ID: r.id, Data: string(bytes.TrimSuffix(r.data, []byte("\n")))})
+			if r.hasData {
+				messages = append(messages, Message{ID: r.id, Data: string(bytes.TrimSuffix(r.data, []byte("\n")))})
 			}
-			r.data, r.filled = r.data[:0], false
+			r.data, r.hasData = r.data[:0], false
 		} else {
 			name, value, _ := bytes.Cut(line, []byte(":"))
 			value = bytes.TrimPrefix(value, []byte(" "))
@@ -172,10 +176,10 @@
 				r.id = string(value)
 			case "data":
 				r.data = append(append(r.data, value...), '\n')
-				r.filled = true
+				r.hasData = true
 			}
 		}
-		r.text = r.text[:0]
+		r.eventLine = r.eventLine[:0]
 	}
-	return found, nil
+	return messages, nil
 }
