--- a/internal/caches/pool.go
+++ b/internal/caches/pool.go
@@ -72,7 +72,7 @@
 	lastWatch   float64
 	meanAnswer  float64 // moving average of the time to a reply, in ms
 
-	Dialled, Malformed, Short, Late, Mute, Old int // counters; Short counts lacks of connections or buffers
+	Dialled, Malformed, Short, Late, Mute, Old int // counters; Short: no connection or buffer available
 }
 
 // node is one node with the connections to it.
--- a/internal/caches/wire.go
+++ b/internal/caches/wire.go
@@ -191,7 +191,7 @@
 	w.dialer.Post(Down{Wire: w, Up: err == nil, Bad: protocolErr, At: w.dialer.Now()})
 }
 
-// read posts replies until the connection ends. It returns an error only if the reply was malformed or no buffer was left.
+// read posts replies until the connection ends. It returns an error only if a reply was malformed or no buffer was left.
 func (w *tcpWire) read() error {
 	b := w.dialer.Reads.Get()
 	if b == nil {
