--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,4 +1,4 @@
-// Command drill hosts routers on the bench's wire: batches on standard input, replies on standard output.
+// Command drill runs routers for a simulator: it reads batches of events from standard input and writes replies to standard output.
 package main
 
 import (
--- a/internal/bite/crossings.go
+++ b/internal/bite/crossings.go
@@ -26,7 +26,7 @@
 	{"what never went out is told that it failed", "internal/gateway/core.go", "!d.answered && len(d.pulls) == 0 {", "!d.answered && len(d.pulls) < 0 {", front, "TestEndsThatMeet"},
 	{"short expiries are all flush", "internal/gateway/serve.go", "min(flushBy, wait/4)", "min(flushBy, wait)", front, "TestAnswerBy"},
 	{"gateways that are not told count as one", "router/router.go", "cmp.Or(r.foot.numAt(\"gateways by zone\", here), r.foot.num(\"gateways\"))", "r.foot.numAt(\"gateways by zone\", here)", policy, "TestPeers"},
-	{"lists of another length are taken", "internal/footprint/config.go", "if l.long != 0 && l.long != len(c.Types) {", "if l.long < 0 {", "./internal/footprint", "TestParse"},
+	{"lists of another length are taken", "internal/footprint/config.go", "if l.count != 0 && l.count != len(c.Types) {", "if l.count < 0 {", "./internal/footprint", "TestParse"},
 	{"connections to the process before are used", "internal/caches/pool.go", "if n.address != address || n.booted != booted {", "if false {", front, "TestListsThatCross"},
 	{"what waits goes to a cache that drains", "internal/gateway/news.go", "\tg.withdraw(func(p *pull) bool { return p.node == id || p.source == id })\n", "", front, "TestListsThatCross"},
 }
--- a/internal/footprint/config.go
+++ b/internal/footprint/config.go
@@ -15,19 +15,19 @@
 	"poppymill/router"
 )
 
-// Type is what may be asked of a content type.
+// Type describes a content type and the requests that are allowed for it.
 type Type struct {
 	Name          string
-	Expiry        float64 // ms, the longest
-	Target        float64 // ms within which it is wanted,
-	Stretch       float64 // and so many times its own sending time more
-	Fresh         float64 // ms, how old a copy may be where nothing else is said; 0: any
-	Parts, Bodies bool    // there are more parts than the first; a request may bring a body
-	Writes        bool    // it is answered by what it does, not by a copy
-	Once          bool    // it must not run twice, or only where it is told apart
+	Expiry        float64 // ms, the longest that a request may ask for
+	Target        float64 // ms, target time of a request,
+	Stretch       float64 // plus this many times its transfer time
+	Fresh         float64 // ms, maximum age of a copy where the request sets none; 0: any
+	Parts, Bodies bool    // an object may have several parts; a request may have a body
+	Writes        bool    // a request is a write and is not answered from a copy
+	Once          bool    // a request must not be executed twice, or only if it can be deduped
 }
 
-// Config is what one gateway is told at its start.
+// Config is the configuration of one gateway.
 type Config struct {
 	Name, Listen, Channel string
 	Seed                  uint64
@@ -37,31 +37,32 @@
 	Footprint             router.Footprint
 	Types                 []Type
 
-	// What the gateway itself goes by; the router is told too where it matters to it.
+	// Settings that the gateway itself uses; the router gets those it needs through Footprint.
 	Streams                   int
 	MostPulls, MostOpen       int
 	Connect, Idle, Slack      float64 // ms
-	Advice                    float64 // ms that a client turned away may be told to stay away; 0: nothing may be said
+	Advice                    float64 // ms, the longest retry delay that a rejected client may be sent; 0: none may be sent
 	Probing, CallOff, Reports bool
 
-	settings []byte // as they came
+	settings []byte // the compacted JSON text, for comparison
 }
 
-// Fixed names what is other in another configuration, and can't change in a running gateway.
+// Fixed returns the names of the fields that differ in another configuration and can't change in a running gateway.
 func (c *Config) Fixed(other *Config) (names []string) {
 	for _, f := range []struct {
-		name  string
-		other bool
+		name    string
+		differs bool
 	}{{"name", c.Name != other.Name}, {"listen", c.Listen != other.Listen}, {"limits.memory_mb", c.MemoryMB != other.MemoryMB},
 		{"limits.sockets", c.Sockets != other.Sockets}, {"settings", !bytes.Equal(c.settings, other.settings)}} {
-		if f.other {
+		if f.differs {
 			names = append(names, f.name)
 		}
 	}
 	return names
 }
 
-type file struct {
+// configFile is the JSON form of the configuration.
+type configFile struct {
 	Name    string `json:"name"`
 	Listen  string `json:"listen"`
 	Seed    string `json:"seed"`
@@ -74,7 +75,8 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-type own struct {
+// gatewaySettings are the settings that the gateway itself reads.
+type gatewaySettings struct {
 	Classes []struct {
 		Name   string  `json:"name"`
 		Limit  float64 `json:"hard_limit"`
@@ -116,11 +118,11 @@
 	} `json:"report"`
 }
 
-// Load reads the configuration file; name and listen address may also come from the environment. An error
-// names the field that is wrong.
+// Load reads the configuration file. The name and the listen address may also come from the environment. An error about
+// a field begins with its path.
 func Load(path string, env func(string) string) (*Config, error) {
 	if path == "" {
-		return nil, errors.New("config: no file named (BALANCER_CONFIG)")
+		return nil, errors.New("config: no configuration file given (BALANCER_CONFIG)")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -129,9 +131,9 @@
 	return Parse(text, env)
 }
 
-// Parse reads a configuration.
+// Parse parses and checks a configuration; see Load.
 func Parse(text []byte, env func(string) string) (*Config, error) {
-	var f file
+	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
@@ -146,10 +148,10 @@
 	if c.Name == "" {
 		return nil, errors.New("name: missing")
 	}
-	if err := address("listen", c.Listen); err != nil {
+	if err := checkAddress("listen", c.Listen); err != nil {
 		return nil, err
 	}
-	if err := address("channel", c.Channel); err != nil {
+	if err := checkAddress("channel", c.Channel); err != nil {
 		return nil, err
 	}
 	var err error
@@ -165,7 +167,7 @@
 	if c.Cursor, c.Known, err = channel.Known(f.Known); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	var s own
+	var s gatewaySettings
 	if err = json.Unmarshal(f.Settings, &s); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -176,8 +178,8 @@
 		if t.Limit <= 0 {
 			return nil, fmt.Errorf("settings.classes[%d].hard_limit: must be above 0", i)
 		}
-		if slices.ContainsFunc(c.Types, func(o Type) bool { return o.Name == t.Name }) {
-			return nil, fmt.Errorf("settings.classes[%d].name: %q is there twice", i, t.Name)
+		if slices.ContainsFunc(c.Types, func(other Type) bool { return other.Name == t.Name }) {
+			return nil, fmt.Errorf("settings.classes[%d].name: %q is defined twice", i, t.Name)
 		}
 		if t.Effect != "" && !slices.Contains([]string{"pure", "token", "side_effect"}, t.Effect) {
 			return nil, fmt.Errorf("settings.classes[%d].effect: %q is none of pure, token, side_effect", i, t.Effect)
@@ -193,7 +195,7 @@
 				return nil, fmt.Errorf("settings.classes[%d].%s: must not be below 0", i, n.name)
 			}
 		}
-		// What the settings don't tell is left to the caches.
+		// Where the settings leave out whether requests may have several parts, bodies or writes, all are allowed and the caches decide.
 		typ := Type{Name: t.Name, Expiry: t.Limit, Target: t.Target, Stretch: t.Aim, Parts: i >= len(s.Extra.Pieces) || s.Extra.Pieces[i], Bodies: true, Writes: true,
 			Once: t.Effect != "" && t.Effect != "pure"}
 		if i < len(s.Extra.Writes) {
@@ -208,42 +210,42 @@
 		return nil, errors.New("settings.classes: missing")
 	}
 	for _, l := range []struct {
-		name string
-		long int
+		name  string
+		count int
 	}{{"in_pieces", len(s.Extra.Pieces)}, {"class_write", len(s.Extra.Writes)}, {"max_age", len(s.Extra.Fresh)}} {
-		if l.long != 0 && l.long != len(c.Types) {
-			return nil, fmt.Errorf("settings.extra.%s: has %d values for %d classes", l.name, l.long, len(c.Types))
+		if l.count != 0 && l.count != len(c.Types) {
+			return nil, fmt.Errorf("settings.extra.%s: has %d values for %d classes", l.name, l.count, len(c.Types))
 		}
 	}
 	if len(s.Zones) > 0 && !slices.Contains(s.Zones, s.Zone) {
 		return nil, fmt.Errorf("settings.zone: %q is not in settings.azs", s.Zone)
 	}
-	r := s.Rules
+	rules := s.Rules
 	for _, n := range []struct {
-		name        string
-		value, most float64
-	}{{"answer_slack", r.Slack, math.Inf(1)}, {"drain_grace", r.Grace, math.Inf(1)}, {"fall", r.Fall, math.Inf(1)}, {"fall_multiple", r.Multiple, math.Inf(1)},
-		{"cold", r.Cold, math.Inf(1)}, {"cold_share", r.Share, 1}} {
-		if n.value < 0 || n.value > n.most {
+		name         string
+		value, limit float64
+	}{{"answer_slack", rules.Slack, math.Inf(1)}, {"drain_grace", rules.Grace, math.Inf(1)}, {"fall", rules.Fall, math.Inf(1)}, {"fall_multiple", rules.Multiple, math.Inf(1)},
+		{"cold", rules.Cold, math.Inf(1)}, {"cold_share", rules.Share, 1}} {
+		if n.value < 0 || n.value > n.limit {
 			return nil, fmt.Errorf("settings.rules.%s: %v is out of range", n.name, n.value)
 		}
 	}
-	p := s.Permissions
+	permissions := s.Permissions
 	for _, n := range []struct {
 		name  string
 		value float64
-	}{{"streams_per_conn", float64(p.Streams)}, {"connect_timeout", p.Connect}, {"keepalive", p.Idle},
-		{"send_cap", float64(p.Most)}, {"max_open", float64(p.Open)}} {
+	}{{"streams_per_conn", float64(permissions.Streams)}, {"connect_timeout", permissions.Connect}, {"keepalive", permissions.Idle},
+		{"send_cap", float64(permissions.Most)}, {"max_open", float64(permissions.Open)}} {
 		if n.value <= 0 {
 			return nil, fmt.Errorf("settings.permissions.%s: must be above 0", n.name)
 		}
 	}
-	c.Streams, c.Connect, c.Idle, c.MostPulls = p.Streams, p.Connect, p.Idle, p.Most
-	if c.MostOpen = p.Open; p.Advice {
-		c.Advice = p.Longest
+	c.Streams, c.Connect, c.Idle, c.MostPulls = permissions.Streams, permissions.Connect, permissions.Idle, permissions.Most
+	if c.MostOpen = permissions.Open; permissions.Advice {
+		c.Advice = permissions.Longest
 	}
-	c.Probing, c.CallOff, c.Slack, c.Reports = p.Probing, p.Cancel, s.Rules.Slack, s.Report.How != "none"
-	if c.Footprint, err = Read(f.Settings); err != nil {
+	c.Probing, c.CallOff, c.Slack, c.Reports = permissions.Probing, permissions.Cancel, s.Rules.Slack, s.Report.How != "none"
+	if c.Footprint, err = RouterSettings(f.Settings); err != nil {
 		return nil, err
 	}
 	var compact bytes.Buffer
@@ -254,7 +256,8 @@
 	return c, nil
 }
 
-func address(name, value string) error {
+// checkAddress checks that a field holds an address with a port.
+func checkAddress(name, value string) error {
 	if _, port, err := net.SplitHostPort(value); err != nil || port == "" {
 		return fmt.Errorf("%s: %q is not an address with a port", name, value)
 	}
--- a/internal/footprint/config_test.go
+++ b/internal/footprint/config_test.go
@@ -21,9 +21,9 @@
 	}
 	if c.Name != "gateway-1" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || len(c.Known) != 1 || c.Cursor != 1 ||
 		c.Connect != 400 || c.Streams != 32 || !c.Reports || c.Footprint["parent kind"] != 1.0 {
-		t.Errorf("read as %+v", c)
+		t.Errorf("parsed as %+v", c)
 	}
-	// Each is set, or taken away where the value is nil; the error must name the field.
+	// Each field is set to the value, or removed if the value is nil; the error must name the field.
 	for _, c := range []struct {
 		path  string
 		value any
@@ -52,12 +52,12 @@
 	} {
 		var all map[string]any
 		json.Unmarshal(text, &all)
-		at, names := all, strings.Split(c.path, ".")
+		parent, names := all, strings.Split(c.path, ".")
 		for _, n := range names[:len(names)-1] {
-			at = at[n].(map[string]any)
+			parent = parent[n].(map[string]any)
 		}
-		if at[names[len(names)-1]] = c.value; c.value == nil {
-			delete(at, names[len(names)-1])
+		if parent[names[len(names)-1]] = c.value; c.value == nil {
+			delete(parent, names[len(names)-1])
 		}
 		changed, _ := json.Marshal(all)
 		if _, err := Parse(changed, none); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -74,9 +74,9 @@
 		t.Errorf("32 MB: %v", err)
 	}
 	if _, err := Parse([]byte("{"), none); err == nil {
-		t.Error("half a file: no error")
+		t.Error("a truncated file: no error")
 	}
 	if _, err := Load("", none); err == nil || !strings.Contains(err.Error(), "BALANCER_CONFIG") {
-		t.Errorf("no file named: %v", err)
+		t.Errorf("no configuration file given: %v", err)
 	}
 }
--- a/internal/footprint/footprint.go
+++ b/internal/footprint/mapping.go
@@ -1,5 +1,5 @@
-// Package footprint turns what a gateway is told of its deployment into what its router is told: settings and
-// reports under the router's names.
+// Package footprint reads the configuration of a gateway, and maps its settings and the values of load reports to the names that
+// the router reads.
 package footprint
 
 import (
@@ -10,8 +10,8 @@
 	"poppymill/router"
 )
 
-// settings names what is handed on: the wire's path on the left, the router's name on the right.
-var settings = [...][2]string{
+// settingNames lists the settings that the router gets: their path in the configuration, and the router's name for them.
+var settingNames = [...][2]string{
 	{"azs", "zones"}, {"zone", "zone"}, {"kinds", "kinds"}, {"weights", "weights"},
 	{"replicas_of_me", "gateways"}, {"index", "number"}, {"discovery", "list"}, {"report.how", "reports"},
 	{"classes.name", "types"}, {"classes.promise", "target"}, {"classes.aim_stretch", "stretch"},
@@ -33,64 +33,67 @@
 	{"permissions.max_retry_after", "longest advice"}, {"permissions.connect_timeout", "connect time"},
 }
 
-var words = map[string]string{
+// settingValues maps values of settings to the router's names for them; all others stay as they are.
+var settingValues = map[string]string{
 	"pure": "retriable", "token": "deduped", "side_effect": "non-retriable", "on_request": "asked",
 }
 
-// Read turns the settings into what a router is told.
-func Read(text []byte) (router.Footprint, error) {
-	var told map[string]any
-	if err := json.Unmarshal(text, &told); err != nil {
+// RouterSettings decodes the settings of a configuration and returns those that the router reads, under its names.
+func RouterSettings(text []byte) (router.Footprint, error) {
+	var decoded map[string]any
+	if err := json.Unmarshal(text, &decoded); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	foot := router.Footprint{}
-	for _, s := range settings {
-		var v any = told
-		for name := range strings.SplitSeq(s[0], ".") {
-			v = under(v, name)
+	mapped := router.Footprint{}
+	for _, setting := range settingNames {
+		var v any = decoded
+		for name := range strings.SplitSeq(setting[0], ".") {
+			v = lookup(v, name)
 		}
 		if v != nil {
-			foot[s[1]] = v
+			mapped[setting[1]] = v
 		}
 	}
-	return foot, nil
+	return mapped, nil
 }
 
-// under takes the named value out of a map, or out of each map of a list.
-func under(v any, name string) any {
+// lookup returns the named value of a map, or the list of the named values of each map in a list.
+func lookup(v any, name string) any {
 	switch v := v.(type) {
 	case map[string]any:
-		return ours(v[name])
+		return translateValue(v[name])
 	case []any:
-		var all []any
+		var values []any
 		for _, m := range v {
-			all = append(all, under(m, name))
+			values = append(values, lookup(m, name))
 		}
-		return all
+		return values
 	}
 	return nil
 }
 
-func ours(v any) any {
+// translateValue returns the router's name for a value of a setting, or the value itself.
+func translateValue(v any) any {
 	if s, ok := v.(string); ok {
-		if w, ok := words[s]; ok {
-			return w
+		if name, ok := settingValues[s]; ok {
+			return name
 		}
 	}
 	return v
 }
 
-var reports = map[string]string{
+// reportNames maps the names of values in load reports to the router's names.
+var reportNames = map[string]string{
 	"busy_reqs": "held", "pending": "waiting", "cpu_share": "busy", "svc_ms": "took",
 	"served_ps": "fulfilled", "failed_ps": "failed", "x0": "hits", "x1": "link",
 	"inflight": "held", "queue": "waiting", "util": "busy", "latency_ms": "took",
 	"qps": "fulfilled", "eps": "failed",
 }
 
-// Report is the router's name for a value of a load report; one that is not known keeps its own.
+// Report returns the router's name for a value in a load report; an unknown name is returned as it is.
 func Report(name string) string {
-	if ours, ok := reports[name]; ok {
-		return ours
+	if routerName, ok := reportNames[name]; ok {
+		return routerName
 	}
 	return name
 }
--- a/internal/nimbus/encode.go
+++ b/internal/nimbus/encode.go
@@ -9,52 +9,53 @@
 	"poppymill/router"
 )
 
-// line builds one message of a reply.
-type line []byte
+// message is one message of a reply, a line that is built field by field.
+type message []byte
 
-func (l line) word(s string) line {
+func (m message) word(s string) message {
 	if s == "" {
 		s = "-"
 	}
-	return append(append(l, ' '), s...)
+	return append(append(m, ' '), s...)
 }
 
-func (l line) number(n float64) line {
-	return strconv.AppendFloat(append(l, ' '), n, 'f', 3, 64)
+func (m message) number(n float64) message {
+	return strconv.AppendFloat(append(m, ' '), n, 'f', 3, 64)
 }
 
-func (l line) integer(n int64) line {
-	return strconv.AppendInt(append(l, ' '), n, 10)
+func (m message) integer(n int64) message {
+	return strconv.AppendInt(append(m, ' '), n, 10)
 }
 
-func encode(out *bufio.Writer, a router.Action) error {
-	l := line(out.AvailableBuffer())
-	switch a := a.(type) {
+// encode writes an action as one message.
+func encode(out *bufio.Writer, action router.Action) error {
+	m := message(out.AvailableBuffer())
+	switch a := action.(type) {
 	case router.Pull:
 		if a.Source == "" {
-			l = append(l, "ATTEMPT"...).word(a.ID).word(a.Node).number(a.Timeout)
+			m = append(m, "ATTEMPT"...).word(a.ID).word(a.Node).number(a.Timeout)
 			break
 		}
-		l = append(l, "PULL_VIA"...).word(a.ID).number(a.Timeout).word(a.Source)
-		l = l.integer(int64(a.How)).integer(int64(a.Rank)).word(a.Node).number(a.MaxAge)
+		m = append(m, "PULL_VIA"...).word(a.ID).number(a.Timeout).word(a.Source)
+		m = m.integer(int64(a.How)).integer(int64(a.Rank)).word(a.Node).number(a.MaxAge)
 	case router.Throttle:
-		l = append(l, "OVERLOAD_REPLY"...).word(a.ID).number(a.Wait)
+		m = append(m, "OVERLOAD_REPLY"...).word(a.ID).number(a.Wait)
 	case router.Abandon:
-		l = append(l, "FINISH_ERROR"...).word(a.ID)
+		m = append(m, "FINISH_ERROR"...).word(a.ID)
 	case router.CallOff:
-		l = append(l, "ABORT_ATTEMPT"...).word(a.ID).integer(int64(a.Pull))
+		m = append(m, "ABORT_ATTEMPT"...).word(a.ID).integer(int64(a.Pull))
 	case router.Probe:
-		l = append(l, "TEST"...).word(a.Node)
+		m = append(m, "TEST"...).word(a.Node)
 	case router.Alarm:
-		l = append(l, "SET_ALARM"...).number(a.At).integer(a.Token)
+		m = append(m, "SET_ALARM"...).number(a.At).integer(a.Token)
 	case router.Watch:
-		l = append(l, "WATCH 1"...)
+		m = append(m, "WATCH 1"...)
 	case router.Log:
-		l = append(l, "JOURNAL_LINE "...)
-		l = append(l, strings.Join(strings.Fields(a.Text), " ")...)
+		m = append(m, "JOURNAL_LINE "...)
+		m = append(m, strings.Join(strings.Fields(a.Text), " ")...)
 	default:
-		return fmt.Errorf("no wire message for %T", a)
+		return fmt.Errorf("no protocol message for action %T", a)
 	}
-	_, err := out.Write(append(l, '\n'))
+	_, err := out.Write(append(m, '\n'))
 	return err
 }
--- a/internal/nimbus/parse.go
+++ b/internal/nimbus/parse.go
@@ -11,7 +11,7 @@
 	"poppymill/router"
 )
 
-// fields takes the values of a line one by one; the first that is malformed stays in err.
+// fields reads the space-separated values of a line one by one; err keeps the first error. A "-" stands for an absent value.
 type fields struct {
 	rest string
 	err  error
@@ -26,8 +26,8 @@
 	return w
 }
 
-// need is a word that may not be absent.
-func (f *fields) need() string {
+// required reads a word that must not be absent.
+func (f *fields) required() string {
 	w := f.word()
 	if w == "" {
 		f.fail(errors.New("a value is missing"))
@@ -62,11 +62,12 @@
 }
 
 func (f *fields) seed() uint64 {
-	n, err := strconv.ParseUint(f.need(), 10, 64)
+	n, err := strconv.ParseUint(f.required(), 10, 64)
 	f.fail(err)
 	return n
 }
 
+// statuses maps the statuses of the protocol to the router's.
 var statuses = map[string]router.Status{
 	"S": router.Fulfilled, "E": router.Failed, "F": router.TurnedAway, "T": router.TimedOut,
 	"C": router.NotConnected, "R": router.Broken, "X": router.CalledOff, "N": router.NeverSent,
@@ -82,71 +83,73 @@
 	return s
 }
 
-// load reads name:value pairs; names that are not known are passed on as they are, and what is no number is left
-// out: reports are hearsay, and a download must not hang on one.
+// load reads the name:value pairs of a load report. Unknown names are passed on as they are, and values that are not finite
+// numbers are left out: reports are unreliable, and a malformed one must not fail a download.
 func (f *fields) load() map[string]float64 {
 	w := f.word()
 	if w == "" {
 		return nil
 	}
-	load := map[string]float64{}
+	values := map[string]float64{}
 	for pair := range strings.SplitSeq(w, ",") {
 		name, value, ok := strings.Cut(pair, ":")
 		n, err := strconv.ParseFloat(value, 64)
 		if !ok || err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
 			continue
 		}
-		load[footprint.Report(name)] = n
+		values[footprint.Report(name)] = n
 	}
-	return load
+	return values
 }
 
+// scopes maps the scopes of a VIEW message to the router's.
 var scopes = map[string]router.Scope{
 	"update": router.Changes, "replace": router.Whole, "restored": router.Restored, "unavailable": router.NoList,
 }
 
+// states maps the node states of the protocol to the router's.
 var states = map[string]router.State{
 	"Running": router.Running, "Stopping": router.Draining, "Deleted": router.Gone,
 }
 
-// parse turns a line into an event; nil for messages that are legal and of no use to a router.
+// parse decodes a message into an event. It returns nil for valid messages that the router does not use.
 func (h *host) parse(name string, f *fields) (router.Event, error) {
 	var e router.Event
 	switch name {
 	case "CREATE":
 		s := router.Started{Seed: f.seed()}
 		var err error
-		s.Footprint, err = footprint.Read([]byte(f.rest))
+		s.Footprint, err = footprint.RouterSettings([]byte(f.rest))
 		f.fail(err)
 		e = s
 	case "VIEW":
-		return h.list(f)
+		return h.parseList(f)
 	case "ACCEPT":
-		a := router.Arrived{ID: f.need(), Type: f.need()}
-		f.word() // the customer, who weighs nothing here
+		a := router.Arrived{ID: f.required(), Type: f.required()}
+		f.word() // the customer, which the router does not use
 		a.Object, a.Expiry = f.word(), f.number()
 		a.Size, a.Group, a.Part = f.number(), f.integer(), f.integer()
 		a.Write = f.integer()&4 != 0
 		e = a
 	case "OUTCOME":
-		o := router.Ended{ID: f.need(), Pull: int(f.integer())}
-		f.word() // the node, which the router knows by the pull
+		o := router.Ended{ID: f.required(), Pull: int(f.integer())}
+		f.word() // the node, which the router knows from the pull
 		o.Status, o.Took = f.status(), f.number()
 		o.Closed, o.Note = f.integer() != 0, router.Note(f.integer())
-		f.number() // the source's wait
+		f.number() // the source's wait, which the router does not use
 		o.Load = f.load()
 		e = o
 	case "ESTABLISHED":
-		e = router.Streaming{ID: f.need(), Pull: int(f.integer())}
+		e = router.Streaming{ID: f.required(), Pull: int(f.integer())}
 	case "CLIENT_GONE":
-		e = router.Left{ID: f.need()}
+		e = router.Left{ID: f.required()}
 	case "WAKEUP":
 		e = router.Rang{Token: f.integer()}
 	case "VOIDED":
 		e = router.Purged{Object: f.word(), Age: f.number(), Group: f.integer()}
 	case "PROBED":
-		p := router.Probed{Node: f.need(), Status: f.status()}
-		f.number() // how long it took
+		p := router.Probed{Node: f.required(), Status: f.status()}
+		f.number() // how long the probe took
 		p.Load = f.load()
 		e = p
 	case "NOTE_FROM":
@@ -157,36 +160,37 @@
 	return e, f.err
 }
 
-func (h *host) list(f *fields) (router.Event, error) {
-	f.integer() // the revision: lists come in order and whole
-	word := f.need()
-	scope, ok := scopes[word]
+// parseList decodes a VIEW message and the ITEM lines that follow it.
+func (h *host) parseList(f *fields) (router.Event, error) {
+	f.integer() // the revision, not needed: lists arrive whole and in order
+	scopeName := f.required()
+	scope, ok := scopes[scopeName]
 	if !ok {
-		f.fail(fmt.Errorf("unknown scope %q", word))
+		f.fail(fmt.Errorf("unknown scope %q", scopeName))
 	}
-	l := router.Listed{Scope: scope}
+	list := router.Listed{Scope: scope}
 	for n := f.integer(); n > 0 && f.err == nil; n-- {
 		if !h.in.Scan() {
 			return nil, errors.New("the list ends early")
 		}
 		line := h.in.Text()
-		i := fields{rest: line}
-		if i.word() != "ITEM" {
+		item := fields{rest: line}
+		if item.word() != "ITEM" {
 			return nil, fmt.Errorf("expected an ITEM, got %q", line)
 		}
-		var e router.Entry
-		e.Kind = i.word()
-		state := i.need()
-		e.State, ok = states[state]
+		var entry router.Entry
+		entry.Kind = item.word()
+		stateName := item.required()
+		entry.State, ok = states[stateName]
 		if !ok {
-			i.fail(fmt.Errorf("unknown state %q", state))
+			item.fail(fmt.Errorf("unknown state %q", stateName))
 		}
-		e.Node, e.Weight, e.Zone = i.need(), i.number(), i.word()
-		e.Cell, e.Booted = i.integer(), i.number()
-		if i.err != nil {
-			return nil, fmt.Errorf("%q: %w", line, i.err)
+		entry.Node, entry.Weight, entry.Zone = item.required(), item.number(), item.word()
+		entry.Cell, entry.Booted = item.integer(), item.number()
+		if item.err != nil {
+			return nil, fmt.Errorf("%q: %w", line, item.err)
 		}
-		l.Entries = append(l.Entries, e)
+		list.Entries = append(list.Entries, entry)
 	}
-	return l, f.err
+	return list, f.err
 }
--- a/internal/nimbus/serve.go
+++ b/internal/nimbus/serve.go
@@ -1,5 +1,5 @@
-// Package nimbus speaks the bench's wire: it parses batches of events, hosts many routers and encodes what
-// they decide. The wire's names end here, and nothing is decided here.
+// Package nimbus runs routers behind a simulator's line protocol: it parses batches of events, passes them to the routers and
+// encodes the actions that these return. The names of the protocol are used in this package only, and it makes no decisions.
 package nimbus
 
 import (
@@ -12,29 +12,29 @@
 	"poppymill/router"
 )
 
-// longest is the longest line that is read: a start carries all its settings on one.
-const longest = 1 << 28
+// maxLineLen is the length limit of a line in bytes: a CREATE message has all its settings on one line.
+const maxLineLen = 1 << 28
 
-// host holds the routers of one process, which share nothing.
+// host holds the routers of one process, by instance; they share no state.
 type host struct {
-	in      *bufio.Scanner
-	out     *bufio.Writer
-	routers map[int]*router.Router
-	now     float64
-	at      int // the instance that the batch speaks of, -1 for none yet
-	said    int // the instance that the reply speaks of
+	in            *bufio.Scanner
+	out           *bufio.Writer
+	routers       map[int]*router.Router
+	now           float64
+	instance      int // that the next events of the batch are for; -1: none yet
+	replyInstance int // that the next actions of the reply are from; -1: none yet
 }
 
-// Serve answers batches until the input ends.
+// Serve handles batches until the input ends, and writes one reply for each.
 func Serve(in io.Reader, out io.Writer) error {
 	h := &host{in: bufio.NewScanner(in), out: bufio.NewWriterSize(out, 1<<16), routers: map[int]*router.Router{}}
-	h.in.Buffer(make([]byte, 1<<16), longest)
+	h.in.Buffer(make([]byte, 1<<16), maxLineLen)
 	for h.in.Scan() {
 		line := h.in.Text()
 		if line == "" {
 			continue
 		}
-		if err := h.batch(line); err != nil {
+		if err := h.handleBatch(line); err != nil {
 			return err
 		}
 		if err := h.out.Flush(); err != nil {
@@ -44,7 +44,8 @@
 	return h.in.Err()
 }
 
-func (h *host) batch(line string) error {
+// handleBatch handles one batch, whose first line has been read.
+func (h *host) handleBatch(line string) error {
 	f := fields{rest: line}
 	if name := f.word(); name != "BEGIN_BATCH" {
 		return fmt.Errorf("expected BEGIN_BATCH, got %q", name)
@@ -53,18 +54,18 @@
 	if f.err != nil {
 		return fmt.Errorf("%q: %w", line, f.err)
 	}
-	h.at, h.said = -1, -1
+	h.instance, h.replyInstance = -1, -1
 	for h.in.Scan() {
 		line = h.in.Text()
 		if line == "GO" {
 			h.out.WriteString("NEXT\n")
 			return nil
 		}
-		if err := h.event(line); err != nil {
-			if h.at < 0 {
+		if err := h.handleEvent(line); err != nil {
+			if h.instance < 0 {
 				return fmt.Errorf("%q: %w", line, err)
 			}
-			h.bug(err)
+			h.reportBug(err)
 		}
 	}
 	if err := h.in.Err(); err != nil {
@@ -73,21 +74,23 @@
 	return fmt.Errorf("the input ended within a batch: %w", io.ErrUnexpectedEOF)
 }
 
-// bug reports a failure of one instance both to the wire and to people.
-func (h *host) bug(err error) {
-	fmt.Fprintf(os.Stderr, "drill: instance %d at %.3f: %v\n", h.at, h.now, err)
-	h.speak()
+// reportBug reports an error of the current instance in the reply and on standard error.
+func (h *host) reportBug(err error) {
+	fmt.Fprintf(os.Stderr, "drill: instance %d at %.3f: %v\n", h.instance, h.now, err)
+	h.selectInstance()
 	h.out.WriteString("BUG " + strings.Join(strings.Fields(err.Error()), " ") + "\n")
 }
 
-func (h *host) speak() {
-	if h.said != h.at {
-		fmt.Fprintf(h.out, "FOR %d\n", h.at)
-		h.said = h.at
+// selectInstance writes a FOR line if the reply's instance is not the current one.
+func (h *host) selectInstance() {
+	if h.replyInstance != h.instance {
+		fmt.Fprintf(h.out, "FOR %d\n", h.instance)
+		h.replyInstance = h.instance
 	}
 }
 
-func (h *host) event(line string) (err error) {
+// handleEvent handles one line of a batch. A panic of the router is returned as an error.
+func (h *host) handleEvent(line string) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic: %v", p)
@@ -97,35 +100,35 @@
 	name := f.word()
 	switch name {
 	case "CONTEXT":
-		at := f.integer()
+		instance := f.integer()
 		if f.err == nil {
-			h.at = int(at)
+			h.instance = int(instance)
 		}
 		return f.err
 	case "SHUTDOWN":
-		delete(h.routers, h.at)
+		delete(h.routers, h.instance)
 		return nil
 	}
-	if h.at < 0 {
+	if h.instance < 0 {
 		return fmt.Errorf("%s before any CONTEXT", name)
 	}
-	e, err := h.parse(name, &f)
+	event, err := h.parse(name, &f)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	if e == nil {
+	if event == nil {
 		return nil
 	}
-	if _, fresh := e.(router.Started); fresh {
-		h.routers[h.at] = router.New()
+	if _, started := event.(router.Started); started {
+		h.routers[h.instance] = router.New()
 	}
-	r := h.routers[h.at]
+	r := h.routers[h.instance]
 	if r == nil {
 		return fmt.Errorf("%s for an instance that is not running", name)
 	}
-	for _, a := range r.Handle(h.now, e) {
-		h.speak()
-		if err := encode(h.out, a); err != nil {
+	for _, action := range r.Handle(h.now, event) {
+		h.selectInstance()
+		if err := encode(h.out, action); err != nil {
 			return err
 		}
 	}
--- a/internal/nimbus/serve_test.go
+++ b/internal/nimbus/serve_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// start creates instance 3 and sends it a list of nodes.
 const start = `BEGIN_BATCH 1000.0
 CONTEXT 3
 CREATE 77 {"azs":["hub","club"],"zone":"club","kinds":["box","parent","origin"],"weights":"none","new key":[1],` +
@@ -26,7 +27,7 @@
 			"NEXT\nNEXT\n"},
 		{"absurd load values", start + "BEGIN_BATCH 1003\nCONTEXT 3\nPROBED cache.a S 1.5 busy_reqs:NaN,x0:1e999,,x1\nGO\n",
 			"NEXT\nNEXT\n"},
-		{"messages that are not ours", start + "BEGIN_BATCH 1003\nCONTEXT 3\nNOTE_FROM 9 00ff\nNOTE_FROM 4 -\nNOTE_FROM\nGO\n",
+		{"messages that the router does not use", start + "BEGIN_BATCH 1003\nCONTEXT 3\nNOTE_FROM 9 00ff\nNOTE_FROM 4 -\nNOTE_FROM\nGO\n",
 			"NEXT\nNEXT\n"},
 		{"an unknown node and type", start + "BEGIN_BATCH 1003\nCONTEXT 3\nPROBED cache.z S 1 -\nACCEPT e31 odd - a:k 7002 0 0 0 0\nGO\n",
 			"NEXT\nFOR 3\nFINISH_ERROR e31\nJOURNAL_LINE unknown content type odd\nNEXT\n"},
@@ -34,7 +35,7 @@
 			"NEXT\nFOR 3\nBUG HELLO: unknown message\nNEXT\n"},
 		{"a malformed number", start + "BEGIN_BATCH 1003\nCONTEXT 3\nWAKEUP soon\nGO\n",
 			"NEXT\nFOR 3\nBUG WAKEUP: strconv.ParseInt: parsing \"soon\": invalid syntax\nNEXT\n"},
-		{"an event for nobody", start + "BEGIN_BATCH 1003\nCONTEXT 4\nWAKEUP 1\nGO\n",
+		{"an event for an unknown instance", start + "BEGIN_BATCH 1003\nCONTEXT 4\nWAKEUP 1\nGO\n",
 			"NEXT\nFOR 4\nBUG WAKEUP for an instance that is not running\nNEXT\n"},
 		{"after a shutdown", start + "BEGIN_BATCH 1003\nCONTEXT 3\nSHUTDOWN\nWAKEUP 1\nGO\n",
 			"NEXT\nFOR 3\nBUG WAKEUP for an instance that is not running\nNEXT\n"},
