--- /dev/null
+++ b/internal/clients/close_test.go
@@ -0,0 +1,301 @@
+package clients
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"poppymill/internal/buffer"
+)
+
+// gatedListener is a listener on loopback whose connections can hold a Read: either before it calls the system, so that bytes
+// stay unread in the socket, or after it has received bytes and before the caller sees them.
+type gatedListener struct {
+	net.Listener
+	// holdNext holds, before its system call, the Read that follows the next one that returns bytes.
+	holdNext, holdBefore, holdAfter atomic.Bool
+	held                            chan func() // receives, for each held Read, the function that releases it
+}
+
+type gatedConn struct {
+	*net.TCPConn
+	listener *gatedListener
+}
+
+func newGatedListener(t *testing.T) *gatedListener {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &gatedListener{Listener: l, held: make(chan func(), 9)}
+}
+
+func (g *gatedListener) Accept() (net.Conn, error) {
+	c, err := g.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return &gatedConn{c.(*net.TCPConn), g}, nil
+}
+
+func (g *gatedListener) hold() {
+	released := make(chan struct{})
+	g.held <- func() { close(released) }
+	<-released
+}
+
+func (c *gatedConn) Read(b []byte) (int, error) {
+	if c.listener.holdBefore.CompareAndSwap(true, false) {
+		c.listener.hold()
+	}
+	n, err := c.TCPConn.Read(b)
+	if n > 0 && c.listener.holdNext.CompareAndSwap(true, false) {
+		c.listener.holdBefore.Store(true)
+	}
+	if n > 0 && c.listener.holdAfter.CompareAndSwap(true, false) {
+		c.listener.hold()
+	}
+	return n, err
+}
+
+// testServer is a server on a gatedListener, with a clock that the test sets.
+type testServer struct {
+	*Server
+	t        *testing.T
+	listener *gatedListener
+	handler  recordingHandler
+	now      atomic.Int64
+	done     chan error
+}
+
+func newTestServer(t *testing.T, maxConns int) *testServer {
+	s := &testServer{t: t, listener: newGatedListener(t), handler: recordingHandler{make(chan func(Answer), 99), make(chan *Conn, 99), make(chan error, 99)}, done: make(chan error, 1)}
+	s.Server = &Server{Pool: buffer.NewPool(1 << 22), Reads: buffer.NewPool(1 << 20), Handler: s.handler, Most: maxConns,
+		Now: func() float64 { return float64(s.now.Load()) }}
+	go func() { s.done <- s.Serve(context.Background(), s.listener) }()
+	return s
+}
+
+func (s *testServer) dial() *net.TCPConn {
+	c, err := net.Dial("tcp", s.listener.Addr().String())
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	c.SetDeadline(time.Now().Add(20 * time.Second)) // a missing response fails the test instead of hanging it
+	return c.(*net.TCPConn)
+}
+
+// waitClosed waits until count connections have closed.
+func (s *testServer) waitClosed(count int) {
+	s.t.Helper()
+	for range count {
+		select {
+		case <-s.handler.closed:
+		case <-time.After(20 * time.Second):
+			s.t.Fatal("a connection was not closed")
+		}
+	}
+}
+
+// dialIdle returns a connection that is idle after one request and its response.
+func (s *testServer) dialIdle() *net.TCPConn {
+	c := s.dial()
+	c.Write(completeRequest(1, 1))
+	(<-s.handler.requests)(Answer{Status: 200})
+	s.readResponse(c)
+	return c
+}
+
+// readResponse reads one response up to its END_REQUEST record and returns the size of its contents.
+func (s *testServer) readResponse(c *net.TCPConn) (size int) {
+	s.t.Helper()
+	for {
+		var header [headerLen]byte
+		if _, err := io.ReadFull(c, header[:]); err != nil {
+			s.t.Fatalf("after %d bytes: %v", size, err)
+		}
+		n, _ := io.CopyN(io.Discard, c, int64(header[4])<<8+int64(header[5])+int64(header[6]))
+		if size += int(n); header[1] == typeEndRequest {
+			return size
+		}
+	}
+}
+
+// stop stops the server and checks that it has released all buffers and connections.
+func (s *testServer) stop() {
+	s.t.Helper()
+	s.listener.Close()
+	s.Cut()
+	if err := <-s.done; err != nil || s.Pool.Out() != 0 || s.Reads.Out() != 0 || s.Open() != 0 {
+		s.t.Errorf("not released: %d and %d buffers, %d connections, %v", s.Pool.Out(), s.Reads.Out(), s.Open(), err)
+	}
+}
+
+// closeCauses are the causes for which a server closes an idle connection.
+var closeCauses = []struct {
+	name  string
+	apply func(*testServer)
+}{
+	{"End", func(s *testServer) { s.End() }},
+	{"Shut", func(s *testServer) { s.Shut() }},
+	{"idle for too long", func(s *testServer) {
+		s.now.Store(idleTimeout + 100)
+		s.sweep(idleTimeout + 100)
+	}},
+	{"room for new connections", func(s *testServer) {
+		for range s.Most {
+			s.dial()
+		}
+	}},
+}
+
+// A request that is read while its connection is being closed must not reach the handler: its response could not be sent.
+func TestRequestReadDuringCloseIsDiscarded(t *testing.T) {
+	for _, c := range closeCauses {
+		s := newTestServer(t, 3)
+		client := s.dialIdle()
+		s.listener.holdAfter.Store(true)
+		client.Write(completeRequest(2, 1))
+		release := <-s.listener.held
+		c.apply(s)
+		if n, err := client.Read(make([]byte, 1)); n != 0 || err != io.EOF && !errors.Is(err, syscall.ECONNRESET) {
+			t.Errorf("%s: the client reads %d bytes, %v", c.name, n, err)
+		}
+		release()
+		client.Close()
+		s.waitClosed(1)
+		s.stop()
+		if len(s.handler.requests) != 0 {
+			t.Errorf("%s: a request of a closed connection reached the handler", c.name)
+		}
+	}
+}
+
+// A request that was read before its connection is to be closed is open at that moment, and must still be answered.
+func TestRequestReadBeforeCloseIsAnswered(t *testing.T) {
+	for _, c := range closeCauses[:3] {
+		s := newTestServer(t, 3)
+		client := s.dialIdle()
+		client.Write(append(completeRequest(2, 1), beginRequest(3, 1)...))
+		reply := <-s.handler.requests
+		c.apply(s)
+		reply(Answer{Status: 200})
+		s.readResponse(client)
+		client.Close()
+		s.waitClosed(1)
+		s.stop()
+	}
+}
+
+// Closing a socket with unread input makes the kernel reset the connection, which would discard the part of the response that
+// the client has not received yet. The response must arrive whole, followed by the end of the stream.
+func TestUnreadInputDoesNotResetResponse(t *testing.T) {
+	s := newTestServer(t, 3)
+	client := s.dialIdle()
+	s.listener.holdNext.Store(true)
+	client.Write(completeRequest(2, 1))
+	reply := <-s.handler.requests
+	release := <-s.listener.held
+	client.Write([]byte(beginRequest(3, 1)))
+	body := buffer.NewChain(s.Pool)
+	body.Append(make([]byte, 200_000))
+	// With this buffer the kernel takes the whole response at once, before the client has received it.
+	s.updateConns(func(c *Conn) { c.nc.(*gatedConn).SetWriteBuffer(1 << 20) }, func() {})
+	s.End()
+	s.Shut()
+	reply(Answer{Status: 200, Body: body})
+	for s.Pool.Out() > 0 { // until the response is written
+		time.Sleep(time.Millisecond)
+	}
+	if n := s.readResponse(client); n < 200_000 {
+		t.Errorf("%d bytes", n)
+	}
+	if n, err := client.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+		t.Errorf("%d bytes after the response, %v", n, err)
+	}
+	release()
+	client.Close()
+	s.waitClosed(1)
+	s.stop()
+}
+
+// A client that never closes its half of the connection must not keep the server reading: the time for that is bounded.
+func TestLingerIsBounded(t *testing.T) {
+	s := newTestServer(t, 3)
+	client := s.dialIdle()
+	s.Shut()
+	if data, err := io.ReadAll(client); len(data) != 0 || err != nil {
+		t.Errorf("%d bytes, %v", len(data), err)
+	}
+	s.waitClosed(1)
+	client.Close()
+	s.stop()
+}
+
+// A connection that is accepted after End, before the listener is closed, gets one request answered and is then closed. One that
+// is accepted after Shut is closed without its request being handled.
+func TestAcceptDuringShutdown(t *testing.T) {
+	s := newTestServer(t, 3)
+	s.End()
+	client := s.dial()
+	client.Write(completeRequest(1, 1))
+	(<-s.handler.requests)(Answer{Status: 200})
+	s.readResponse(client)
+	if n, err := client.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+		t.Errorf("%d bytes after the response, %v", n, err)
+	}
+	s.Shut()
+	late := s.dial()
+	late.Write(completeRequest(1, 1))
+	if n, err := late.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+		t.Errorf("connection accepted after Shut: %d bytes, %v", n, err)
+	}
+	client.Close()
+	late.Close()
+	s.waitClosed(2)
+	s.stop()
+	if len(s.handler.requests) != 0 {
+		t.Error("a request reached the handler after Shut")
+	}
+}
+
+// A client with an earlier successful request that sends another one too slowly still gets the responses to its other open
+// requests, and then its connection is closed.
+func TestSlowRequestKeepsOtherResponses(t *testing.T) {
+	s := newTestServer(t, 3)
+	client := s.dialIdle()
+	client.Write(append(completeRequest(2, 1), beginRequest(3, 1)...))
+	reply := <-s.handler.requests
+	for !s.unfinished() {
+		time.Sleep(time.Millisecond)
+	}
+	s.now.Store(requestTimeout + 1)
+	s.sweep(requestTimeout + 1)
+	client.Write(bytes.TrimPrefix(completeRequest(3, 1), []byte(beginRequest(3, 1))))
+	reply(Answer{Status: 200})
+	s.readResponse(client)
+	if n, err := client.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+		t.Errorf("%d bytes after the response, %v", n, err)
+	}
+	client.Close()
+	s.waitClosed(1)
+	s.stop()
+	if len(s.handler.requests) != 0 {
+		t.Error("a request that came too slowly reached the handler")
+	}
+}
+
+// unfinished reports whether a record or a request has been received in part.
+func (s *testServer) unfinished() (unfinished bool) {
+	s.updateConns(func(c *Conn) {
+		_, partial := c.parser.Unfinished()
+		unfinished = unfinished || partial
+	}, func() {})
+	return unfinished
+}
