--- a/internal/bite/crossings.go
+++ b/internal/bite/crossings.go
@@ -24,9 +24,9 @@
 	{"pulls go on to one that is silent", "internal/caches/pool.go", "return now-max(first, l.heard) <= cmp.Or(p.usual, p.limits.Answer)", "return now-max(first, l.heard) <= 1e9*cmp.Or(p.usual, p.limits.Answer)", wires, "TestUpGoesFirst"},
 	{"a key does not go on", "internal/gateway/core.go", "if d.idempotencyKey != \"\" {", "if false {", front, "TestPullFields"},
 	{"what never went out is told that it failed", "internal/gateway/core.go", "!d.answered && len(d.pulls) == 0 {", "!d.answered && len(d.pulls) < 0 {", front, "TestCompetingEnds"},
-	{"short expiries are all flush", "internal/gateway/serve.go", "min(flushBy, wait/4)", "min(flushBy, wait)", front, "TestAnswerBy"},
+	{"short expiries are all flush", "internal/gateway/serve.go", "min(flushPeriod, wait/4)", "min(flushPeriod, wait)", front, "TestAnswerBy"},
 	{"gateways that are not told count as one", "router/router.go", "cmp.Or(r.foot.numAt(\"gateways by zone\", here), r.foot.num(\"gateways\"))", "r.foot.numAt(\"gateways by zone\", here)", policy, "TestPeers"},
 	{"lists of another length are taken", "internal/footprint/config.go", "if l.long != 0 && l.long != len(c.Types) {", "if l.long < 0 {", "./internal/footprint", "TestParse"},
 	{"connections to the process before are used", "internal/caches/pool.go", "if n.address != address || n.booted != booted {", "if false {", front, "TestNodeListOrder"},
-	{"what waits goes to a cache that drains", "internal/gateway/news.go", "\tg.withdraw(func(p *pull) bool { return p.node == id || p.source == id })\n", "", front, "TestNodeListOrder"},
+	{"what waits goes to a cache that drains", "internal/gateway/channel_events.go", "\tg.withdrawPulls(func(p *pull) bool { return p.node == id || p.source == id })\n", "", front, "TestNodeListOrder"},
 }
--- a/internal/gateway/news.go
+++ b/internal/gateway/channel_events.go
@@ -9,23 +9,24 @@
 	"poppymill/router"
 )
 
-func (g *Core) news(n channel.News) {
+// handleChannelEvent applies a purge or a node list of the command channel.
+func (g *Core) handleChannelEvent(n channel.News) {
 	if n.Purge {
 		n.Purged.Age = max(0, g.now-n.PurgeTime)
 		g.emit(n.Purged)
-		g.withdraw(func(p *pull) bool {
+		g.withdrawPulls(func(p *pull) bool {
 			return n.Purged.Object == p.download.object || n.Purged.Object == "" && n.Purged.Group == p.download.group
 		})
 		return
 	}
 	list := router.Listed{Scope: n.Scope}
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, node := range n.Nodes {
 		g.nodes[node.Node] = node.Entry
 		list.Entries = append(list.Entries, g.drained.effective(node.Entry))
-		named[node.Node] = true
+		listed[node.Node] = true
 		if node.State == router.Gone {
-			g.gone(node.Node)
+			g.removeNode(node.Node)
 			continue
 		}
 		if g.addresses[node.Node] = node.Address; g.nodeListed != nil && node.State == router.Running {
@@ -33,13 +34,13 @@
 		}
 		g.pool.List(node.Node, node.Address, node.Booted)
 		if g.drained.effective(node.Entry).State == router.Draining {
-			g.shun(node.Node) // after it is listed, which would have it asked whether it is there
+			g.stopSending(node.Node) // after List, which allows probes of the node
 		}
 	}
 	if n.Scope != router.Changes {
 		for _, id := range slices.Sorted(maps.Keys(g.addresses)) {
-			if !named[id] {
-				g.gone(id)
+			if !listed[id] {
+				g.removeNode(id)
 			}
 		}
 	}
@@ -47,21 +48,24 @@
 	g.notifyNodesChanged()
 }
 
-// withdraw takes back pulls that are not yet written; the router hears of it after the news that it is for.
-func (g *Core) withdraw(named func(*pull) bool) {
+// withdrawPulls takes back the matching pulls that are not written yet. The router learns of their end after the event
+// that caused it.
+func (g *Core) withdrawPulls(matches func(*pull) bool) {
 	g.pool.Withdraw(func(q *caches.Pull) bool {
 		p, ok := q.Owner.(*pull)
-		return ok && named(p)
+		return ok && matches(p)
 	}, g.now)
 }
 
-func (g *Core) shun(id string) {
+// stopSending sends nothing new to a node, and withdraws the pulls with the node as target or source.
+func (g *Core) stopSending(id string) {
 	g.pool.Shun(id)
-	g.withdraw(func(p *pull) bool { return p.node == id || p.source == id })
+	g.withdrawPulls(func(p *pull) bool { return p.node == id || p.source == id })
 }
 
-func (g *Core) gone(id string) {
-	g.shun(id)
+// removeNode forgets a node that is no longer listed. What is open there continues.
+func (g *Core) removeNode(id string) {
+	g.stopSending(id)
 	delete(g.addresses, id)
 	delete(g.nodes, id)
 	g.pool.Gone(id)
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -69,8 +69,8 @@
 	config       *footprint.Config
 	log          logrus.FieldLogger
 	warnings     *warnLimiter
-	links        *desk     // signed links; nil if disabled
-	fair         *fairDoor // fair admission; nil if disabled
+	links        *signedLinks   // nil if disabled
+	fair         *fairAdmission // nil if disabled
 	router       *router.Router
 	pool         *caches.Pool
 	downloads    map[string]*download
@@ -111,9 +111,9 @@
 	expiryTimer                *timer
 	openPulls                  int // pulls that have not ended
 	answered                   bool
-	prefetchNode               string   // the edge cache to prefetch into; empty for a client's download
-	link                       *linked  // nil if links are disabled
-	share                      *sharing // nil if fair admission is disabled
+	prefetchNode               string        // the edge cache to prefetch into; empty for a client's download
+	link                       *downloadLink // nil if signed links are disabled
+	share                      *fairShare    // nil if fair admission is disabled
 }
 
 // pull is one attempt of a download at a node.
@@ -135,7 +135,7 @@
 		addresses: map[string]string{}, nodes: map[string]router.Entry{}, maxOpen: Share(c).Open, now: now}
 	g.emit(router.Started{Seed: c.Seed, Footprint: c.Footprint})
 	for _, n := range c.Known {
-		g.news(n)
+		g.handleChannelEvent(n)
 	}
 	g.dispatch()
 	return g
@@ -164,7 +164,7 @@
 		}
 	case Told:
 		g.Ring(e.At)
-		g.news(e.News)
+		g.handleChannelEvent(e.News)
 	case Ahead:
 		g.Ring(e.At)
 		g.prefetch(e)
@@ -177,17 +177,17 @@
 	case Rekeyed:
 		if g.links != nil {
 			g.links.block = e.Block
-			g.links.door.Change(e.Block.Settings)
-			g.links.door.Keys(e.Ring)
+			g.links.admission.Change(e.Block.Settings)
+			g.links.admission.Keys(e.Ring)
 		}
-	case Reweighed:
+	case FairnessChanged:
 		if g.fair != nil {
 			g.fair.block = e.Block
 			g.fair.gate.Weights(e.Block.Settings.Weights)
 		}
-	case Written:
+	case SpendWritten:
 		g.Ring(e.At)
-		g.written(e)
+		g.spendWritten(e)
 	case caches.Up:
 		g.pool.Handle(e)
 	case caches.Answered:
@@ -216,9 +216,9 @@
 			t.prefetcher.next()
 		case g.fair != nil && t == g.fair.timer:
 			g.fair.timer = nil
-			g.shared(g.fair.gate.Ring(g.now))
+			g.executeFair(g.fair.gate.Ring(g.now))
 		case t.download != nil && t.token == spendWriteToken:
-			g.unwritten(t.download)
+			g.rejectUnwritten(t.download)
 		case t.download != nil:
 			g.failOverdue(t.download)
 		default:
@@ -381,8 +381,8 @@
 		a.Link = d.link.successor
 	}
 	d.client.Answer(d.requestID, a)
-	g.unspend(d, a.Status == 503)
-	g.freed(d, a.Status)
+	g.releaseSpend(d, a.Status == 503)
+	g.releaseShare(d, a.Status)
 	g.release(d)
 	g.recallPulls(d)
 }
@@ -402,7 +402,7 @@
 	g.open--
 	g.timers.remove(d.expiryTimer)
 	if d.link != nil {
-		g.timers.remove(d.link.held)
+		g.timers.remove(d.link.writeTimer)
 	}
 	requests := g.clients[d.client]
 	if delete(requests, d.requestID); len(requests) == 0 {
@@ -423,8 +423,8 @@
 func (g *Core) cancel(d *download) {
 	g.Left++
 	d.answered = true
-	g.unspend(d, len(d.pulls) == 0)
-	g.freed(d, 0)
+	g.releaseSpend(d, len(d.pulls) == 0)
+	g.releaseShare(d, 0)
 	g.release(d)
 	g.emit(router.Left{ID: d.id})
 	g.recallPulls(d)
@@ -465,7 +465,7 @@
 		e.Client.Answer(e.ID, clients.Answer{Status: 400})
 		return
 	}
-	if g.links != nil && !g.admit(e, d) {
+	if g.links != nil && !g.admitLink(e, d) {
 		return
 	}
 	g.Taken++
@@ -473,7 +473,7 @@
 	d.expiry += e.At
 	g.track(d)
 	if g.fair != nil {
-		g.queue(d, e.Params)
+		g.askFairGate(d, e.Params)
 		return
 	}
 	g.proceed(d)
@@ -493,10 +493,10 @@
 // proceed passes a download to the router. If there is a store, the token that it spends is written first.
 func (g *Core) proceed(d *download) {
 	if d.link != nil && d.link.spend != nil && g.links.store != nil {
-		g.hold(d)
+		g.writeSpend(d)
 		return
 	}
-	g.arrived(d)
+	g.emitArrived(d)
 }
 
 // parseDownload reads a download from the request's params. It accepts only the exact form of the protocol, as a
@@ -616,7 +616,7 @@
 	g.purges.limitAge(&a, d, p.index, g.now)
 	text := pullFields(d, a, deadline-g.now)
 	if g.links != nil {
-		text = g.links.forBox(text, d, p, g.now)
+		text = g.links.appendCacheToken(text, d, p, g.now)
 	}
 	p.cachePull = &caches.Pull{ID: d.id, Node: a.Node, Fields: text, Body: d.body,
 		Mine: d.clientSum, Copies: d.cacheable, MaxAge: cmp.Or(a.MaxAge, d.maxAge), Before: d.lastPull, Owner: p}
--- a/internal/gateway/drain_nodes.go
+++ b/internal/gateway/drain_nodes.go
@@ -45,7 +45,7 @@
 		if effective := g.drained.effective(listed); effective != previous.effective(listed) {
 			changes.Entries = append(changes.Entries, effective)
 			if g.pool.List(n, g.addresses[n], listed.Booted); effective.State == router.Draining {
-				g.shun(n)
+				g.stopSending(n)
 			}
 		}
 	}
--- a/internal/gateway/fairness.go
+++ b/internal/gateway/fairness.go
@@ -13,39 +13,43 @@
 	"poppymill/internal/operator"
 )
 
-// Fairness is the block fair of the operator's file.
+// Fairness is the block "fair" of the operator's file: how the gateway's capacity is shared among clubs and clients.
 type Fairness struct {
 	On       bool
-	Club     string // param that names the club, as "header X-Club"; empty: all are of one
-	Client   string // "link", "address", or "header NAME"
-	Ahead    []string
+	Club     string   // where the club's name is found, as in "header X-Club"; empty: all clients are of one club
+	Client   string   // where the client's name is found: "link", "address" or "header NAME"
+	Ahead    []string // types that are admitted ahead of the others
 	Settings fair.Settings
 }
 
-// Fields reads the block; it turns the fair door on.
+// Fields returns the fields of the block, set to their defaults. A file with the block enables fair admission.
 func (f *Fairness) Fields() []operator.Field {
 	*f = Fairness{On: true, Client: "address", Settings: fair.Defaults()}
 	s := &f.Settings
 	s.Weights = map[string]float64{}
 	return []operator.Field{
-		operator.Attr("club", operator.Text(&f.Club)), operator.Attr("client", operator.Text(&f.Client)), operator.Attr("ahead", operator.Texts(&f.Ahead)),
+		operator.Attr("club", operator.Text(&f.Club)), operator.Attr("client", operator.Text(&f.Client)),
+		operator.Attr("ahead", operator.Texts(&f.Ahead)),
 		operator.Attr("clubs", operator.Whole(&s.Clubs, 1, 4096)), operator.Attr("flows", operator.Whole(&s.Flows, 16, 1<<20)),
-		operator.Attr("heavy", operator.Whole(&s.Heavy, 0, 4096)), operator.Attr("change", operator.Span(&s.Change, 100*time.Millisecond, time.Hour)),
-		operator.Attr("queue", operator.Whole(&s.Queue, 1, 1<<20)), operator.Attr("slack", operator.Span(&s.Slack, time.Millisecond, 10*time.Second)),
-		operator.Attr("booked", operator.Share(&s.Booked)), operator.Attr("longest_wait", operator.Span(&s.Longest, 0, 25*time.Second)),
+		operator.Attr("heavy", operator.Whole(&s.Heavy, 0, 4096)),
+		operator.Attr("change", operator.Span(&s.Change, 100*time.Millisecond, time.Hour)),
+		operator.Attr("queue", operator.Whole(&s.Queue, 1, 1<<20)),
+		operator.Attr("slack", operator.Span(&s.Slack, time.Millisecond, 10*time.Second)),
+		operator.Attr("booked", operator.Share(&s.Booked)),
+		operator.Attr("longest_wait", operator.Span(&s.Longest, 0, 25*time.Second)),
 		operator.Block("weight", []string{"club"}, func(labels []string, _ int) ([]operator.Field, error) {
-			if _, twice := s.Weights[labels[0]]; twice {
-				return nil, errors.New("stands twice")
+			if _, defined := s.Weights[labels[0]]; defined {
+				return nil, errors.New("is defined twice")
 			}
-			w := 0.0
-			return []operator.Field{operator.Must("is", operator.Number(&w, 0.01, 1000)),
-				operator.Check(func() error { s.Weights[labels[0]] = w; return nil })}, nil
+			weight := 0.0
+			return []operator.Field{operator.Must("is", operator.Number(&weight, 0.01, 1000)),
+				operator.Check(func() error { s.Weights[labels[0]] = weight; return nil })}, nil
 		}),
 		operator.Check(func() error {
-			if _, ok := param(f.Club); f.Club != "" && !ok {
+			if _, ok := headerParam(f.Club); f.Club != "" && !ok {
 				return fmt.Errorf("club: %q is not \"header NAME\"", f.Club)
 			}
-			if _, ok := param(f.Client); !ok && f.Client != "link" && f.Client != "address" {
+			if _, ok := headerParam(f.Client); !ok && f.Client != "link" && f.Client != "address" {
 				return fmt.Errorf("client: %q is neither \"link\", \"address\" nor \"header NAME\"", f.Client)
 			}
 			return nil
@@ -53,36 +57,38 @@
 	}
 }
 
-// param is the CGI name of what "header NAME" says.
-func param(text string) (string, bool) {
+// headerParam returns the CGI param of the header in "header NAME", and whether text has this form.
+func headerParam(text string) (string, bool) {
 	name, ok := strings.CutPrefix(text, "header ")
 	return "HTTP_" + strings.ToUpper(strings.ReplaceAll(name, "-", "_")), ok && name != ""
 }
 
-// Params names the fields of a request that tell whose it is.
+// Params returns the names of the params that identify the client of a request.
 func (f *Fairness) Params() (all []string) {
 	if !f.On {
 		return nil
 	}
 	for _, text := range []string{f.Club, f.Client} {
-		if p, ok := param(text); ok {
+		if p, ok := headerParam(text); ok {
 			all = append(all, p)
 		}
 	}
 	return append(all, "REMOTE_ADDR", ticketParam)
 }
 
+// ticketParam carries the ticket of an appointment that an earlier throttled answer gave the client.
 const ticketParam = "HTTP_X_TICKET"
 
-// fairDoor is what a core has to do with fair shares; nil where they are off.
-type fairDoor struct {
+// fairAdmission is the core's state for fair admission; nil if disabled.
+type fairAdmission struct {
 	gate  *fair.Gate
 	block Fairness
 	timer *timer
 	costs map[string]*meanCost
 }
 
-// meanCost is what a download of a type takes, slowly learnt, so that a jam does not pass for its size.
+// meanCost is the mean time that downloads of a type take. It adapts slowly, so that congestion is not mistaken for
+// size.
 type meanCost struct{ n, mean float64 }
 
 func (m *meanCost) add(took float64) {
@@ -90,46 +96,46 @@
 	m.mean += (took - m.mean) / min(m.n, 2000)
 }
 
-// Share has a core let downloads in by fair shares.
+// Share makes the core admit downloads by fair shares.
 func (g *Core) Share(gate *fair.Gate, block Fairness) {
-	g.fair = &fairDoor{gate: gate, block: block, costs: map[string]*meanCost{}}
+	g.fair = &fairAdmission{gate: gate, block: block, costs: map[string]*meanCost{}}
 }
 
-// Reweighed is a block fair that holds from now on.
-type Reweighed struct{ Block Fairness }
+// FairnessChanged reports that the block "fair" was reloaded.
+type FairnessChanged struct{ Block Fairness }
 
-// queue brings a download that was taken to the fair door.
-func (g *Core) queue(d *download, params map[string]string) {
+// askFairGate asks the fair gate to admit an accepted download.
+func (g *Core) askFairGate(d *download, params map[string]string) {
 	f := g.fair
-	a := fair.Ask{At: g.now, ID: d.id, Object: d.object, Part: d.part, Expiry: d.expiry, Ticket: params[ticketParam],
+	ask := fair.Ask{At: g.now, ID: d.id, Object: d.object, Part: d.part, Expiry: d.expiry, Ticket: params[ticketParam],
 		Ahead: slices.Contains(f.block.Ahead, d.typ)}
-	if p, ok := param(f.block.Club); ok {
-		a.Club = params[p]
+	if p, ok := headerParam(f.block.Club); ok {
+		ask.Club = params[p]
 	}
-	switch p, ok := param(f.block.Client); {
+	switch p, ok := headerParam(f.block.Client); {
 	case ok:
-		a.Client = params[p]
+		ask.Client = params[p]
 	case f.block.Client == "link" && d.link != nil:
-		a.Client = d.link.client
+		ask.Client = d.link.client
 	default:
-		a.Client = params["REMOTE_ADDR"]
+		ask.Client = params["REMOTE_ADDR"]
 	}
-	a.Cost = g.cost(d.typ)
-	t := g.config.Types[slices.IndexFunc(g.config.Types, func(t footprint.Type) bool { return t.Name == d.typ })]
-	a.Target = min(g.now+t.Target+t.Stretch*a.Cost, d.expiry)
-	d.share = &sharing{target: a.Target}
-	g.shared(f.gate.Ask(a))
+	ask.Cost = g.expectedCost(d.typ)
+	typ := g.config.Types[slices.IndexFunc(g.config.Types, func(t footprint.Type) bool { return t.Name == d.typ })]
+	ask.Target = min(g.now+typ.Target+typ.Stretch*ask.Cost, d.expiry)
+	d.share = &fairShare{target: ask.Target}
+	g.executeFair(f.gate.Ask(ask))
 }
 
-// sharing is what the fair door means to a download.
-type sharing struct {
-	target   float64 // when it is wanted, on the clock
-	let      float64 // when it was let in
-	admitted bool
+// fairShare is the state of a download at the fair gate.
+type fairShare struct {
+	target     float64 // target time, by the core's clock
+	admittedAt float64
+	admitted   bool
 }
 
-// cost is the expected sending time of a type; half its target until some were seen.
-func (g *Core) cost(typ string) float64 {
+// expectedCost returns the expected sending time of a type in ms; a quarter of its target until a download was measured.
+func (g *Core) expectedCost(typ string) float64 {
 	if m := g.fair.costs[typ]; m != nil && m.n > 0 {
 		return max(0.1, m.mean)
 	}
@@ -141,19 +147,19 @@
 	return 1
 }
 
-// shared carries out what the fair door decides.
-func (g *Core) shared(actions []fair.Action) {
+// executeFair executes the actions of the fair gate and sets its timer.
+func (g *Core) executeFair(actions []fair.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case fair.Admit:
 			if d := g.downloads[a.ID]; d != nil && !d.answered {
-				d.share.admitted, d.share.let = true, g.now
+				d.share.admitted, d.share.admittedAt = true, g.now
 				g.proceed(d)
 			}
 		case fair.Throttle:
 			if d := g.downloads[a.ID]; d != nil && !d.answered {
 				g.Throttled++
-				g.answer(d, clients.Answer{Status: 503, Wait: a.Wait, Link: ticketOf(a.Ticket)})
+				g.answer(d, clients.Answer{Status: 503, Wait: a.Wait, Link: ticketLink(a.Ticket)})
 			}
 		}
 	}
@@ -165,22 +171,23 @@
 	}
 }
 
-func ticketOf(text string) *clients.Link {
+// ticketLink returns the link that carries a ticket to the client; nil if there is none.
+func ticketLink(text string) *clients.Link {
 	if text == "" {
 		return nil
 	}
 	return &clients.Link{Ticket: text}
 }
 
-// freed tells the fair door how a download ended that it had let in, or that one is gone that waits.
-func (g *Core) freed(d *download, status int) {
+// releaseShare tells the fair gate how an admitted download ended, or that a waiting one is gone.
+func (g *Core) releaseShare(d *download, status int) {
 	f := g.fair
 	if f == nil {
 		return
 	}
 	if d.share == nil || !d.share.admitted {
-		if status != 503 { // who was turned away by the door is known there
-			g.shared(f.gate.Left(g.now, d.id))
+		if status != 503 { // the gate already knows those that it throttled
+			g.executeFair(f.gate.Left(g.now, d.id))
 		}
 		return
 	}
@@ -190,28 +197,29 @@
 		if end = fair.InTime; g.now > d.share.target {
 			end = fair.Late
 		}
-		m := f.costs[d.typ]
-		if m == nil {
-			m = &meanCost{}
-			f.costs[d.typ] = m
+		mean := f.costs[d.typ]
+		if mean == nil {
+			mean = &meanCost{}
+			f.costs[d.typ] = mean
 		}
-		m.add(g.now - d.share.let)
+		mean.add(g.now - d.share.admittedAt)
 	case 503:
 		end = fair.TurnedAway
 	}
-	g.shared(f.gate.Ended(g.now, d.id, end, cost))
+	g.executeFair(f.gate.Ended(g.now, d.id, end, cost))
 }
 
-// Shares tells how the fair door stands, and for whom most was let in; empty where it is off.
+// Shares describes the state of the fair gate and its heaviest clubs for the log; empty if disabled.
 func (g *Core) Shares() string {
 	if g.fair == nil {
 		return ""
 	}
-	k := g.fair.gate
-	open, waits, limit, stretch, quick := k.Stands()
-	text := fmt.Sprintf("open %d of %.0f, waiting %d, takes %.1f of its cost, %.1f at the quickest; %+v", open, limit, waits, stretch, quick, k.Counters)
-	for _, c := range k.Heaviest(3) {
-		text += fmt.Sprintf("; %q asked %d admitted %d throttled %d", c.Name, c.Asked, c.Admitted, c.Throttled)
+	gate := g.fair.gate
+	open, waiting, limit, stretch, fastest := gate.Stands()
+	text := fmt.Sprintf("open %d of %.0f, waiting %d, takes %.1f of its cost, %.1f at the quickest; %+v",
+		open, limit, waiting, stretch, fastest, gate.Counters)
+	for _, club := range gate.Heaviest(3) {
+		text += fmt.Sprintf("; %q asked %d admitted %d throttled %d", club.Name, club.Asked, club.Admitted, club.Throttled)
 	}
 	return text
 }
--- a/internal/gateway/link_driver.go
+++ b/internal/gateway/link_driver.go
@@ -34,7 +34,7 @@
 	secret := make([]byte, 32)
 	rand.Read(secret)
 	admission := links.New(b.Settings, ring, secret, clock.now())
-	var store Spends
+	var store SpendStore
 	if b.Store != "" {
 		if d.store, err = drive.OpenStore(b.Store, clock.now(), func(s links.Spend) { admission.Restore(s, clock.now()) }); err != nil {
 			return nil, err
@@ -57,7 +57,7 @@
 		err := drive.Watch(ctx, d.block.Keys, func() {
 			// A reload on SIGHUP may have changed the block; the watched file remains that of the start.
 			if err := d.rekey(r.operator.Load().Links); err != nil {
-				r.misread.Add(1)
+				r.failed.Add(1)
 				r.log.WithError(err).Error("cannot load the signed-link keys; keeping the previous ones")
 			} else {
 				r.log.WithField("keys", d.block.Keys).Info("signed-link keys reloaded")
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -10,151 +10,160 @@
 	"poppymill/router"
 )
 
-// What the drivers of signed links post.
+// Events that the link driver and the store of spent tokens post to a Core.
 type (
-	// Rekeyed is a ring of keys that holds from now on, with the block that goes with it.
+	// Rekeyed reports newly loaded keys, and the links block that names them.
 	Rekeyed struct {
 		Ring  *links.Ring
 		Block drive.Block
 	}
-	// Written tells whether what a download spends is on the disk.
-	Written struct {
+	// SpendWritten reports whether the token that a download spends was written to disk.
+	SpendWritten struct {
 		ID  string
 		Err error
 		At  float64
 	}
 )
 
-// Spends is where what is spent is written down; it never waits.
-type Spends interface {
+// SpendStore records spent tokens. Its methods do not block.
+type SpendStore interface {
+	// Write stores a spent token; done is called once, from another goroutine.
 	Write(s links.Spend, done func(error))
+	// Back removes a spent token whose download never ran.
 	Back(s links.Spend)
 }
 
-// desk is what a core has to do with signed links; nil where they are off.
-type desk struct {
-	door  *links.Door
-	block drive.Block
-	store Spends // nil: none
-	post  func(any)
-	now   func() float64
+// signedLinks is the core's state for signed links; nil if disabled.
+type signedLinks struct {
+	admission *links.Door
+	block     drive.Block
+	store     SpendStore // nil: spent tokens are kept in memory only
+	post      func(any)
+	now       func() float64
 }
 
-// Guard has a core admit downloads by signed links alone. Post brings an event to the core from any goroutine.
-func (g *Core) Guard(door *links.Door, block drive.Block, store Spends, post func(any), now func() float64) {
-	g.links = &desk{door: door, block: block, store: store, post: post, now: now}
+// Guard makes the core accept only downloads with a valid signed link. Post passes an event to the core from any
+// goroutine.
+func (g *Core) Guard(admission *links.Door, block drive.Block, store SpendStore, post func(any), now func() float64) {
+	g.links = &signedLinks{admission: admission, block: block, store: store, post: post, now: now}
 }
 
-// Wall tells what the wall clock says, in Unix ms.
-func (g *Core) Wall(now, wall float64) {
+// SetWallClock passes on the time of the wall clock, in Unix ms.
+func (g *Core) SetWallClock(now, wall float64) {
 	if g.links != nil {
-		g.links.door.Wall(now, wall)
+		g.links.admission.Wall(now, wall)
 	}
 }
 
-// linked is what a download's link brings.
-type linked struct {
-	spend     *links.Spend  // what it spends, where that is to be written down first
-	held      *timer        // until that is so
-	successor *clients.Link // goes with whatever answer it gets
-	client    string        // whom it was issued to
+// downloadLink is the state of the signed link of a download.
+type downloadLink struct {
+	spend      *links.Spend  // the spent token that must be stored before the first pull; nil if none
+	writeTimer *timer        // runs while the store writes spend
+	successor  *clients.Link // renewed link, sent with any answer; nil if none
+	client     string        // the client that the link was issued to
 }
 
-// heldMost is how long, in ms, a download waits at most for what it spends to be on the disk.
-const heldMost = 500.0
-
-// admit asks whether a download's link is good. A refused one is answered at once, and nothing of why is told.
-func (g *Core) admit(e Asked, d *download) bool {
-	k := g.links
-	v := k.door.Admit(links.Ask{At: e.At, Source: e.Params["REMOTE_ADDR"], Token: k.block.Token(e.Params), ID: d.id, Type: d.typ,
-		Object: d.object, Part: d.part, Write: d.atMostOnce})
-	if v.Reason == links.Admitted {
-		d.link = &linked{spend: v.Spend, client: v.Client}
-		if v.Token != "" {
-			d.link.successor = &clients.Link{Token: v.Token, Path: v.Path}
-			if k.block.From != "header" {
-				d.link.successor.Cookie = k.block.Name
+// spendWriteTimeout is how long a download waits at most for its spent token to be written to disk, in ms.
+const spendWriteTimeout = 500.0
+
+// admitLink checks the signed link of a download. A refused download is answered at once, without the reason.
+func (g *Core) admitLink(e Asked, d *download) bool {
+	signed := g.links
+	verdict := signed.admission.Admit(links.Ask{At: e.At, Source: e.Params["REMOTE_ADDR"],
+		Token: signed.block.Token(e.Params), ID: d.id, Type: d.typ, Object: d.object, Part: d.part, Write: d.atMostOnce})
+	if verdict.Reason == links.Admitted {
+		d.link = &downloadLink{spend: verdict.Spend, client: verdict.Client}
+		if verdict.Token != "" {
+			d.link.successor = &clients.Link{Token: verdict.Token, Path: verdict.Path}
+			if signed.block.From != "header" {
+				d.link.successor.Cookie = signed.block.Name
 			}
 		}
 		return true
 	}
 	g.Forbidden++
-	g.warnings.Warn(e.At, "a link is refused", fmt.Errorf("%s (%s)", v.Reason, v.Claim))
+	g.warnings.Warn(e.At, "signed link refused", fmt.Errorf("%s (%s)", verdict.Reason, verdict.Claim))
 	e.Body.Release()
-	a := clients.Answer{Status: 403}
-	switch v.Reason {
-	case links.Busy, links.NoMemory, links.NotThisOne: // it never went out, and later or elsewhere it may
-		a = clients.Answer{Status: 503, Wait: g.config.Advice}
+	answer := clients.Answer{Status: 403}
+	switch verdict.Reason {
+	case links.Busy, links.NoMemory, links.NotThisOne: // nothing was sent; a retry later or elsewhere may succeed
+		answer = clients.Answer{Status: 503, Wait: g.config.Advice}
 	}
-	e.Client.Answer(e.ID, a)
+	e.Client.Answer(e.ID, answer)
 	return false
 }
 
-// hold has a download wait until what it spends is on the disk: a crash must not make it good again.
-func (g *Core) hold(d *download) {
-	k, id := g.links, d.id
-	d.link.held = g.timers.push(timer{at: min(d.expiry, g.now+heldMost), download: d, token: spendWriteToken})
-	k.store.Write(*d.link.spend, func(err error) { k.post(Written{ID: id, Err: err, At: k.now()}) })
+// writeSpend makes a download wait until its spent token is on disk: after a crash the token must not be valid again.
+func (g *Core) writeSpend(d *download) {
+	signed, id := g.links, d.id
+	d.link.writeTimer = g.timers.push(timer{at: min(d.expiry, g.now+spendWriteTimeout), download: d,
+		token: spendWriteToken})
+	signed.store.Write(*d.link.spend, func(err error) { signed.post(SpendWritten{ID: id, Err: err, At: signed.now()}) })
 }
 
-// written lets a download go on, or turns it away: it never went out.
-func (g *Core) written(e Written) {
+// spendWritten passes the download to the router, or rejects it if the write failed.
+func (g *Core) spendWritten(e SpendWritten) {
 	d := g.downloads[e.ID]
-	if d == nil || d.answered || d.link.held == nil {
+	if d == nil || d.answered || d.link.writeTimer == nil {
 		return
 	}
 	if e.Err != nil {
-		g.warnings.Warn(e.At, "what a link spends can't be written down", e.Err)
-		g.unwritten(d)
+		g.warnings.Warn(e.At, "cannot write the spent token of a link", e.Err)
+		g.rejectUnwritten(d)
 		return
 	}
-	g.timers.remove(d.link.held)
-	d.link.held = nil
-	g.arrived(d)
+	g.timers.remove(d.link.writeTimer)
+	d.link.writeTimer = nil
+	g.emitArrived(d)
 }
 
-func (g *Core) unwritten(d *download) {
-	g.timers.remove(d.link.held)
-	d.link.held = nil
+// rejectUnwritten throttles a download whose spent token could not be written, or not in time. The download was never
+// sent, so a retry is safe.
+func (g *Core) rejectUnwritten(d *download) {
+	g.timers.remove(d.link.writeTimer)
+	d.link.writeTimer = nil
 	g.Throttled++
 	g.answer(d, clients.Answer{Status: 503, Wait: g.config.Advice})
 }
 
-// unspend tells the door that a download is over; what never ran may be asked for again.
-func (g *Core) unspend(d *download, harmless bool) {
-	k := g.links
-	if k == nil {
+// releaseSpend reports the end of a download to the link admission. If harmless, none of its pulls can have run, and its
+// token becomes valid again.
+func (g *Core) releaseSpend(d *download, harmless bool) {
+	signed := g.links
+	if signed == nil {
 		return
 	}
-	if back, ok := k.door.Ended(d.id, harmless); ok && k.store != nil {
-		k.store.Back(back)
+	if spend, ok := signed.admission.Ended(d.id, harmless); ok && signed.store != nil {
+		signed.store.Back(spend)
 	}
 }
 
-func (g *Core) arrived(d *download) {
-	g.emit(router.Arrived{ID: d.id, Type: d.typ, Object: d.object, Expiry: d.expiry, Group: d.group, Part: d.part, Only: d.prefetchNode})
+// emitArrived passes a download to the router.
+func (g *Core) emitArrived(d *download) {
+	g.emit(router.Arrived{ID: d.id, Type: d.typ, Object: d.object, Expiry: d.expiry, Group: d.group, Part: d.part,
+		Only: d.prefetchNode})
 }
 
-// Refusals tells why links were refused, by how often.
-func (g *Core) Refusals() string {
+// LinkStats returns the numbers of refused links by reason, and the counters of the link admission, for the log.
+func (g *Core) LinkStats() string {
 	if g.links == nil {
 		return ""
 	}
 	var all []string
-	for r, n := range g.links.door.Reasons {
+	for reason, n := range g.links.admission.Reasons {
 		if n > 0 {
-			all = append(all, fmt.Sprintf("%s %d", links.Reason(r), n))
+			all = append(all, fmt.Sprintf("%s %d", links.Reason(reason), n))
 		}
 	}
-	c := g.links.door.Counters
+	c := g.links.admission.Counters
 	return strings.Join(append(all, fmt.Sprintf("signatures %d", c.Checked), fmt.Sprintf("remembered %d", c.Remembered),
 		fmt.Sprintf("successors %d", c.Lived)), ", ")
 }
 
-// forBox adds a link of this gateway's own to what a pull says, where boxes ask for one.
-func (k *desk) forBox(text string, d *download, p *pull, now float64) string {
-	token := k.door.ForBox(links.Sent{At: now, ID: d.id, Pull: p.index, Node: p.node, Source: p.source, Type: d.typ, Object: d.object,
-		Part: d.part, Write: d.atMostOnce})
+// appendCacheToken appends a token signed by this gateway to the fields of a pull, if the caches require one.
+func (s *signedLinks) appendCacheToken(text string, d *download, p *pull, now float64) string {
+	token := s.admission.ForBox(links.Sent{At: now, ID: d.id, Pull: p.index, Node: p.node, Source: p.source,
+		Type: d.typ, Object: d.object, Part: d.part, Write: d.atMostOnce})
 	if token == "" {
 		return text
 	}
--- a/internal/gateway/prefetch.go
+++ b/internal/gateway/prefetch.go
@@ -69,7 +69,7 @@
 		}
 		p.open++
 		core.track(d)
-		core.arrived(d)
+		core.emitArrived(d)
 	}
 	if p.open == 0 && p.done != nil {
 		done := p.done
--- a/internal/gateway/purge_bounds.go
+++ b/internal/gateway/purge_bounds.go
@@ -97,7 +97,7 @@
 		}
 	}
 	if len(named)+len(groups) > 0 { // pulls not written yet accept copies that are now purged
-		g.withdraw(func(p *pull) bool { return named[p.download.object] || groups[p.download.group] })
+		g.withdrawPulls(func(p *pull) bool { return named[p.download.object] || groups[p.download.group] })
 	}
 	e.Done(e.Index)
 }
--- /dev/null
+++ b/internal/gateway/quorum_member.go
@@ -0,0 +1,93 @@
+package gateway
+
+import (
+	"context"
+
+	"github.com/sirupsen/logrus"
+	"golang.org/x/sync/errgroup"
+
+	"poppymill/internal/failpoint"
+	"poppymill/internal/footprint"
+	"poppymill/internal/maintenance"
+	machines "poppymill/internal/maintenance/drive"
+	"poppymill/internal/owner"
+	owned "poppymill/internal/owner/drive"
+	purges "poppymill/internal/purges/drive"
+	"poppymill/internal/quorum/drive"
+	"poppymill/router"
+)
+
+// quorumMember is this gateway's membership in the quorum of gateways, if the operator enables it. It has a loop of its
+// own; the loop that serves downloads neither waits for it nor depends on it.
+type quorumMember struct {
+	council *drive.Council // nil if disabled
+	log     logrus.FieldLogger
+	cancel  context.CancelFunc
+}
+
+// newQuorumMember opens the quorum's store and connects the quorum with the core. It does nothing if the operator's file
+// does not enable the quorum.
+func newQuorumMember(o *Settings, c *footprint.Config, core *Core, p *poster,
+	log logrus.FieldLogger) (*quorumMember, error) {
+	m := &quorumMember{log: log, cancel: func() {}}
+	b := o.Quorum
+	if !b.On {
+		return m, nil
+	}
+	failpoint.Set(o.Failpoints)
+	zone, _ := c.Footprint["zone"].(string)
+	jobs, handlers := o.Jobs, map[string]owned.Hand{owner.Warm: warmHandler(p), owned.Hold: owned.HoldHand()}
+	jobRunner, err := owned.Open(jobs, b.Store, handlers, log)
+	if err != nil {
+		log.WithError(err).Error("jobs: disabled until a restart: this gateway owns no jobs and runs no effects")
+		jobs.On = false
+		if jobRunner, err = owned.Open(jobs, "", nil, log); err != nil {
+			return m, err
+		}
+	}
+	b.Settings.Works = jobs.On
+	if o.Purges.On {
+		b.Settings.Sight = min(o.Purges.Limits.Delay/8, b.Settings.Lease/6)
+	}
+	proxy := coreProxy{poster: p, knownUntil: &knownUntil{}}
+	proxy.Known(-1)
+	machinePart, purgePart := machines.Open(o.Machines, jobRunner, proxy, log), purges.Open(o.Purges, jobRunner, proxy, log)
+	core.Purges(zone, o.Purges.Held(), o.Purges.On, proxy.knownUntil.at, p.now)
+	if m.council, err = drive.Open(b, c.Name, zone, maxPeerConns(c), drive.Parts{jobRunner, machinePart, purgePart},
+		log); err == nil && o.Machines.On {
+		core.OnNodesChanged(func(there map[string]bool) { m.council.Post(machines.Nodes{There: there}) })
+	}
+	if err == nil && (o.Machines.On || o.Purges.On) {
+		core.Measure(func(load maintenance.Load, fills float64) {
+			m.council.Post(load)
+			m.council.Post(purges.Misses{Rate: fills})
+		})
+	}
+	if err == nil && jobs.On && jobs.Limits.WarmRounds > 0 {
+		core.Boots(func(n router.Entry) {
+			if left := ColdFor(c, n, p.now()); left > 0 {
+				m.council.Post(owner.Booted{Node: n.Node, Zone: n.Zone, Start: uint64(n.Booted), Left: left})
+			}
+		})
+	}
+	return m, err
+}
+
+// run takes part in the quorum until leave.
+func (m *quorumMember) run(g *errgroup.Group) {
+	if m.council == nil {
+		return
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	m.cancel = cancel
+	m.log.WithField("peers", m.council.Address()).Info("quorum: started")
+	g.Go(func() error {
+		if err := m.council.Run(ctx); err != nil {
+			m.log.WithError(err).Error("quorum: cannot close the store")
+		}
+		return nil
+	})
+}
+
+// leave resigns from the quorum; open downloads continue.
+func (m *quorumMember) leave() { m.cancel() }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -18,35 +18,35 @@
 	agreement "poppymill/internal/quorum/drive"
 )
 
-// Reloads tells a running gateway when to read its configuration again, and how.
+// Reloads defines when a running gateway reloads its configuration, and how.
 type Reloads struct {
 	Wanted <-chan os.Signal
 	Load   func() (Setup, error)
 }
 
-// Setup is all that a gateway goes by: what the platform tells it, and what its operator does.
+// Setup is the complete configuration of a gateway: the platform's configuration and the operator's settings.
 type Setup struct {
 	Config   *footprint.Config
 	Operator *Settings
 }
 
-// reloader takes up what a new configuration changes. It is no part of the core: no download notices.
+// reloader applies the changes of a reloaded configuration. It is not part of the core: downloads are not affected.
 type reloader struct {
 	Reloads
-	running       *footprint.Config // as started
-	follower      *channel.Follower
-	log           logrus.FieldLogger
-	guard         *linkDriver
-	quorum        agreement.Block // as started
-	jobs          owned.Block     // as started
-	machines      machines.Block  // as started
-	purges        purges.Block    // as started
-	operator      atomic.Pointer[Settings]
-	done, misread atomic.Int64
+	running         *footprint.Config // as of the start
+	follower        *channel.Follower
+	log             logrus.FieldLogger
+	linkDriver      *linkDriver
+	quorum          agreement.Block // as of the start
+	jobs            owned.Block     // as of the start
+	machines        machines.Block  // as of the start
+	purges          purges.Block    // as of the start
+	operator        atomic.Pointer[Settings]
+	applied, failed atomic.Int64
 }
 
-// run is over with the context. A signal that came before it, or during a reload, is one more reload after that: the
-// newest file holds in the end.
+// run reloads at each signal until the context ends. A signal that arrives before the start or during a reload causes
+// one more reload, so that the newest file is in force in the end.
 func (r *reloader) run(ctx context.Context) {
 	for {
 		select {
@@ -56,42 +56,42 @@
 		}
 		s, err := r.Load()
 		if err != nil {
-			r.misread.Add(1)
-			r.log.WithError(err).Error("the new configuration can't be used: the old one goes on")
+			r.failed.Add(1)
+			r.log.WithError(err).Error("cannot load the new configuration; keeping the previous one")
 			continue
 		}
-		if err := r.guard.rekey(s.Operator.Links); err != nil {
-			r.misread.Add(1)
-			r.log.WithError(err).Error("the keys of signed links can't be used: the old ones go on")
+		if err := r.linkDriver.rekey(s.Operator.Links); err != nil {
+			r.failed.Add(1)
+			r.log.WithError(err).Error("cannot load the signed-link keys; keeping the previous ones")
 			continue
 		}
 		if s.Operator.Fair.On {
-			r.guard.poster.post(Reweighed{Block: s.Operator.Fair})
+			r.linkDriver.poster.post(FairnessChanged{Block: s.Operator.Fair})
 		}
 		c := s.Config
 		r.operator.Store(s.Operator)
-		fixed := r.running.Fixed(c)
-		if f := s.Operator.Fails; failpoint.On {
-			failpoint.Set(f)
-			r.log.WithFields(logrus.Fields{"stop": f.Stop, "kill": f.Kill}).Warn("failpoints in force")
+		needRestart := r.running.Fixed(c)
+		if points := s.Operator.Failpoints; failpoint.On {
+			failpoint.Set(points)
+			r.log.WithFields(logrus.Fields{"stop": points.Stop, "kill": points.Kill}).Warn("failpoints in force")
 		}
 		if s.Operator.Purges != r.purges {
-			fixed = append(fixed, "purges")
+			needRestart = append(needRestart, "purges")
 		}
 		if !reflect.DeepEqual(s.Operator.Machines, r.machines) {
-			fixed = append(fixed, "machines")
+			needRestart = append(needRestart, "machines")
 		}
 		if !reflect.DeepEqual(s.Operator.Jobs, r.jobs) {
-			fixed = append(fixed, "jobs")
+			needRestart = append(needRestart, "jobs")
 		}
 		if !reflect.DeepEqual(s.Operator.Quorum, r.quorum) {
-			fixed = append(fixed, "quorum")
+			needRestart = append(needRestart, "quorum")
 		}
 		r.follower.Move(channel.Place{Address: c.Channel, Known: c.Known})
-		r.done.Add(1)
+		r.applied.Add(1)
 		log := r.log.WithField("channel", c.Channel)
-		if len(fixed) > 0 {
-			log = log.WithField("until a restart", strings.Join(fixed, " "))
+		if len(needRestart) > 0 {
+			log = log.WithField("until a restart", strings.Join(needRestart, " "))
 		}
 		log.Info("reloaded")
 	}
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -21,35 +21,36 @@
 	"poppymill/internal/footprint"
 )
 
-// What the protocol gives a gateway that is told to end: for how long clients still come, and how long the last of
-// them may wait; it is killed no sooner than both together, and needs some of that to write.
+// Times of a shutdown, as the protocol sets them: clients still connect during acceptPeriod, and the last of them may
+// wait for maxClientWait. The process is not killed before both have passed; flushPeriod of that is for writing.
 const (
-	comeFor     = 700 * time.Millisecond
-	longestWait = 3000.0 // ms
-	flushBy     = 150 * time.Millisecond
+	acceptPeriod  = 700 * time.Millisecond
+	maxClientWait = 3000.0 // ms
+	flushPeriod   = 150 * time.Millisecond
 )
 
-// AnswerBy is when all that was taken is answered, and flushed when that is written, as counted from the word to end. Where all
-// wait for less than the flush takes, most of their time is still theirs: the clients come on until then.
+// AnswerBy returns by when all accepted downloads are answered and by when the answers are written, both counted from
+// the start of the shutdown. The flush takes at most a quarter of the longest wait: with short expiries most of that
+// time must remain for the answers, as clients still connect during acceptPeriod.
 func AnswerBy(c *footprint.Config) (answered, flushed time.Duration) {
 	longest := 0.0
 	for _, t := range c.Types {
 		longest = max(longest, t.Expiry)
 	}
-	wait := time.Duration(min(longest, longestWait) * float64(time.Millisecond))
-	flush := min(flushBy, wait/4)
-	flushed = comeFor + wait - flush/3
+	wait := time.Duration(min(longest, maxClientWait) * float64(time.Millisecond))
+	flush := min(flushPeriod, wait/4)
+	flushed = acceptPeriod + wait - flush/3
 	return flushed - flush, flushed
 }
 
 const (
-	inboxMost  = 1024
-	watchEvery = 100.0  // ms between looks for mute connections
-	tidyEvery  = 1000.0 // and for idle ones
-	countEvery = 10_000.0
+	inboxCapacity    = 1024     // events
+	watchInterval    = 100.0    // ms between checks for connections that no longer respond
+	tidyInterval     = 1000.0   // ms between checks for idle connections
+	countersInterval = 10_000.0 // ms between log lines with the counters, unless the operator sets another interval
 )
 
-// clock is the one clock of a gateway: monotonic, anchored at the Unix time of its start.
+// clock is the only clock of a gateway: monotonic, anchored at the Unix time of its start.
 type clock struct {
 	start time.Time
 	unix  float64
@@ -62,11 +63,12 @@
 
 func (c clock) now() float64 { return c.unix + float64(time.Since(c.start))/float64(time.Millisecond) }
 
-// poster is how the peers reach the core, which reads until the last of them has ended.
+// poster lets the goroutines of the network side post events to the core, which reads its inbox until the last of them
+// has ended.
 type poster struct {
-	inbox  chan any
-	scarce *warnLimiter
-	now    func() float64
+	inbox    chan any
+	warnings *warnLimiter
+	now      func() float64
 }
 
 func (p *poster) post(e any) { p.inbox <- e }
@@ -79,10 +81,10 @@
 }
 func (p *poster) Closed(c *clients.Conn, at float64) { p.post(ClientClosed{Client: c, At: at}) }
 func (p *poster) Malformed(err error) {
-	p.scarce.Warn(p.now(), "a client's connection is closed", err)
+	p.warnings.Warn(p.now(), "client connection closed", err)
 }
 
-// Serve runs a gateway until the context ends, and then until all that it has taken is answered.
+// Serve runs a gateway until the context ends, and then until all accepted downloads are answered.
 func Serve(ctx context.Context, s Setup, reloads Reloads, log logrus.FieldLogger) error {
 	c := s.Config
 	listener, err := net.Listen("tcp", c.Listen)
@@ -96,9 +98,9 @@
 	}
 	debug.SetMemoryLimit(int64(budget.Heap))
 	buffers, reads := buffer.NewPool(budget.Bodies), buffer.NewPool(budget.Reads)
-	p := &poster{inbox: make(chan any, inboxMost), scarce: &warnLimiter{log: log}, now: clock.now}
-	dialer := &caches.Dialer{Pool: buffers, Reads: reads, Now: clock.now, Connect: time.Duration(c.Connect * float64(time.Millisecond)),
-		Post: func(e caches.Event) { p.post(e) }}
+	p := &poster{inbox: make(chan any, inboxCapacity), warnings: &warnLimiter{log: log}, now: clock.now}
+	dialer := &caches.Dialer{Pool: buffers, Reads: reads, Now: clock.now,
+		Connect: time.Duration(c.Connect * float64(time.Millisecond)), Post: func(e caches.Event) { p.post(e) }}
 	pool := caches.NewPool(caches.Limits{Streams: c.Streams, Idle: c.Idle, Conns: budget.Caches,
 		Reports: c.Reports, Checks: c.Probing, Answer: c.Connect, Names: footprint.Report}, dialer.Dial)
 	core := NewCore(c, pool, log, clock.now())
@@ -106,40 +108,42 @@
 		f.Settings.Longest = min(f.Settings.Longest, c.Advice)
 		core.Share(fair.New(f.Settings, c.Seed, clock.now()), f)
 	}
-	guard, err := newLinkDriver(s.Operator.Links, core, p, clock)
+	driver, err := newLinkDriver(s.Operator.Links, core, p, clock)
 	if err != nil {
 		listener.Close()
 		return err
 	}
-	fleet, err := newCouncil(s.Operator, c, core, p, log)
+	member, err := newQuorumMember(s.Operator, c, core, p, log)
 	if err != nil {
 		listener.Close()
 		return err
 	}
-	server := &clients.Server{Pool: buffers, Reads: reads, Handler: p, Now: clock.now, Most: budget.Clients, Keep: append(s.Operator.Links.Params(), s.Operator.Fair.Params()...)}
-	troubles := &warnLimiter{log: log}
+	server := &clients.Server{Pool: buffers, Reads: reads, Handler: p, Now: clock.now, Most: budget.Clients,
+		Keep: append(s.Operator.Links.Params(), s.Operator.Fair.Params()...)}
+	channelWarnings := &warnLimiter{log: log}
 	follower := &channel.Follower{Address: c.Channel, Cursor: c.Cursor,
 		Tell:    func(n channel.News) { p.post(Told{News: n, At: clock.now()}) },
-		Trouble: func(err error) { troubles.Warn(clock.now(), "command channel", err) }}
+		Trouble: func(err error) { channelWarnings.Warn(clock.now(), "command channel error", err) }}
 
 	var g errgroup.Group
-	following, unfollow := context.WithCancel(context.Background())
-	defer unfollow()
-	g.Go(func() error { follower.Run(following); return nil })
-	reload := &reloader{Reloads: reloads, running: c, follower: follower, log: log, guard: guard, quorum: s.Operator.Quorum, jobs: s.Operator.Jobs, machines: s.Operator.Machines, purges: s.Operator.Purges}
+	serviceCtx, stopServices := context.WithCancel(context.Background())
+	defer stopServices()
+	g.Go(func() error { follower.Run(serviceCtx); return nil })
+	reload := &reloader{Reloads: reloads, running: c, follower: follower, log: log, linkDriver: driver,
+		quorum: s.Operator.Quorum, jobs: s.Operator.Jobs, machines: s.Operator.Machines, purges: s.Operator.Purges}
 	reload.operator.Store(s.Operator)
-	g.Go(func() error { reload.run(following); return nil })
-	g.Go(func() error { return server.Serve(following, listener) })
-	guard.run(following, &g, reload)
-	fleet.run(&g)
+	g.Go(func() error { reload.run(serviceCtx); return nil })
+	g.Go(func() error { return server.Serve(serviceCtx, listener) })
+	driver.run(serviceCtx, &g, reload)
+	member.run(&g)
 	l := &loop{core: core, pool: pool, poster: p, clock: clock, log: log, buffers: buffers, reads: reads, server: server,
-		listener: listener, reload: reload, fleet: fleet, counted: clock.now()}
+		listener: listener, reload: reload, member: member, lastCount: clock.now()}
 	log.WithFields(logrus.Fields{"name": c.Name, "listen": c.Listen, "nodes": len(core.addresses)}).Info("ready")
 	flushed := l.run(ctx)
 	listener.Close()
 	core.End(clock.now())
-	fleet.leave()
-	unfollow()
+	member.leave()
+	stopServices()
 	pool.Close()
 	server.Shut()
 	ended := make(chan error, 1)
@@ -148,47 +152,48 @@
 		dialer.Live.Wait()
 		ended <- err
 	}()
-	cut := time.After(time.Until(flushed)) // a client that reads slowly has until then, however soon the rest was answered
-	for over := false; !over || len(p.inbox) > 0; {
+	flushDeadline := time.After(time.Until(flushed)) // for slow readers, however early everything was answered
+	for finished := false; !finished || len(p.inbox) > 0; {
 		select {
 		case e := <-p.inbox:
 			core.Handle(e)
-		case <-cut:
+		case <-flushDeadline:
 			server.Cut()
 		case err = <-ended:
-			over = true
+			finished = true
 		}
 	}
-	assert.That(buffers.Out() == 0 && reads.Out() == 0, "every buffer comes back")
-	l.count()
+	assert.That(buffers.Out() == 0 && reads.Out() == 0, "all buffers are returned")
+	l.logCounters()
 	return err
 }
 
+// loop is the event loop of a gateway. Its goroutine owns the core and the connection pool.
 type loop struct {
-	core     *Core
-	pool     *caches.Pool
-	poster   *poster
-	clock    clock
-	log      logrus.FieldLogger
-	buffers  *buffer.Pool
-	reads    *buffer.Pool
-	server   *clients.Server
-	listener net.Listener
-	reload   *reloader
-	fleet    *council
-	watched  float64
-	tidied   float64
-	counted  float64
+	core      *Core
+	pool      *caches.Pool
+	poster    *poster
+	clock     clock
+	log       logrus.FieldLogger
+	buffers   *buffer.Pool
+	reads     *buffer.Pool
+	server    *clients.Server
+	listener  net.Listener
+	reload    *reloader
+	member    *quorumMember
+	lastWatch float64
+	lastTidy  float64
+	lastCount float64
 }
 
-// run empties the inbox and rings what is due, until the gateway is to end and owes nothing. It tells until when what was answered
-// may still be on its way out.
+// run handles events and fires timers until a shutdown has been requested and all downloads are answered, or the time
+// for answers is over. It returns by when the answers must be written.
 func (l *loop) run(ctx context.Context) (flushed time.Time) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	stop := ctx.Done()
-	var shut, end <-chan time.Time
-	set := 0.0 // what the timer is set to
+	var stopAccepting, answerDeadline <-chan time.Time
+	timerSetTo := 0.0
 	for {
 		select {
 		case e := <-l.poster.inbox:
@@ -198,78 +203,82 @@
 		}
 		now := l.clock.now()
 		l.core.Ring(now)
-		if now >= l.watched+watchEvery {
-			l.watched = now
+		if now >= l.lastWatch+watchInterval {
+			l.lastWatch = now
 			l.core.Watch(now)
 		}
-		if now >= l.tidied+tidyEvery {
-			l.tidied = now
+		if now >= l.lastTidy+tidyInterval {
+			l.lastTidy = now
 			l.pool.Tidy(now)
-			l.core.Wall(now, float64(time.Now().UnixMicro())/1000)
-			if every := l.reload.operator.Load().Log.Every; now >= l.counted+cmp.Or(every, countEvery) {
-				l.counted = now
+			l.core.SetWallClock(now, float64(time.Now().UnixMicro())/1000)
+			if every := l.reload.operator.Load().Log.Every; now >= l.lastCount+cmp.Or(every, countersInterval) {
+				l.lastCount = now
 				l.buffers.Trim()
 				l.reads.Trim()
-				l.count()
+				l.logCounters()
 			}
 		}
-		if l.core.shuttingDown && shut == nil && l.core.Open() == 0 {
+		if l.core.shuttingDown && stopAccepting == nil && l.core.Open() == 0 {
 			return flushed
 		}
-		due := l.watched + watchEvery
+		due := l.lastWatch + watchInterval
 		if at, ok := l.core.Next(); ok {
 			due = min(due, at)
 		}
-		if due != set {
+		if due != timerSetTo {
 			timer.Reset(time.Duration((due - now) * float64(time.Millisecond)))
-			set = due
+			timerSetTo = due
 		}
 		select {
 		case e := <-l.poster.inbox:
-			// Whoever else has read something posts it first, so that one write takes what goes to one peer. On one
-			// core the peers would else run one by one, with two system calls for each event, most of its cost.
+			// Lets the other goroutines post what they have read, so that a single write sends all that goes to one
+			// peer. On a single CPU they would otherwise run one by one, with two system calls for each event, which
+			// are most of its cost.
 			runtime.Gosched()
 			l.core.Handle(e)
 		case <-timer.C:
-			set = 0
+			timerSetTo = 0
 		case <-stop:
 			l.log.Info("ending")
 			stop = nil
 			l.core.Leave()
-			l.fleet.leave()
+			l.member.leave()
 			answer, flush := AnswerBy(l.core.config)
 			flushed = time.Now().Add(flush)
-			shut, end = time.After(comeFor), time.After(answer)
-		case <-shut:
-			shut = nil
+			stopAccepting, answerDeadline = time.After(acceptPeriod), time.After(answer)
+		case <-stopAccepting:
+			stopAccepting = nil
 			l.listener.Close()
 			l.server.End()
-		case <-end:
+		case <-answerDeadline:
 			return flushed
 		}
 	}
 }
 
-func (l *loop) count() {
+// logCounters writes the counters to the log, and checks that the router's view of the pulls matches the sockets.
+func (l *loop) logCounters() {
 	c, p := l.core.Counters, l.pool
 	text, drifts := l.core.Drift()
-	assert.That(!drifts, "the router's pulls out are those that are open")
+	assert.That(!drifts, "the router counts exactly the pulls that are open")
 	if text != "" {
 		l.log.WithField("nodes", text).Info("beliefs")
 	}
-	if refusals := l.core.Refusals(); refusals != "" {
-		l.log.WithField("by reason", refusals).Info("links")
+	if stats := l.core.LinkStats(); stats != "" {
+		l.log.WithField("by reason", stats).Info("links")
 	}
 	if shares := l.core.Shares(); shares != "" {
 		l.log.WithField("shares", shares).Info("fair door")
 	}
 	l.log.WithFields(logrus.Fields{
-		"blind": l.core.purges.blindCount(), "taken": c.Taken, "forbidden": c.Forbidden, "fulfilled": c.Fulfilled, "kept": c.Kept, "throttled": c.Throttled,
+		"blind": l.core.purges.blindCount(), "taken": c.Taken, "forbidden": c.Forbidden, "fulfilled": c.Fulfilled,
+		"kept": c.Kept, "throttled": c.Throttled,
 		"abandoned": c.Abandoned, "left": c.Left, "refused": c.Refused, "turned": c.Turned, "overdue": c.Overdue,
 		"panics": c.Panics, "pulls": c.Pulls, "probes": c.Probes, "open": l.core.Open(),
-		"conns": p.Conns(), "dialled": p.Dialled, "malformed": p.Malformed, "short": p.Short, "late": p.Late, "mute": p.Mute, "old": p.Old,
+		"conns": p.Conns(), "dialled": p.Dialled, "malformed": p.Malformed, "short": p.Short, "late": p.Late, "mute": p.Mute,
+		"old":     p.Old,
 		"buffers": l.buffers.Out(), "broken": assert.Broken(),
 		"shed":    l.server.Shed.Load(),
-		"reloads": l.reload.done.Load(), "misread": l.reload.misread.Load(), "passed": l.reload.follower.Passed.Load(),
+		"reloads": l.reload.applied.Load(), "misread": l.reload.failed.Load(), "passed": l.reload.follower.Passed.Load(),
 	}).Info("counters")
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -12,20 +12,20 @@
 	agreement "poppymill/internal/quorum/drive"
 )
 
-// Settings are all that an operator's file may say of a gateway. The zero value is a gateway without one.
+// Settings are the contents of the operator's file of a gateway. The zero value is that of no file.
 type Settings struct {
-	Log    operator.Log
-	Links  drive.Block
-	Fair   Fairness
-	Quorum agreement.Block
-	Jobs   owned.Block
-	Fails  failpoint.Block
+	Log        operator.Log
+	Links      drive.Block
+	Fair       Fairness
+	Quorum     agreement.Block
+	Jobs       owned.Block
+	Failpoints failpoint.Block
 
 	Machines machines.Block
 	Purges   purges.Block
 }
 
-// LoadSettings reads an operator's file; no path is no file, and settings that change nothing.
+// LoadSettings reads an operator's file. An empty path returns the zero Settings.
 func LoadSettings(path string) (*Settings, error) {
 	s := &Settings{}
 	if path == "" {
@@ -37,7 +37,7 @@
 	}
 	if err := operator.Parse(text, path, operator.One("log", s.Log.Fields), operator.One("links", s.Links.Fields),
 		operator.One("fair", s.Fair.Fields), operator.One("quorum", s.Quorum.Fields),
-		operator.One("jobs", s.Jobs.Fields), operator.One("failpoints", s.Fails.Fields),
+		operator.One("jobs", s.Jobs.Fields), operator.One("failpoints", s.Failpoints.Fields),
 		operator.One("machines", s.Machines.Fields), operator.One("purges", s.Purges.Fields)); err != nil {
 		return nil, err
 	}
