--- a/internal/gateway/links_test.go
+++ b/internal/gateway/links_test.go
@@ -20,12 +20,13 @@
 
 const linkBase = "https://media.example"
 
-// guarded is a stage whose gateway asks for links.
-func guarded(t *testing.T) (*stage, *keyfile.File, *drive.Block) {
+// newLinkGateway returns a test gateway that requires signed links.
+func newLinkGateway(t *testing.T) (*testGateway, *keyfile.File, *drive.Block) {
 	b := &drive.Block{}
-	b.Fields() // its defaults
+	b.Fields() // sets the defaults
 	dir := t.TempDir()
-	b.Keys, b.Store, b.Settings.Base, b.Settings.Stored = filepath.Join(dir, "keys.hcl"), filepath.Join(dir, "spent.db"), linkBase, true
+	b.Keys, b.Store, b.Settings.Base, b.Settings.Stored =
+		filepath.Join(dir, "keys.hcl"), filepath.Join(dir, "spent.db"), linkBase, true
 	f := &keyfile.File{}
 	for id, state := range map[string]links.State{"now": links.Signing, "next": links.Upcoming} {
 		k, err := keyfile.New(id, "club", "EdDSA", state)
@@ -37,23 +38,25 @@
 	if err := keyfile.Write(b.Keys, f); err != nil {
 		t.Fatal(err)
 	}
-	return newStageWith(t, &Settings{Links: *b}), f, b
+	return newTestGatewayWith(t, &Settings{Links: *b}), f, b
 }
 
-func (s *stage) with(token, typ, object, part string) clients.Response {
+// getWithToken sends a request with a token.
+func (s *testGateway) getWithToken(token, typ, object, part string) clients.Response {
 	s.mu.Lock()
-	s.asked++
-	id := fmt.Sprintf("%016x", s.asked)
+	s.requests++
+	id := fmt.Sprintf("%016x", s.requests)
 	s.mu.Unlock()
-	r, err := clients.Get(context.Background(), s.at, map[string]string{"SCRIPT_NAME": "/invoke/" + typ, "HTTP_X_JOB_ID": id,
-		"HTTP_X_ALLOW_MS": "2400", "HTTP_X_ITEM": object, "HTTP_X_N": part, "HTTP_X_SHARD": "7", "REMOTE_ADDR": "127.0.0.1",
-		"QUERY_STRING": "URISigningPackage=" + token}, map[bool][]byte{true: []byte("x")}[typ == "renewal"])
+	r, err := clients.Get(context.Background(), s.address, map[string]string{"SCRIPT_NAME": "/invoke/" + typ,
+		"HTTP_X_JOB_ID": id, "HTTP_X_ALLOW_MS": "2400", "HTTP_X_ITEM": object, "HTTP_X_N": part, "HTTP_X_SHARD": "7",
+		"REMOTE_ADDR": "127.0.0.1", "QUERY_STRING": "URISigningPackage=" + token}, map[bool][]byte{true: []byte("x")}[typ == "renewal"])
 	if err != nil {
 		s.t.Error(err)
 	}
 	return r
 }
 
+// issue signs a token with the signing key of a key file.
 func issue(t *testing.T, f *keyfile.File, c links.Claims) string {
 	t.Helper()
 	r, err := links.NewRing(f.Keys, nil)
@@ -67,50 +70,52 @@
 	return token
 }
 
-// Through a real gateway: only good links get answers, a refused one reaches no box and learns nothing, what was taken under
-// a good token ends well though the token does not, a renewal runs once whoever asks, and keys change while all goes on.
-func TestLinks(t *testing.T) {
-	s, f, b := guarded(t)
+// Signed links through a gateway on sockets: only valid links get answers; a refused request reaches no edge cache and
+// its client is not told the reason; a client whose token ends soon gets a successor; a write runs once per token,
+// however often it is requested; keys are replaced while downloads continue.
+func TestSignedLinks(t *testing.T) {
+	s, f, b := newLinkGateway(t)
 	const object = "7f3a9c21e0b4d655"
 	now := float64(time.Now().Unix())
-	c := links.Claims{ID: "a", Issued: now, Expires: now + 100, URI: "regex:" + linkBase + "/(video|pages)/" + object + "/[0-9]+"}
+	c := links.Claims{ID: "a", Issued: now, Expires: now + 100,
+		URI: "regex:" + linkBase + "/(video|pages)/" + object + "/[0-9]+"}
 	good := issue(t, f, c)
-	if r := s.with(good, "video", object, "2"); !s.is(r, object) {
-		t.Fatalf("a good link: %d", r.Status)
+	if r := s.getWithToken(good, "video", object, "2"); !s.isCurrent(r, object) {
+		t.Fatalf("valid link: status %d", r.Status)
 	}
-	seen := s.count(s.kinds, "video")
+	before := s.count(s.pullsByType, "video")
 	for name, token := range map[string]string{"none": "", "tampered": good[:len(good)-20] + strings.Repeat("A", 20),
 		"expired": issue(t, f, links.Claims{ID: "b", Issued: now - 100, Expires: now - 50, URI: c.URI})} {
-		if r := s.with(token, "video", object, "2"); r.Status != 403 || len(r.Body) != 0 || len(r.Fields) != 2 {
+		if r := s.getWithToken(token, "video", object, "2"); r.Status != 403 || len(r.Body) != 0 || len(r.Fields) != 2 {
 			t.Errorf("%s: %d, %v, %q", name, r.Status, r.Fields, r.Body)
 		}
 	}
-	if r := s.with(good, "video", "0000000000000001", "2"); r.Status != 403 {
-		t.Errorf("another object: %d", r.Status)
+	if r := s.getWithToken(good, "video", "0000000000000001", "2"); r.Status != 403 {
+		t.Errorf("link for another object: status %d", r.Status)
 	}
-	if n := s.count(s.kinds, "video"); n != seen {
-		t.Errorf("%d refused downloads reached a box", n-seen)
+	if n := s.count(s.pullsByType, "video"); n != before {
+		t.Errorf("%d refused downloads reached an edge cache", n-before)
 	}
 
-	// A token that ends while its download is open.
-	soon := c
-	soon.Expires, soon.Renew, soon.Transport = now+100, 60, 1
-	short := issue(t, f, soon)
-	if r := s.with(short, "pages", object, "2"); r.Status != 200 || r.Fields["Set-Cookie"] != "" {
-		t.Errorf("long to go: %d, %v", r.Status, r.Fields)
-	}
-	soon.Expires = now + 20
-	r := s.with(issue(t, f, soon), "video", object, "2")
+	// A token that ends within its renewal time is answered with a successor; a token with more time left is not.
+	renewable := c
+	renewable.Expires, renewable.Renew, renewable.Transport = now+100, 60, 1
+	later := issue(t, f, renewable)
+	if r := s.getWithToken(later, "pages", object, "2"); r.Status != 200 || r.Fields["Set-Cookie"] != "" {
+		t.Errorf("token that ends later: status %d, %v", r.Status, r.Fields)
+	}
+	renewable.Expires = now + 20
+	r := s.getWithToken(issue(t, f, renewable), "video", object, "2")
 	_, next, _ := strings.Cut(r.Fields["Set-Cookie"], "URISigningPackage=")
 	next, _, _ = strings.Cut(next, ";")
 	if r.Status != 200 || next == "" {
-		t.Fatalf("near its end: %d, %v", r.Status, r.Fields)
+		t.Fatalf("token that ends soon: status %d, %v", r.Status, r.Fields)
 	}
-	if r := s.with(next, "video", object, "3"); r.Status != 200 {
-		t.Errorf("the successor: %d", r.Status)
+	if r := s.getWithToken(next, "video", object, "3"); r.Status != 200 {
+		t.Errorf("successor: status %d", r.Status)
 	}
 
-	// One renewal, asked for by many at once on connections of their own, under the same token.
+	// A write requested by many clients at once, each on its own connection, with the same token.
 	w := links.Claims{ID: "w", Issued: now, Expires: now + 100, Write: true, Critical: links.CriticalWrite,
 		URI: links.Hash(links.URI(linkBase, "renewal", object, 0))}
 	token := issue(t, f, w)
@@ -120,104 +125,114 @@
 	statuses := map[int]int{}
 	for range 8 {
 		group.Go(func() {
-			r := s.with(token, "renewal", object, "0")
+			r := s.getWithToken(token, "renewal", object, "0")
 			mu.Lock()
 			statuses[r.Status]++
 			mu.Unlock()
 		})
 	}
 	group.Wait()
-	if statuses[200] != 1 || statuses[403] != 7 || s.count(s.kinds, "renewal") != 1 {
-		t.Errorf("one renewal asked for by eight: %v, sent %d times", statuses, s.count(s.kinds, "renewal"))
+	if statuses[200] != 1 || statuses[403] != 7 || s.count(s.pullsByType, "renewal") != 1 {
+		t.Errorf("a write requested eight times: statuses %v, sent %d times", statuses, s.count(s.pullsByType, "renewal"))
 	}
 
-	// Keys change while downloads go on, without a word to the gateway; a file that is wrong changes nothing.
+	// The gateway notices a changed key file by itself, while downloads continue.
 	if err := f.Rotate(); err != nil {
 		t.Fatal(err)
 	}
-	byNext := issue(t, f, links.Claims{ID: "n", Issued: now, Expires: now + 100, URI: c.URI})
+	byNextKey := issue(t, f, links.Claims{ID: "n", Issued: now, Expires: now + 100, URI: c.URI})
 	if err := keyfile.Write(b.Keys, f); err != nil {
 		t.Fatal(err)
 	}
-	if a, b := s.with(good, "video", object, "2"), s.with(byNext, "video", object, "2"); a.Status != 200 || b.Status != 200 {
-		t.Errorf("amid a rotation: %d and %d", a.Status, b.Status)
+	if a, b := s.getWithToken(good, "video", object, "2"), s.getWithToken(byNextKey, "video", object, "2"); a.Status != 200 ||
+		b.Status != 200 {
+		t.Errorf("during a rotation: statuses %d and %d", a.Status, b.Status)
 	}
 	f.Set("now", links.Withdrawn)
 	if err := keyfile.Write(b.Keys, f); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "what a withdrawn key signed is refused", func() bool { return s.with(good, "video", object, "2").Status == 403 })
-	if r := s.with(byNext, "video", object, "2"); r.Status != 200 {
-		t.Errorf("by the other key: %d", r.Status)
+	until(t, "a token of the withdrawn key is refused", func() bool {
+		return s.getWithToken(good, "video", object, "2").Status == 403
+	})
+	if r := s.getWithToken(byNextKey, "video", object, "2"); r.Status != 200 {
+		t.Errorf("token of the other key: status %d", r.Status)
 	}
 	s.stop()
 	if err := <-s.ended; err != nil {
 		t.Error(err)
 	}
-	// After its restart the store still knows what was spent.
+	// After a restart the store still knows the spent token.
 	spent := 0
 	store, err := drive.OpenStore(b.Store, now*1000, func(links.Spend) { spent++ })
 	if err != nil || spent != 1 {
-		t.Errorf("%d spent after the end, %v", spent, err)
+		t.Errorf("%d spent tokens after a restart, %v", spent, err)
 	}
 	if store != nil {
 		ctx, stop := context.WithCancel(context.Background())
 		stop()
 		store.Run(ctx, func() float64 { return 0 })
 	}
-	s.shut()
+	s.stopWorld()
 }
 
-// slowStore writes when the test says so.
+// slowStore completes its writes when the test says so.
 type slowStore struct {
-	done []func(error)
-	back int
+	done      []func(error)
+	takenBack int
 }
 
 func (s *slowStore) Write(_ links.Spend, done func(error)) { s.done = append(s.done, done) }
-func (s *slowStore) Back(links.Spend)                      { s.back++ }
+func (s *slowStore) Back(links.Spend)                      { s.takenBack++ }
 
-// A renewal goes out once what it spends is on the disk, and not before; where the disk is slow or fails it is turned away
-// at once or in its time, and may be asked for again.
-func TestHeldForTheStore(t *testing.T) {
+// A write must not be sent before its spent token is on disk, or it could run again after a crash. If the disk is slow
+// or fails, the write is throttled, and the token can be used again.
+func TestSpendWrittenBeforeSending(t *testing.T) {
 	secret := []byte(strings.Repeat("s", 32))
-	ring, err := links.NewRing([]links.Key{{ID: "k", Issuer: "club", Algorithm: "HS256", State: links.Signing, Private: secret, Public: secret}}, nil)
+	ring, err := links.NewRing([]links.Key{{ID: "k", Issuer: "club", Algorithm: "HS256", State: links.Signing,
+		Private: secret, Public: secret}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		name   string
-		then   func(h *harness, s *slowStore, post func(error))
-		status string
-		sent   int
-		back   int
+		name      string
+		act       func(h *harness, s *slowStore, post func(error))
+		status    string
+		sent      int
+		takenBack int
 	}{
 		{"written", func(h *harness, s *slowStore, post func(error)) { post(nil) }, "", 1, 0},
-		{"fails", func(h *harness, s *slowStore, post func(error)) { post(errors.New("disk full")) }, "503", 0, 1},
-		{"too slow", func(h *harness, s *slowStore, post func(error)) { h.now += 501; h.core.Ring(h.now); post(nil) }, "503", 0, 1},
-		{"its client leaves", func(h *harness, s *slowStore, post func(error)) {
+		{"write fails", func(h *harness, s *slowStore, post func(error)) { post(errors.New("disk full")) }, "503", 0, 1},
+		{"write too slow", func(h *harness, s *slowStore, post func(error)) {
+			h.now += 501
+			h.core.Ring(h.now)
+			post(nil)
+		}, "503", 0, 1},
+		{"client leaves", func(h *harness, s *slowStore, post func(error)) {
 			h.core.Handle(ClientClosed{Client: h.clients[0], At: h.now})
 			post(nil)
 		}, "", 0, 1},
 	} {
 		h, store := newHarness(t), &slowStore{}
-		set := links.Defaults()
-		set.Base, set.Stored = linkBase, true
-		block := drive.Block{On: true, From: "header", Name: "X-Link", Settings: set}
+		settings := links.Defaults()
+		settings.Base, settings.Stored = linkBase, true
+		block := drive.Block{On: true, From: "header", Name: "X-Link", Settings: settings}
 		var events []any
-		h.core.Guard(links.New(set, ring, secret, h.now), block, store, func(e any) { events = append(events, e) }, func() float64 { return h.now })
+		h.core.Guard(links.New(settings, ring, secret, h.now), block, store, func(e any) { events = append(events, e) },
+			func() float64 { return h.now })
 		const object = "00000000000000bb"
-		token, _ := ring.Sign(links.Claims{ID: "w", Issued: h.now / 1000, Expires: h.now/1000 + 100, Write: true, Critical: links.CriticalWrite,
-			URI: links.Hash(links.URI(linkBase, "renewal", object, 0))})
-		ask := func(id string, number uint16) {
-			h.core.Handle(Asked{Client: h.clients[0], ID: number, At: h.now, Params: map[string]string{"SCRIPT_NAME": "/invoke/renewal",
-				"HTTP_X_JOB_ID": id, "HTTP_X_ALLOW_MS": "2000", "HTTP_X_ITEM": object, "HTTP_X_N": "0", "HTTP_X_SHARD": "7", "HTTP_X_LINK": token}})
+		token, _ := ring.Sign(links.Claims{ID: "w", Issued: h.now / 1000, Expires: h.now/1000 + 100, Write: true,
+			Critical: links.CriticalWrite, URI: links.Hash(links.URI(linkBase, "renewal", object, 0))})
+		request := func(id string, number uint16) {
+			h.core.Handle(Asked{Client: h.clients[0], ID: number, At: h.now, Params: map[string]string{
+				"SCRIPT_NAME": "/invoke/renewal", "HTTP_X_JOB_ID": id, "HTTP_X_ALLOW_MS": "2000", "HTTP_X_ITEM": object,
+				"HTTP_X_N": "0", "HTTP_X_SHARD": "7", "HTTP_X_LINK": token}})
 		}
-		ask("00000000000000aa", 1)
+		request("00000000000000aa", 1)
 		if len(h.wires) != 0 || len(store.done) != 1 {
-			t.Errorf("%s: sent before it is written", c.name)
+			t.Errorf("%s: sent before its token is written", c.name)
 		}
-		c.then(h, store, func(err error) {
+		c.act(h, store, func(err error) {
 			store.done[0](err)
 			for _, e := range events {
 				h.core.Handle(e)
@@ -227,15 +242,15 @@
 		for _, a := range h.clients[0].answers[1] {
 			got += fmt.Sprint(a.Status)
 		}
-		if got != c.status || len(h.wires) != c.sent || store.back != c.back {
-			t.Errorf("%s: told %q, %d sent, %d taken back", c.name, got, len(h.wires), store.back)
+		if got != c.status || len(h.wires) != c.sent || store.takenBack != c.takenBack {
+			t.Errorf("%s: statuses %q, %d sent, %d taken back", c.name, got, len(h.wires), store.takenBack)
 		}
-		if ask("00000000000000ac", 2); (len(store.done) == 2) != (c.sent == 0) {
-			t.Errorf("%s: asked for again, %d written", c.name, len(store.done))
+		if request("00000000000000ac", 2); (len(store.done) == 2) != (c.sent == 0) {
+			t.Errorf("%s: second request: %d writes", c.name, len(store.done))
 		}
 		h.core.End(h.now)
 		if h.core.Open() != 0 || len(h.core.downloads) != 0 {
-			t.Errorf("%s: %d owed, %d left over", c.name, h.core.Open(), len(h.core.downloads))
+			t.Errorf("%s: %d unanswered, %d left over", c.name, h.core.Open(), len(h.core.downloads))
 		}
 	}
 }
--- a/internal/gateway/serve_test.go
+++ b/internal/gateway/serve_test.go
@@ -20,7 +20,7 @@
 	"poppymill/internal/rehearsal/world"
 )
 
-// deployment is what the gateway of these tests stands before: two edge caches, a hub, the core.
+// deployment is emulated behind the gateway of these tests: two edge caches, a hub and the core.
 const deployment = `
 about = "for tests of one gateway"
 deployment {
@@ -59,27 +59,28 @@
 }
 `
 
-// stage is a whole gateway over loopback, in this process, against the emulator.
-type stage struct {
-	t     *testing.T
-	world *sockets.Stage
-	mu    sync.Mutex
-	seen  map[string]int // commands by box
-	kinds map[string]int // and by content type
-	at    string
-	stop  context.CancelFunc
-	hup   chan os.Signal
-	load  func() (*footprint.Config, error) // called by the gateway as it reloads
-	ended chan error
-	shut  func()
-	asked int
+// testGateway is a complete gateway over loopback, in this process, with emulated caches behind it.
+type testGateway struct {
+	t           *testing.T
+	world       *sockets.Stage
+	mu          sync.Mutex
+	pullsByBox  map[string]int
+	pullsByType map[string]int
+	address     string
+	stop        context.CancelFunc
+	hup         chan os.Signal
+	load        func() (*footprint.Config, error) // called by the gateway on a reload
+	ended       chan error
+	stopWorld   func()
+	requests    int // sent so far
 }
 
-func newStage(t *testing.T) *stage { return newStageWith(t, &Settings{}) }
+func newTestGateway(t *testing.T) *testGateway { return newTestGatewayWith(t, &Settings{}) }
 
-// newStageWith has the gateway go by an operator's settings too.
-func newStageWith(t *testing.T, settings *Settings) *stage {
-	s := &stage{t: t, seen: map[string]int{}, kinds: map[string]int{}, ended: make(chan error, 1), hup: make(chan os.Signal, 1)}
+// newTestGatewayWith starts a gateway with the operator's settings and waits until it is ready.
+func newTestGatewayWith(t *testing.T, settings *Settings) *testGateway {
+	s := &testGateway{t: t, pullsByBox: map[string]int{}, pullsByType: map[string]int{}, ended: make(chan error, 1),
+		hup: make(chan os.Signal, 1)}
 	must := func(err error) {
 		if t.Helper(); err != nil {
 			t.Fatal(err)
@@ -90,20 +91,20 @@
 	s.world, err = sockets.New(script, sockets.Options{Facts: func(f world.Fact) {
 		if f, ok := f.(world.Pulled); ok {
 			s.mu.Lock()
-			s.seen[f.Box]++
-			s.kinds[f.Type]++
+			s.pullsByBox[f.Box]++
+			s.pullsByType[f.Type]++
 			s.mu.Unlock()
 		}
 	}})
 	must(err)
-	ran := make(chan error, 1)
-	running, shut := context.WithCancel(context.Background())
-	go func() { ran <- s.world.Run(running) }()
-	s.shut = func() {
-		shut()
-		<-ran
+	worldEnded := make(chan error, 1)
+	worldCtx, stopWorld := context.WithCancel(context.Background())
+	go func() { worldEnded <- s.world.Run(worldCtx) }()
+	s.stopWorld = func() {
+		stopWorld()
+		<-worldEnded
 	}
-	s.at = s.world.Gateways()[0]
+	s.address = s.world.Gateways()[0]
 	s.load = func() (*footprint.Config, error) {
 		text, err := s.world.Configuration(0)
 		if err != nil {
@@ -122,157 +123,164 @@
 		}}, discardLogger())
 	}()
 	for i := 0; ; i++ {
-		if r, err := clients.Get(ctx, s.at, map[string]string{"SCRIPT_NAME": healthPath}, nil); err == nil && r.Status == 200 {
+		if r, err := clients.Get(ctx, s.address, map[string]string{"SCRIPT_NAME": healthPath}, nil); err == nil &&
+			r.Status == 200 {
 			return s
 		} else if i == 1000 {
-			t.Fatalf("never ready: %v", err)
+			t.Fatalf("the gateway does not become ready: %v", err)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-func (s *stage) count(of map[string]int, name string) int {
+// count reads one of the maps of pulls.
+func (s *testGateway) count(pulls map[string]int, name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return of[name]
+	return pulls[name]
 }
 
-func (s *stage) get(typ, object, body, mine string) (clients.Response, string) {
-	s.asked++
-	id := fmt.Sprintf("%016x", s.asked)
+// get sends a request and returns the response and the request's id. ownCopy is the checksum of the client's copy.
+func (s *testGateway) get(typ, object, body, ownCopy string) (clients.Response, string) {
+	s.requests++
+	id := fmt.Sprintf("%016x", s.requests)
 	params := map[string]string{"SCRIPT_NAME": "/invoke/" + typ, "HTTP_X_JOB_ID": id, "HTTP_X_ALLOW_MS": "2400",
 		"HTTP_X_ITEM": object, "HTTP_X_N": "2", "HTTP_X_SHARD": "7"}
 	if typ == "renewal" {
 		params["HTTP_X_N"] = "0"
 	}
-	if mine != "" {
-		params["HTTP_X_MINE"] = mine
+	if ownCopy != "" {
+		params["HTTP_X_MINE"] = ownCopy
 	}
-	r, err := clients.Get(context.Background(), s.at, params, []byte(body))
+	r, err := clients.Get(context.Background(), s.address, params, []byte(body))
 	if err != nil {
 		s.t.Errorf("%s %s: %v", typ, object, err)
 	}
 	return r, id
 }
 
-// is tells whether an answer is the object's part as the core gives it out now.
-func (s *stage) is(r clients.Response, object string) bool {
+// isCurrent reports whether a response is the object's part in the version that the core has now.
+func (s *testGateway) isCurrent(r clients.Response, object string) bool {
 	words := strings.Fields(string(r.Body[:min(len(r.Body), 100)]))
 	return r.Status == 200 && len(words) > 3 && words[0] == object && words[1] == "2" && words[2] == s.tag(object)
 }
 
-func (s *stage) tag(object string) (tag string) {
+// tag returns the checksum of the object's current version.
+func (s *testGateway) tag(object string) (tag string) {
 	s.world.Do(func(w *world.World) { tag = w.Tag(object, 2) })
 	return tag
 }
 
-// until waits for what other goroutines bring about, however slow the machine is.
-func until(t *testing.T, what string, holds func() bool) {
+// until waits for a condition that other goroutines bring about; the limit allows for a slow machine.
+func until(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for i := 0; !holds(); i++ {
+	for i := 0; !condition(); i++ {
 		if i == 600 {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting: %s", description)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
+// A gateway on sockets: fills, hits, purges, writes, broken connections, drains and the shutdown, without leaks.
 func TestServe(t *testing.T) {
-	before := runtime.NumGoroutine()
+	goroutines := runtime.NumGoroutine()
 	files := descriptors()
-	s := newStage(t)
-	edges := func() int { return s.count(s.seen, "edge-1") + s.count(s.seen, "edge-2") }
+	s := newTestGateway(t)
+	edgePulls := func() int { return s.count(s.pullsByBox, "edge-1") + s.count(s.pullsByBox, "edge-2") }
 	const object = "7f3a9c21e0b4d655"
-	for i, name := range []string{"filled by the origin", "filled by the parent, kept", "held at the edge"} {
-		if r, _ := s.get("video", object, "", ""); !s.is(r, object) {
+	for i, name := range []string{"filled by the origin", "filled by the parent, copy kept", "hit at the edge cache"} {
+		if r, _ := s.get("video", object, "", ""); !s.isCurrent(r, object) {
 			t.Errorf("%s: status %d, %.80q", name, r.Status, r.Body)
 		}
-		if edges() != i+1 {
-			t.Errorf("%s: %d commands in all", name, edges())
+		if edgePulls() != i+1 {
+			t.Errorf("%s: %d pulls so far", name, edgePulls())
 		}
 	}
 	if r, _ := s.get("video", object, "", s.tag(object)); r.Status != 200 || r.Fields["X-Still"] != "1" || len(r.Body) != 0 {
-		t.Errorf("the client's copy is the one: %+v", r)
+		t.Errorf("the client's copy is current: %+v", r)
 	}
 	s.world.Do(func(w *world.World) { w.Purge(object) })
-	until(t, "a purge is heeded", func() bool {
+	until(t, "the purge is applied", func() bool {
 		r, _ := s.get("video", object, "", "")
-		return s.is(r, object)
+		return s.isCurrent(r, object)
 	})
-	ran := func(id string) (n int) {
+	timesRun := func(id string) (n int) {
 		s.world.Do(func(w *world.World) { n = w.Ran(id) })
 		return n
 	}
-	if r, id := s.get("renewal", object, "one write", ""); r.Status != 200 || !strings.Contains(string(r.Body), id) || ran(id) != 1 {
-		t.Errorf("a write: %+v, ran %d times", r, ran(id))
+	if r, id := s.get("renewal", object, "one write", ""); r.Status != 200 || !strings.Contains(string(r.Body), id) ||
+		timesRun(id) != 1 {
+		t.Errorf("write: %+v, ran %d times", r, timesRun(id))
 	}
 
-	// A write whose connection breaks may have run: it is abandoned, never sent again and never throttled.
+	// A write whose connection breaks may have run, so it is abandoned, neither sent again nor throttled.
 	s.world.Do(func(w *world.World) { w.Happen(script.Event{Do: "cut", On: "edge", Share: 1, Count: 2, For: 300}) })
-	sent := edges()
-	if r, id := s.get("renewal", object, "one write", ""); r.Status != 500 || edges() != sent+1 || ran(id) != 1 {
-		t.Errorf("a write that breaks: status %d, sent %d times, ran %d times", r.Status, edges()-sent, ran(id))
+	sent := edgePulls()
+	if r, id := s.get("renewal", object, "one write", ""); r.Status != 500 || edgePulls() != sent+1 || timesRun(id) != 1 {
+		t.Errorf("write on a broken connection: status %d, sent %d times, ran %d times",
+			r.Status, edgePulls()-sent, timesRun(id))
 	}
-	until(t, "boxes answer whole again", func() bool {
+	until(t, "edge caches answer completely again", func() bool {
 		r, _ := s.get("video", object, "", "")
-		return s.is(r, object)
+		return s.isCurrent(r, object)
 	})
 
-	// Everything breaks off at once; the channel and the nodes are met again.
+	// All connections break at once; the gateway connects to the channel and the nodes again.
 	s.world.Hang()
 	for _, name := range []string{"edge-1", "edge-2"} {
 		other := map[string]string{"edge-1": "edge-2", "edge-2": "edge-1"}[name]
 		s.world.Do(func(w *world.World) { w.SetState(name, "draining") })
-		until(t, name+" is left alone", func() bool {
-			had := s.count(s.seen, name)
+		until(t, name+" gets no more pulls", func() bool {
+			before := s.count(s.pullsByBox, name)
 			for i := range 8 {
 				if r, _ := s.get("video", fmt.Sprintf("%015x%x", len(name), i), "", ""); r.Status != 200 {
 					t.Errorf("while %s drains: status %d", name, r.Status)
 				}
 			}
-			return s.count(s.seen, name) == had && s.count(s.seen, other) > 0
+			return s.count(s.pullsByBox, name) == before && s.count(s.pullsByBox, other) > 0
 		})
 		s.world.Do(func(w *world.World) { w.SetState(name, "ready") })
 	}
 
-	// Told to end with downloads open, a gateway answers them, takes what still comes, and ends.
+	// During a shutdown the gateway answers open downloads and new requests, then ends.
 	got := make(chan clients.Response, 1)
 	go func() {
 		r, _ := s.get("pages", "00000000000000ee", "", "")
 		got <- r
 	}()
-	until(t, "a download is open", func() bool { return s.count(s.kinds, "pages") > 0 })
+	until(t, "a download is open", func() bool { return s.count(s.pullsByType, "pages") > 0 })
 	s.stop()
-	if r, err := clients.Get(context.Background(), s.at, map[string]string{"SCRIPT_NAME": "/invoke/video",
+	if r, err := clients.Get(context.Background(), s.address, map[string]string{"SCRIPT_NAME": "/invoke/video",
 		"HTTP_X_JOB_ID": "ffffffffffffffff", "HTTP_X_ALLOW_MS": "2400", "HTTP_X_ITEM": object, "HTTP_X_N": "2",
 		"HTTP_X_SHARD": "7"}, nil); err != nil || r.Status != 200 {
-		t.Errorf("while ending: %+v, %v", r.Status, err)
+		t.Errorf("request during the shutdown: status %+v, %v", r.Status, err)
 	}
 	if r := <-got; r.Status != 200 {
-		t.Errorf("what was open at the end: status %d", r.Status)
+		t.Errorf("download open at the shutdown: status %d", r.Status)
 	}
 	if err := <-s.ended; err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Serve returned %v", err)
 	}
-	s.shut()
-	until(t, "no goroutine is left over", func() bool { return runtime.NumGoroutine() <= before })
+	s.stopWorld()
+	until(t, "no goroutine is left over", func() bool { return runtime.NumGoroutine() <= goroutines })
 	until(t, "no descriptor is left over", func() bool { return descriptors() <= files })
 	if n := assert.Broken(); n != 0 {
-		t.Errorf("%d asserts broken", n)
+		t.Errorf("%d assertions failed", n)
 	}
 }
 
-// descriptors counts this process's, where the system tells.
+// descriptors returns the number of open file descriptors of this process, or 0 without /proc.
 func descriptors() int {
 	all, _ := os.ReadDir("/proc/self/fd")
 	return len(all)
 }
 
-// One that talks nonsense loses its own connection, and nobody else theirs.
-func TestNonsense(t *testing.T) {
-	s := newStage(t)
+// Malformed input must close only the connection that it came on, and a malformed request is answered with 400.
+func TestMalformedInput(t *testing.T) {
+	s := newTestGateway(t)
 	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", "\x01\x01\x00\x01\x00\x03\x00\x00abc"} {
-		c, err := net.Dial("tcp", s.at)
+		c, err := net.Dial("tcp", s.address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -283,22 +291,22 @@
 		c.Close()
 	}
 	if r, _ := s.get("video", "7f3a9c21e0b4d655", "", ""); r.Status != 200 {
-		t.Errorf("another's download: status %d", r.Status)
+		t.Errorf("download on another connection: status %d", r.Status)
 	}
 	if r, _ := s.get("video", "short", "", ""); r.Status != 400 {
-		t.Errorf("an object that can't be read: status %d", r.Status)
+		t.Errorf("malformed object: status %d", r.Status)
 	}
 	s.stop()
 	if err := <-s.ended; err != nil {
 		t.Error(err)
 	}
-	s.shut()
+	s.stopWorld()
 }
 
-// A new configuration moves the command channel at once and touches no download; one that can't be read changes
-// nothing, and the next one is taken up all the same.
+// A reload moves the command channel at once and affects no download. A configuration that cannot be parsed changes
+// nothing, and a later valid one is still applied.
 func TestReload(t *testing.T) {
-	s := newStage(t)
+	s := newTestGateway(t)
 	const object = "7f3a9c21e0b4d655"
 	s.get("video", object, "", "")
 	got := make(chan clients.Response, 1)
@@ -306,7 +314,7 @@
 		r, _ := s.get("pages", "00000000000000ee", "", "")
 		got <- r
 	}()
-	until(t, "a download is open", func() bool { return s.count(s.kinds, "pages") == 1 })
+	until(t, "a download is open", func() bool { return s.count(s.pullsByType, "pages") == 1 })
 	good, loads := s.load, make(chan bool, 9)
 	s.load = func() (*footprint.Config, error) {
 		loads <- true
@@ -320,16 +328,16 @@
 	s.load = good
 	s.world.Do(func(w *world.World) { w.Purge(object) })
 	s.hup <- syscall.SIGHUP
-	until(t, "a purge told at the new place is heeded", func() bool {
+	until(t, "a purge sent by the new channel is applied", func() bool {
 		r, _ := s.get("video", object, "", "")
-		return s.is(r, object)
+		return s.isCurrent(r, object)
 	})
 	if r := <-got; r.Status != 200 {
-		t.Errorf("what was open: status %d", r.Status)
+		t.Errorf("download open during the reload: status %d", r.Status)
 	}
 	s.stop()
 	if err := <-s.ended; err != nil {
 		t.Error(err)
 	}
-	s.shut()
+	s.stopWorld()
 }
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// The example that is handed out can be used, and a file that can't be leaves nothing half taken.
+// The deployed example must load, and a file that does not load must return an error and no settings.
 func TestLoadSettings(t *testing.T) {
 	if s, err := LoadSettings(""); err != nil || s.Links.On || s.Log.Level != "" {
 		t.Errorf("no file: %+v, %v", s, err)
 	}
 	if s, err := LoadSettings("../../deploy/poppymill.hcl"); err != nil || s == nil {
-		t.Errorf("the example: %v", err)
+		t.Errorf("example file: %v", err)
 	}
 	path := filepath.Join(t.TempDir(), "x.hcl")
 	for text, want := range map[string]string{"log {\n level = \"loud\"\n}": "x.hcl:2: log.level: \"loud\"",
@@ -29,6 +29,6 @@
 		t.Errorf("%+v, %v", s, err)
 	}
 	if _, err := LoadSettings(path + "x"); err == nil {
-		t.Error("no such file: no error")
+		t.Error("missing file: no error")
 	}
 }
