--- a/internal/bite/crossings.go
+++ b/internal/bite/crossings.go
@@ -24,9 +24,9 @@
 	{"pulls go on to one that is silent", "internal/caches/pool.go", "return now-max(oldestSent, c.lastReply) <= cmp.Or(p.meanAnswer, p.limits.Answer)", "return now-max(oldestSent, c.lastReply) <= 1e9*cmp.Or(p.meanAnswer, p.limits.Answer)", wires, "TestPrefersConnected"},
 	{"a key does not go on", "internal/gateway/core.go", "if d.idempotencyKey != \"\" {", "if false {", front, "TestPullFields"},
 	{"what never went out is told that it failed", "internal/gateway/core.go", "!d.answered && len(d.pulls) == 0 {", "!d.answered && len(d.pulls) < 0 {", front, "TestCompetingEnds"},
-	{"short expiries are all flush", "internal/gateway/serve.go", "min(flushBy, wait/4)", "min(flushBy, wait)", front, "TestAnswerBy"},
+	{"short expiries are all flush", "internal/gateway/serve.go", "min(flushPeriod, wait/4)", "min(flushPeriod, wait)", front, "TestAnswerBy"},
 	{"gateways that are not told count as one", "router/router.go", "cmp.Or(r.settings.numAt(\"gateways by zone\", zoneIndex), r.settings.num(\"gateways\"))", "r.settings.numAt(\"gateways by zone\", zoneIndex)", policy, "TestZoneGatewayCount"},
 	{"lists of another length are taken", "internal/footprint/config.go", "if l.count != 0 && l.count != len(c.Types) {", "if l.count < 0 {", "./internal/footprint", "TestParse"},
 	{"connections to the process before are used", "internal/caches/pool.go", "if n.address != address || n.startedAt != startedAt {", "if false {", front, "TestNodeListOrder"},
-	{"what waits goes to a cache that drains", "internal/gateway/news.go", "\tg.withdraw(func(p *pull) bool { return p.node == id || p.source == id })\n", "", front, "TestNodeListOrder"},
+	{"what waits goes to a cache that drains", "internal/gateway/channel_events.go", "\tg.withdrawPulls(func(p *pull) bool { return p.node == id || p.source == id })\n", "", front, "TestNodeListOrder"},
 }
