--- a/internal/maintenance/drive/block.go
+++ b/internal/maintenance/drive/config.go
@@ -8,13 +8,14 @@
 	"poppymill/internal/operator"
 )
 
-// Block is what an operator says of machines; off unless it stands in the file. It needs the blocks quorum and jobs.
+// Block holds the settings of the block machines. It is off unless the operator's file has the block, which requires the blocks quorum
+// and jobs.
 type Block struct {
 	On        bool
 	Inventory maintenance.Inventory
 }
 
-// Fields are those of the block machines.
+// Fields returns the fields of the block machines, after setting their defaults.
 func (b *Block) Fields() []operator.Field {
 	b.On = true
 	b.Inventory = maintenance.Inventory{Version: 1, Limits: maintenance.Limits{Most: 1, Begin: 60_000, Drain: 30_000, Warm: 60_000, Overdue: 2, Grace: 1000, WarmShare: 0.8}}
@@ -32,19 +33,19 @@
 		operator.Attr("silent", operator.OneOf(&silent, "back", "out")),
 		operator.Block("machine", []string{"name"}, func(labels []string, _ int) ([]operator.Field, error) {
 			b.Inventory.Machines = append(b.Inventory.Machines, maintenance.Machine{Name: labels[0]})
-			m := &b.Inventory.Machines[len(b.Inventory.Machines)-1] // read before the next one moves them
+			m := &b.Inventory.Machines[len(b.Inventory.Machines)-1] // its fields are read before the next append may move the slice
 			return []operator.Field{operator.Must("club", operator.Text(&m.Club)), operator.Attr("zone", operator.Text(&m.Zone)),
 				operator.Attr("gateways", operator.Texts(&m.Gateways)), operator.Attr("boxes", operator.Texts(&m.Boxes)), operator.Attr("hubs", operator.Texts(&m.Hubs)),
 				operator.Attr("carries", operator.Number(&m.Carries, 0, 1e12))}, nil
 		}),
 		operator.Check(func() error {
 			if len(b.Inventory.Machines) == 0 {
-				return errors.New("machine: none is named")
+				return errors.New("machine: at least one is required")
 			}
 			if silent == "out" {
-				l.Silent = maintenance.GoOut
+				l.MissingAck = maintenance.ProceedWithoutAck
 			}
-			return b.Inventory.Check()
+			return b.Inventory.Validate()
 		}),
 	}
 }
--- /dev/null
+++ b/internal/maintenance/drive/coordinator.go
@@ -0,0 +1,339 @@
+// Package drive connects package maintenance to a gateway: its state machine to the replicated log, draining of machines to the
+// gateway's core, and grants to the gateway that owns the schedule. It makes no decisions of its own.
+package drive
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"poppymill/internal/canon"
+	"poppymill/internal/failpoint"
+	"poppymill/internal/maintenance"
+	"poppymill/internal/owner"
+	owned "poppymill/internal/owner/drive"
+	"poppymill/internal/quorum"
+	agreement "poppymill/internal/quorum/drive"
+)
+
+// Book is the name of the state machine in the log. Schedule is the name of the job whose owner grants machines.
+const (
+	Book     = "machines"
+	Schedule = "machines"
+)
+
+// Intervals, in ms: between checks of a gateway's duties, and between the leader's Tick commands.
+const (
+	checkEvery = 100.0
+	tickEvery  = 500.0
+)
+
+// Core is the gateway's core, which runs in its own loop. Leave makes it send no new requests to the nodes; done is called once, with
+// the same number, when no request to them is in flight any more.
+type Core interface {
+	Leave(nodes []string, number int, done func(number int))
+}
+
+// Nodes is the event that reports the edge caches and hubs present in this gateway's node list. All others are lost or drained.
+type Nodes struct{ There map[string]bool }
+
+// drainedNodes is the event by which the core reports that no request is in flight to the nodes of that call of Leave.
+type drainedNodes struct{ number int }
+
+// Yard is one gateway's part in maintenance windows. It runs in the loop of the quorum's driver.
+type Yard struct {
+	block         Block
+	state         *maintenance.Book
+	crew          *owned.Crew
+	core          Core
+	council       *agreement.Council
+	log           logrus.FieldLogger
+	status        agreement.Followed // this gateway's standing in the quorum, as of the last event
+	now           float64            // ms, by the loop's clock, as are the next three
+	nextCheck     float64
+	lastTick      float64
+	nextPlan      float64            // earliest time of the next plan, so that planning a large fleet does not block the loop
+	inFlight      map[string]float64 // commands proposed or just rejected, with the time from which each may be proposed again
+	leftNodes     []string           // nodes that the core was last told to leave
+	leaveNumber   int                // number of calls of Core.Leave
+	drainedNumber int                // the highest number that the core reported as drained
+	listed        map[string]bool    // nodes in this gateway's node list; nil: no list yet
+	load          maintenance.Load   // this gateway's last measurement
+	peakMeter     maintenance.PeakMeter
+	loggedStages  map[string]string // by machine: the stage and token that were logged last
+	unixMillis    func() float64
+	changed       bool // an event since the last check may require action
+}
+
+// stateMachine adapts maintenance.Book to the log's commands.
+type stateMachine struct{ *maintenance.Book }
+
+// Apply applies a committed command.
+func (s stateMachine) Apply(index uint64, c quorum.Command) any {
+	return s.Book.Apply(index, c.Kind, c.Data)
+}
+
+// Member applies a change of the fleet's membership.
+func (s stateMachine) Member(_ uint64, m quorum.Member) {
+	s.Book.SetGateway(m.Name, m.Incarnation, m.Standing == quorum.Joined)
+}
+
+// Leap raises the token counter above every token that can have been issued, after log entries may have been lost.
+func (s stateMachine) Leap() { s.Book.LastToken += 1 << 32 }
+
+// Books returns an empty state machine under its name in the log, to read a gateway's store with.
+func Books() map[string]quorum.Book {
+	return map[string]quorum.Book{Book: stateMachine{maintenance.New()}}
+}
+
+// Open creates a gateway's part. Without the block it only follows the log, and still drains machines that are about to leave.
+func Open(b Block, crew *owned.Crew, core Core, log logrus.FieldLogger) *Yard {
+	return &Yard{block: b, state: maintenance.New(), crew: crew, core: core, log: log, inFlight: map[string]float64{},
+		loggedStages: map[string]string{}, unixMillis: func() float64 { return float64(time.Now().UnixMilli()) }}
+}
+
+// Books returns its state machine under its name in the log.
+func (y *Yard) Books() map[string]quorum.Book {
+	return map[string]quorum.Book{Book: stateMachine{y.state}}
+}
+
+// Begin sets the council that commands are proposed to.
+func (y *Yard) Begin(c *agreement.Council) { y.council = c }
+
+// Next returns the time of the next check.
+func (y *Yard) Next() float64 {
+	if len(y.state.Works) == 0 && (!y.block.On || y.status.Incarnation == 0) {
+		return math.Inf(1)
+	}
+	return y.nextCheck
+}
+
+// Idle reports that there is no outstanding work to wait for.
+func (y *Yard) Idle() bool { return true }
+
+// Close has nothing to release.
+func (y *Yard) Close() error { return nil }
+
+// Handle processes an event of the council or of the core.
+func (y *Yard) Handle(now float64, e any) {
+	y.now = now
+	switch e := e.(type) {
+	case agreement.Followed:
+		y.status = e
+		y.logStages()
+		y.changed = true
+	case maintenance.Load:
+		y.load = e
+		if y.status.Incarnation != 0 && y.block.On {
+			if o := y.peakMeter.Observe(y.unixMillis(), e, y.state, y.status.Name); o != nil {
+				y.propose(maintenance.ReportPeak, "", o)
+			}
+		}
+	case Nodes:
+		y.listed, y.changed = e.There, true
+	case drainedNodes:
+		if e.number > y.drainedNumber {
+			y.drainedNumber, y.changed = e.number, true
+		}
+	}
+	if y.changed || now >= y.nextCheck {
+		y.changed, y.nextCheck = false, now+checkEvery
+		y.leaveNodes() // at once, even while this gateway may not propose commands
+		if y.status.Incarnation != 0 {
+			y.runDuties()
+		}
+	}
+}
+
+// runDuties performs what this gateway has to do in its current roles.
+func (y *Yard) runDuties() {
+	y.acknowledge()
+	if y.status.Leads && y.block.On {
+		y.runLeaderDuties()
+	}
+	if token, owns := y.crew.Owns(Schedule); owns && y.block.On {
+		y.grantPlanned(token)
+	}
+}
+
+// propose proposes a command, unless the same one was proposed less than a second ago and is still undecided, or was just rejected.
+func (y *Yard) propose(kind, key string, content any) {
+	key = kind + " " + key
+	if y.now < y.inFlight[key] {
+		return
+	}
+	y.inFlight[key] = y.now + 1000
+	y.council.Propose(quorum.Command{Book: Book, Kind: kind, Data: canon.Encode(content)}, func(o quorum.Outcome) {
+		delete(y.inFlight, key)
+		if o.Err != nil && !errors.Is(o.Err, quorum.ErrGivenUp) && !errors.Is(o.Err, quorum.ErrBusy) {
+			y.inFlight[key] = y.now + checkEvery // rejected when applied: the next check decides whether to propose it again
+		}
+	})
+	if len(y.inFlight) > 4096 {
+		maps.DeleteFunc(y.inFlight, func(_ string, until float64) bool { return y.now >= until })
+	}
+}
+
+// leaveNodes makes the core send no new requests to machines that are draining or out.
+func (y *Yard) leaveNodes() {
+	var nodes []string
+	for _, name := range slices.Sorted(maps.Keys(y.state.Works)) {
+		if w, m := y.state.Works[name], y.state.Machine(name); m != nil && (w.Stage == maintenance.Draining || w.Stage == maintenance.Out || w.Stage == maintenance.Overdue) {
+			nodes = append(append(nodes, m.Boxes...), m.Hubs...)
+		}
+	}
+	if !slices.Equal(nodes, y.leftNodes) {
+		y.leftNodes = nodes
+		y.leaveNumber++
+		y.core.Leave(nodes, y.leaveNumber, func(number int) { y.council.Post(drainedNodes{number}) })
+	}
+}
+
+// acknowledge proposes that this gateway has drained a draining machine, and that it finds a returned machine warm.
+func (y *Yard) acknowledge() {
+	for _, name := range slices.Sorted(maps.Keys(y.state.Works)) {
+		w, m := y.state.Works[name], y.state.Machine(name)
+		if m != nil && w.Stage == maintenance.Warming && !w.Warm[y.status.Name] && y.state.IsWarm(m, y.load) {
+			y.propose(maintenance.ReportWarm, name, maintenance.Order{At: y.unixMillis(), Machine: name, Token: w.Token, From: y.status.Name})
+		}
+		if y.drainedNumber == y.leaveNumber && m != nil && w.Stage == maintenance.Draining && !w.Acks[y.status.Name] && !slices.Contains(m.Gateways, y.status.Name) {
+			y.propose(maintenance.Ack, name, maintenance.Order{At: y.unixMillis(), Machine: name, Token: w.Token, From: y.status.Name})
+		}
+	}
+}
+
+// runLeaderDuties proposes what only the leader proposes: the inventory, the voters, lost nodes, ticks and the job that owns the schedule.
+func (y *Yard) runLeaderDuties() {
+	if y.block.Inventory.Version > y.state.Inventory.Version {
+		y.propose(maintenance.Have, "", y.block.Inventory)
+	}
+	if !y.crew.Has(Schedule) {
+		y.council.Propose(quorum.Command{Book: owned.Book, Kind: owner.Start, Data: canon.Encode(owner.Job{Name: Schedule, Kind: owned.Hold, Steps: 1, Window: 1})}, func(quorum.Outcome) {})
+	}
+	if voters := y.council.Voters(); len(voters) > 0 && !slices.Equal(voters, y.state.Voters) {
+		y.propose(maintenance.SetVoters, "", maintenance.Order{Names: voters})
+	}
+	y.council.Retire(y.state.LeavingGateways())
+	if y.listed != nil {
+		var lost []string
+		for _, m := range y.state.Inventory.Machines {
+			for _, n := range slices.Concat(m.Boxes, m.Hubs) {
+				if !y.listed[n] {
+					lost = append(lost, n)
+				}
+			}
+		}
+		slices.Sort(lost)
+		if known := slices.Sorted(maps.Keys(y.state.Lost)); !slices.Equal(known, lost) {
+			y.propose(maintenance.Lost, "", maintenance.Order{At: y.unixMillis(), Names: lost})
+		}
+	}
+	if len(y.state.Works) > 0 && y.now >= y.lastTick+tickEvery { // by the local clock, since other commands advance the log's time too
+		y.lastTick = y.now
+		y.propose(maintenance.Tick, "", maintenance.Order{At: y.unixMillis()})
+	}
+}
+
+// grantPlanned finishes the warm-up of machines reported warm, and grants the machines that the plan starts now.
+func (y *Yard) grantPlanned(token uint64) {
+	if len(y.state.Works) == 0 {
+		return
+	}
+	for _, name := range slices.Sorted(maps.Keys(y.state.Works)) {
+		if m := y.state.Machine(name); m != nil && y.state.WarmByMajority(m, y.state.Works[name]) {
+			y.propose(maintenance.FinishWarming, name, maintenance.Order{At: y.unixMillis(), Machine: name, OwnerToken: token})
+		}
+	}
+	if y.now < y.nextPlan {
+		return
+	}
+	started := time.Now()
+	plan := y.state.Plan()
+	y.nextPlan = y.now + 10*float64(time.Since(started))/float64(time.Millisecond)
+	for _, slot := range plan {
+		if w := y.state.Works[slot.Machine]; !slot.Never && slot.Start <= y.state.Now && w != nil && w.Stage == maintenance.Asked {
+			failpoint.Here(failpoint.Scheduling)
+			y.propose(maintenance.Grant, slot.Machine, maintenance.Order{At: y.unixMillis(), Machine: slot.Machine, OwnerToken: token})
+		}
+	}
+}
+
+// logStages logs each machine that entered another stage.
+func (y *Yard) logStages() {
+	for _, name := range slices.Sorted(maps.Keys(y.state.Works)) {
+		w := y.state.Works[name]
+		if current := fmt.Sprint(w.Stage, w.Token); y.loggedStages[name] != current {
+			y.loggedStages[name] = current
+			y.log.WithFields(logrus.Fields{"machine": name, "is": w.Stage.String(), "token": w.Token, "why": w.Why, "request": w.Request.ID}).Info("machines: stage")
+		}
+	}
+	for name := range y.loggedStages {
+		if y.state.Works[name] == nil {
+			delete(y.loggedStages, name)
+			y.log.WithField("machine", name).Info("machines: in")
+		}
+	}
+}
+
+// Allow checks whether operators, or a machine's agent, may propose a command.
+func (y *Yard) Allow(c quorum.Command) error {
+	switch c.Kind {
+	case maintenance.Ask, maintenance.Cancel, maintenance.Withdraw, maintenance.Drain, maintenance.Go, maintenance.Back, maintenance.SetPeak:
+		var o maintenance.Order
+		if err := canon.Decode(c.Data, &o); err != nil {
+			return err
+		}
+		if !y.block.On {
+			return errors.New("machines: not enabled on this gateway")
+		}
+		return nil
+	}
+	return fmt.Errorf("%s: not a command for operators or agents", c.Kind)
+}
+
+// Machine is the answer to a question about one machine.
+type Machine struct {
+	maintenance.Machine
+	Stage string            `json:"stage"`
+	Hurt  bool              `json:"hurt"` // part of it is lost or drained
+	Work  *maintenance.Work `json:"work,omitempty"`
+	Waits []string          `json:"waits,omitempty"` // gateways that have not acknowledged the drain
+}
+
+// describeMachine returns the answer for one machine.
+func (y *Yard) describeMachine(m maintenance.Machine) Machine {
+	answer := Machine{Machine: m, Stage: maintenance.In.String(), Hurt: y.state.Degraded(m.Name), Work: y.state.Works[m.Name]}
+	if answer.Work != nil {
+		if answer.Stage = answer.Work.Stage.String(); answer.Work.Stage == maintenance.Draining {
+			answer.Waits = y.state.PendingAcks(answer.Work, &m)
+		}
+	}
+	return answer
+}
+
+// Tell answers an operator's question.
+func (y *Yard) Tell(about, name string) (any, error) {
+	switch about {
+	case "machines":
+		all := []Machine{}
+		for _, m := range y.state.Inventory.Machines {
+			all = append(all, y.describeMachine(m))
+		}
+		return map[string]any{"version": y.state.Inventory.Version, "limits": y.state.Inventory.Limits, "machines": all, "strangers": y.state.InventoryMismatches(), "here": y.block.Inventory.Version}, nil
+	case "machine":
+		if m := y.state.Machine(name); m != nil {
+			return y.describeMachine(*m), nil
+		}
+		return nil, fmt.Errorf("machine %q: %w", name, maintenance.ErrUnknownMachine)
+	case "plan":
+		return map[string]any{"now": y.state.Now, "plan": append([]maintenance.Slot{}, y.state.Plan()...), "near": y.state.LimitUsage()}, nil
+	case "ended":
+		return append([]maintenance.Ended{}, y.state.Ended...), nil
+	}
+	return nil, agreement.ErrNotMine
+}
--- a/internal/maintenance/every_test.go
+++ b/internal/maintenance/interleavings_test.go
@@ -80,7 +80,7 @@
 	}
 	for i, g := range littleGateways {
 		x := s.b.Gateways[g]
-		flag(x.There)
+		flag(x.Live)
 		flag(s.fresh[i])
 		k = append(k, byte(x.Incarnation), byte(x.Since/100))
 		for _, v := range s.views[i] {
@@ -89,7 +89,7 @@
 	}
 	flag(s.b.Lost["e1"])
 	l := s.left
-	k = append(k, byte(s.b.Now/100), byte(s.b.Last), byte(l.crashes), byte(l.doubles), byte(l.ticks), byte(l.withdrawals), byte(l.losses))
+	k = append(k, byte(s.b.Now/100), byte(s.b.LastToken), byte(l.crashes), byte(l.doubles), byte(l.ticks), byte(l.withdrawals), byte(l.losses))
 	for _, x := range s.way {
 		k = append(append(append(k, x.kind...), x.o.Machine...), x.o.From...)
 		k = append(k, byte(x.o.Token))
@@ -141,7 +141,7 @@
 		o := Order{Machine: m, Token: w.Token}
 		switch w.Stage {
 		case Asked:
-			send(sent{Grant, Order{Machine: m, Owned: 1}})
+			send(sent{Grant, Order{Machine: m, OwnerToken: 1}})
 		case Granted:
 			send(sent{Drain, o})
 		case Draining:
@@ -161,7 +161,7 @@
 		}
 	}
 	for i, g := range littleGateways {
-		there := s.b.Gateways[g].There
+		there := s.b.Gateways[g].Live
 		if there {
 			now := [3]view{}
 			for j, m := range littleMachines {
@@ -182,13 +182,13 @@
 			if s.left.crashes > 0 {
 				add("lost "+g, func(c *little) {
 					c.left.crashes--
-					c.b.Member(g, c.b.Gateways[g].Incarnation, false)
+					c.b.SetGateway(g, c.b.Gateways[g].Incarnation, false)
 					c.views[i], c.fresh[i] = [3]view{}, true
 				})
 			}
 		} else {
 			add("started anew "+g, func(c *little) {
-				c.b.Member(g, c.b.Gateways[g].Incarnation+10, true)
+				c.b.SetGateway(g, c.b.Gateways[g].Incarnation+10, true)
 				// What the process before it sent does not count any more, by the rules of the log (quorum.Members).
 				c.way = slices.DeleteFunc(c.way, func(x sent) bool { return x.o.From == g })
 			})
@@ -226,10 +226,10 @@
 			if slices.Contains(s.b.Machine(m).Gateways, g) {
 				continue
 			}
-			if v := s.views[i][j]; x.There && (s.fresh[i] || v.stage != Draining || v.token != w.Token) {
+			if v := s.views[i][j]; x.Live && (s.fresh[i] || v.stage != Draining || v.token != w.Token) {
 				return fmt.Sprintf("%s goes while %s knows of %v under %d", m, g, v.stage, v.token)
 			}
-			if !x.There && !w.Acks[g] && s.b.Now < x.Since+s.b.Inventory.Limits.Grace {
+			if !x.Live && !w.Acks[g] && s.b.Now < x.Since+s.b.Inventory.Limits.Grace {
 				return fmt.Sprintf("%s goes within the grace of the loss of %s", m, g)
 			}
 		}
@@ -238,7 +238,7 @@
 		}
 		lost := map[string]bool{}
 		for _, x := range s.b.Inventory.Machines {
-			if s.gone[x.Name] || slices.ContainsFunc(x.Gateways, func(g string) bool { return !s.b.Gateways[g].There }) || slices.ContainsFunc(x.Boxes, func(e string) bool { return s.b.Lost[e] }) {
+			if s.gone[x.Name] || slices.ContainsFunc(x.Gateways, func(g string) bool { return !s.b.Gateways[g].Live }) || slices.ContainsFunc(x.Boxes, func(e string) bool { return s.b.Lost[e] }) {
 				lost[x.Name] = true
 			}
 		}
@@ -277,7 +277,7 @@
 		Machines: []Machine{{Name: "m0", Club: "c", Boxes: []string{"e0"}}, {Name: "m1", Club: "c", Boxes: []string{"e1"}}, {Name: "m2", Club: "c", Gateways: []string{"g2"}},
 			{Name: "m3", Club: "c", Gateways: []string{"g0", "g1"}}}}
 	for i, g := range littleGateways {
-		b.Member(g, uint64(i+1), true)
+		b.SetGateway(g, uint64(i+1), true)
 	}
 	b.Voters = littleGateways[:2]
 	for _, m := range append([]string{"m2"}, littleMachines...)[:asked] { // one of them with a gateway
--- a/internal/maintenance/limits.go
+++ b/internal/maintenance/limits.go
@@ -6,241 +6,249 @@
 	"slices"
 )
 
-// tally counts what is out, so that a further machine is checked at once.
-type tally struct {
-	b                     *Book
-	out                   int
-	names                 []string // of clubs, then of zones
-	index                 map[string]int
-	clubs, zones          []int
-	gateways, boxes, hubs int       // that are out
-	all                   [3]int    // of all gateways, boxes, hubs
-	near                  []int     // gateways of each club that are there
-	carried               []float64 // by each club
-	peaks                 [][24]float64
+// outages counts everything that is out, so that each further machine can be checked against the limits in constant time.
+type outages struct {
+	b                              *Book
+	machinesOut                    int
+	names                          []string       // of clubs and zones; the slices by club and by zone have the same indices
+	index                          map[string]int // into names, by "c"+club or "z"+zone
+	outByClub, outByZone           []int
+	gatewaysOut, boxesOut, hubsOut int
+	totals                         [3]int        // gateways, edge caches and hubs of the inventory
+	liveGateways                   []int         // by club: gateways that are not out
+	capacity                       []float64     // by club: capacity of the machines that are not out
+	clubPeaks                      [][24]float64 // by club and hour of the day (UTC)
 }
 
-// spot is where a machine counts.
-type spot struct{ club, zone int }
+// placement holds the indices under which a machine is counted.
+type placement struct{ club, zone int }
 
-func (t *tally) spot(m *Machine) spot { return spot{t.index["c"+m.Club], t.index["z"+m.Zone]} }
+// place returns the indices of a machine's club and zone.
+func (o *outages) place(m *Machine) placement {
+	return placement{o.index["c"+m.Club], o.index["z"+m.Zone]}
+}
 
-// gone tells whether a machine counts as out, or part of it is.
-func (b *Book) gone(m *Machine) bool {
+// isOut tells whether a machine counts as out: it has been granted and is not back in service yet, or part of it is lost or drained.
+func (b *Book) isOut(m *Machine) bool {
 	if w := b.Works[m.Name]; w != nil && w.Stage >= Granted {
 		return true
 	}
-	return b.hurt(m)
+	return b.isDegraded(m)
 }
 
-// hurt tells whether something that stands on a machine is gone unplanned, or drained by the list.
-func (b *Book) hurt(m *Machine) bool {
+// isDegraded tells whether part of a machine is lost, or drained in the node list.
+func (b *Book) isDegraded(m *Machine) bool {
 	for _, g := range m.Gateways {
-		if w, known := b.Gateways[g]; known && !w.There {
+		if gateway, known := b.Gateways[g]; known && !gateway.Live {
 			return true
 		}
 	}
 	return slices.ContainsFunc(m.Boxes, b.isLost) || slices.ContainsFunc(m.Hubs, b.isLost)
 }
 
+// isLost tells whether an edge cache or hub is missing from or drained in the node list.
 func (b *Book) isLost(name string) bool { return b.Lost[name] }
 
-// tally counts all that is out.
-func (b *Book) tally() *tally {
-	t := &tally{b: b, index: map[string]int{}}
+// countOutages counts everything that is out now.
+func (b *Book) countOutages() *outages {
+	o := &outages{b: b, index: map[string]int{}}
 	for i := range b.Inventory.Machines {
 		m := &b.Inventory.Machines[i]
 		for _, key := range []string{"c" + m.Club, "z" + m.Zone} {
-			if _, known := t.index[key]; !known {
-				t.index[key] = len(t.names)
-				t.names = append(t.names, key[1:])
+			if _, known := o.index[key]; !known {
+				o.index[key] = len(o.names)
+				o.names = append(o.names, key[1:])
 			}
 		}
 	}
-	n := len(t.names)
-	t.peaks = make([][24]float64, n)
-	t.clubs, t.zones, t.near, t.carried = make([]int, n), make([]int, n), make([]int, n), make([]float64, n)
+	n := len(o.names)
+	o.clubPeaks = make([][24]float64, n)
+	o.outByClub, o.outByZone, o.liveGateways, o.capacity = make([]int, n), make([]int, n), make([]int, n), make([]float64, n)
 	for i := range b.Inventory.Machines {
 		m := &b.Inventory.Machines[i]
-		c := t.spot(m).club
-		t.all[0] += len(m.Gateways)
-		t.all[1] += len(m.Boxes)
-		t.all[2] += len(m.Hubs)
-		t.near[c] += len(m.Gateways)
-		t.carried[c] += m.Carries
+		c := o.place(m).club
+		o.totals[0] += len(m.Gateways)
+		o.totals[1] += len(m.Boxes)
+		o.totals[2] += len(m.Hubs)
+		o.liveGateways[c] += len(m.Gateways)
+		o.capacity[c] += m.Carries
 		for _, g := range m.Gateways {
-			for h, p := range b.Measured[g] {
-				t.peaks[c][h] += p
+			for h, p := range b.MeasuredPeaks[g] {
+				o.clubPeaks[c][h] += p
 			}
 		}
 	}
 	for club, hours := range b.Peaks {
-		if c, known := t.index["c"+club]; known {
+		if c, known := o.index["c"+club]; known {
 			for h, p := range hours {
 				if p > 0 {
-					t.peaks[c][h] = p // an operator's word goes before what was measured
+					o.clubPeaks[c][h] = p // a peak set by an operator overrides the measured one
 				}
 			}
 		}
 	}
 	for i := range b.Inventory.Machines {
-		if m := &b.Inventory.Machines[i]; b.gone(m) {
-			t.add(m, t.spot(m), 1)
+		if m := &b.Inventory.Machines[i]; b.isOut(m) {
+			o.add(m, o.place(m), 1)
 		}
 	}
-	return t
+	return o
 }
 
-// hour in ms.
-const hour = 3_600_000.0
+// hourMillis is the number of milliseconds in an hour.
+const hourMillis = 3_600_000.0
 
-// peak is the highest of a club's in the hours between two times.
-func (t *tally) peak(club int, from, until float64) (most float64) {
-	first := math.Floor(from / hour)
-	for h := first; h <= min(math.Floor(until/hour), first+23); h++ {
-		most = max(most, t.peaks[club][int(math.Mod(h, 24))])
+// peak returns a club's highest peak in the hours of the day between two times.
+func (o *outages) peak(club int, from, until float64) (highest float64) {
+	first := math.Floor(from / hourMillis)
+	for h := first; h <= min(math.Floor(until/hourMillis), first+23); h++ {
+		highest = max(highest, o.clubPeaks[club][int(math.Mod(h, 24))])
 	}
-	return most
+	return highest
 }
 
-// add counts a machine as out, or with -1 as back.
-func (t *tally) add(m *Machine, at spot, by int) {
-	t.out += by
-	t.clubs[at.club] += by
-	t.zones[at.zone] += by
-	t.gateways += by * len(m.Gateways)
-	t.boxes += by * len(m.Boxes)
-	t.hubs += by * len(m.Hubs)
-	t.near[at.club] -= by * len(m.Gateways)
-	t.carried[at.club] -= float64(by) * m.Carries
+// add counts a machine as out (by 1) or as back in service (by -1).
+func (o *outages) add(m *Machine, at placement, by int) {
+	o.machinesOut += by
+	o.outByClub[at.club] += by
+	o.outByZone[at.zone] += by
+	o.gatewaysOut += by * len(m.Gateways)
+	o.boxesOut += by * len(m.Boxes)
+	o.hubsOut += by * len(m.Hubs)
+	o.liveGateways[at.club] -= by * len(m.Gateways)
+	o.capacity[at.club] -= float64(by) * m.Carries
 }
 
-// limit is one of those that a machine may meet.
+// limit identifies a limit that can keep a machine from leaving.
 type limit int
 
+// The limits.
+
 const (
-	free limit = iota
-	most
-	perClub
-	perZone
-	gateways
-	boxes
-	hubs
-	lastHubs
-	lastGateways
-	reserve
-	hurts
-	passes
+	noLimit limit = iota
+	limitTotal
+	limitPerClub
+	limitPerZone
+	limitGateways
+	limitBoxes
+	limitHubs
+	limitLastHubs
+	limitLastGateways
+	limitReserve
+	limitDegraded // part of the machine is lost or drained
+	limitExceeded // a loss has already exceeded a limit
 )
 
-// check finds the limit that keeps a machine from being out beside what is.
-func (t *tally) check(m *Machine, at spot, peak float64) limit {
-	l := &t.b.Inventory.Limits
+// firstLimit returns the first limit that a machine would exceed if it were out as well, or noLimit.
+func (o *outages) firstLimit(m *Machine, at placement, peak float64) limit {
+	l := &o.b.Inventory.Limits
 	switch {
-	case l.Most > 0 && t.out+1 > l.Most:
-		return most
-	case l.PerClub > 0 && t.clubs[at.club]+1 > l.PerClub:
-		return perClub
-	case l.PerZone > 0 && m.Zone != "" && t.zones[at.zone]+1 > l.PerZone:
-		return perZone
-	case over(l.Gateways, t.gateways+len(m.Gateways), t.all[0]) && len(m.Gateways) > 0:
-		return gateways
-	case over(l.Boxes, t.boxes+len(m.Boxes), t.all[1]) && len(m.Boxes) > 0:
-		return boxes
-	case over(l.Hubs, t.hubs+len(m.Hubs), t.all[2]) && len(m.Hubs) > 0:
-		return hubs
-	case len(m.Hubs) > 0 && t.hubs+len(m.Hubs) >= t.all[2]:
-		return lastHubs
-	case len(m.Gateways) > 0 && t.near[at.club] <= len(m.Gateways):
-		return lastGateways
-	case m.Carries > 0 && t.carried[at.club]-m.Carries < peak*(1+l.Reserve):
-		return reserve
+	case l.Most > 0 && o.machinesOut+1 > l.Most:
+		return limitTotal
+	case l.PerClub > 0 && o.outByClub[at.club]+1 > l.PerClub:
+		return limitPerClub
+	case l.PerZone > 0 && m.Zone != "" && o.outByZone[at.zone]+1 > l.PerZone:
+		return limitPerZone
+	case exceedsShare(l.Gateways, o.gatewaysOut+len(m.Gateways), o.totals[0]) && len(m.Gateways) > 0:
+		return limitGateways
+	case exceedsShare(l.Boxes, o.boxesOut+len(m.Boxes), o.totals[1]) && len(m.Boxes) > 0:
+		return limitBoxes
+	case exceedsShare(l.Hubs, o.hubsOut+len(m.Hubs), o.totals[2]) && len(m.Hubs) > 0:
+		return limitHubs
+	case len(m.Hubs) > 0 && o.hubsOut+len(m.Hubs) >= o.totals[2]:
+		return limitLastHubs
+	case len(m.Gateways) > 0 && o.liveGateways[at.club] <= len(m.Gateways):
+		return limitLastGateways
+	case m.Carries > 0 && o.capacity[at.club]-m.Carries < peak*(1+l.Reserve):
+		return limitReserve
 	}
-	return free
+	return noLimit
 }
 
-// words name a limit as it stands.
-func (t *tally) words(x limit, m *Machine, at spot, peak float64) string {
-	l := &t.b.Inventory.Limits
-	switch x {
-	case free:
+// describe formats a limit and its current use.
+func (o *outages) describe(reached limit, m *Machine, at placement, peak float64) string {
+	l := &o.b.Inventory.Limits
+	switch reached {
+	case noLimit:
 		return ""
-	case most:
-		return fmt.Sprintf("most: %d of %d are out", t.out, l.Most)
-	case perClub:
-		return fmt.Sprintf("per_club: %d of %d are out at %s", t.clubs[at.club], l.PerClub, m.Club)
-	case perZone:
-		return fmt.Sprintf("per_zone: %d of %d are out in %s", t.zones[at.zone], l.PerZone, m.Zone)
-	case gateways:
-		return fmt.Sprintf("gateways: %d of %d are out", t.gateways, t.all[0])
-	case boxes:
-		return fmt.Sprintf("boxes: %d of %d are out", t.boxes, t.all[1])
-	case hubs:
-		return fmt.Sprintf("hubs: %d of %d are out", t.hubs, t.all[2])
-	case lastHubs:
+	case limitTotal:
+		return fmt.Sprintf("most: %d of %d are out", o.machinesOut, l.Most)
+	case limitPerClub:
+		return fmt.Sprintf("per_club: %d of %d are out at %s", o.outByClub[at.club], l.PerClub, m.Club)
+	case limitPerZone:
+		return fmt.Sprintf("per_zone: %d of %d are out in %s", o.outByZone[at.zone], l.PerZone, m.Zone)
+	case limitGateways:
+		return fmt.Sprintf("gateways: %d of %d are out", o.gatewaysOut, o.totals[0])
+	case limitBoxes:
+		return fmt.Sprintf("boxes: %d of %d are out", o.boxesOut, o.totals[1])
+	case limitHubs:
+		return fmt.Sprintf("hubs: %d of %d are out", o.hubsOut, o.totals[2])
+	case limitLastHubs:
 		return "hubs: the last ones that boxes can fill from"
-	case lastGateways:
+	case limitLastGateways:
 		return "gateways: the last ones of " + m.Club
-	case reserve:
-		return fmt.Sprintf("reserve: what is left at %s carries %.4g of a peak of %.4g with %.4g more", m.Club, t.carried[at.club]-m.Carries, peak, l.Reserve)
-	case hurts:
+	case limitReserve:
+		return fmt.Sprintf("reserve: what is left at %s carries %.4g of a peak of %.4g with %.4g more", m.Club, o.capacity[at.club]-m.Carries, peak, l.Reserve)
+	case limitDegraded:
 		return "something on it is lost or drained"
 	}
-	return t.passed()
+	return o.exceeded()
 }
 
-// fits tells whether a machine may be out beside what is, between two times; else the limit that prevents it.
-func (t *tally) fits(m *Machine, from, until float64) string {
-	at := t.spot(m)
-	peak := t.peak(at.club, from, until)
-	return t.words(t.check(m, at, peak), m, at, peak)
+// blockedBy returns the limit that forbids a machine to be out as well between two times, or "".
+func (o *outages) blockedBy(m *Machine, from, until float64) string {
+	at := o.place(m)
+	peak := o.peak(at.club, from, until)
+	return o.describe(o.firstLimit(m, at, peak), m, at, peak)
 }
 
-func over(share float64, out, all int) bool {
+// exceedsShare tells whether more than a share of all nodes would be out. The margin of 1e-9 absorbs rounding errors.
+func exceedsShare(share float64, out, all int) bool {
 	return share > 0 && float64(out) > share*float64(all)+1e-9
 }
 
-// passed tells whether more is out than may be, as after a loss, and which limit says so.
-func (t *tally) passed() string {
-	l := t.b.Inventory.Limits
-	if l.Most > 0 && t.out > l.Most {
-		return fmt.Sprintf("most: %d of %d are out", t.out, l.Most)
+// exceeded returns a limit that the current outages exceed, as they can after a loss, or "".
+func (o *outages) exceeded() string {
+	l := o.b.Inventory.Limits
+	if l.Most > 0 && o.machinesOut > l.Most {
+		return fmt.Sprintf("most: %d of %d are out", o.machinesOut, l.Most)
 	}
-	for i, n := range t.clubs {
+	for i, n := range o.outByClub {
 		if l.PerClub > 0 && n > l.PerClub {
-			return fmt.Sprintf("per_club: %d of %d are out at %s", n, l.PerClub, t.names[i])
+			return fmt.Sprintf("per_club: %d of %d are out at %s", n, l.PerClub, o.names[i])
 		}
 	}
-	for i, n := range t.zones {
-		if l.PerZone > 0 && t.names[i] != "" && n > l.PerZone {
-			return fmt.Sprintf("per_zone: %d of %d are out in %s", n, l.PerZone, t.names[i])
+	for i, n := range o.outByZone {
+		if l.PerZone > 0 && o.names[i] != "" && n > l.PerZone {
+			return fmt.Sprintf("per_zone: %d of %d are out in %s", n, l.PerZone, o.names[i])
 		}
 	}
-	for i, x := range []struct {
-		name  string
-		share float64
-		out   int
-	}{{"gateways", l.Gateways, t.gateways}, {"boxes", l.Boxes, t.boxes}, {"hubs", l.Hubs, t.hubs}} {
-		if over(x.share, x.out, t.all[i]) {
-			return fmt.Sprintf("%s: %d of %d are out", x.name, x.out, t.all[i])
+	for i, share := range []struct {
+		name string
+		most float64
+		out  int
+	}{{"gateways", l.Gateways, o.gatewaysOut}, {"boxes", l.Boxes, o.boxesOut}, {"hubs", l.Hubs, o.hubsOut}} {
+		if exceedsShare(share.most, share.out, o.totals[i]) {
+			return fmt.Sprintf("%s: %d of %d are out", share.name, share.out, o.totals[i])
 		}
 	}
 	return ""
 }
 
-// votes tells whether a machine may go by what its gateways vote: without them the next single loss must still leave a majority.
-func (b *Book) votes(m *Machine) string {
-	mine, left := 0, 0
+// majorityAtRisk checks the voters on a machine: without them, losing one more voter must still leave a majority. It returns the reason
+// why the machine must not leave, or "".
+func (b *Book) majorityAtRisk(m *Machine) string {
+	own, remaining := 0, 0
 	for _, v := range b.Voters {
-		switch w := b.Gateways[v]; {
+		switch gateway := b.Gateways[v]; {
 		case slices.Contains(m.Gateways, v):
-			mine++
-		case w.There:
-			left++
+			own++
+		case gateway.Live:
+			remaining++
 		}
 	}
-	if n := len(b.Voters); mine > 0 && left-1 < n/2+1 {
-		return fmt.Sprintf("votes: %d of %d voters would be left, and one more loss would leave no majority", left, n)
+	if n := len(b.Voters); own > 0 && remaining-1 < n/2+1 {
+		return fmt.Sprintf("votes: %d of %d voters would be left, and one more loss would leave no majority", remaining, n)
 	}
 	return ""
 }
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -40,7 +40,7 @@
 	}
 	for n, m := range b.Inventory.Machines {
 		for _, g := range m.Gateways {
-			b.Member(g, uint64(n+1), true)
+			b.SetGateway(g, uint64(n+1), true)
 		}
 	}
 	return b
@@ -51,7 +51,7 @@
 	for _, m := range b.Inventory.Machines {
 		lost := false
 		for _, g := range m.Gateways {
-			if x, ok := b.Gateways[g]; ok && !x.There {
+			if x, ok := b.Gateways[g]; ok && !x.Live {
 				lost = true
 			}
 		}
@@ -105,7 +105,7 @@
 func TestLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{Most: rapid.IntRange(0, 4).Draw(t, "most"), PerClub: rapid.IntRange(0, 2).Draw(t, "club"), PerZone: rapid.IntRange(0, 2).Draw(t, "zone"),
-			Boxes: rapid.SampledFrom([]float64{0, 0.4, 0.7}).Draw(t, "boxes"), Begin: 50, Drain: 100, Warm: 100, Overdue: 2, Grace: 30, Silent: Silence(rapid.IntRange(0, 1).Draw(t, "silent"))}
+			Boxes: rapid.SampledFrom([]float64{0, 0.4, 0.7}).Draw(t, "boxes"), Begin: 50, Drain: 100, Warm: 100, Overdue: 2, Grace: 30, MissingAck: MissingAckPolicy(rapid.IntRange(0, 1).Draw(t, "silent"))}
 		b := begun(t, l)
 		names := []string{}
 		for _, m := range b.Inventory.Machines {
@@ -123,17 +123,17 @@
 			}
 			outBefore, _ := counted(b)
 			name := rapid.SampledFrom(names).Draw(t, "machine")
-			o := Order{At: now, Machine: name, Token: uint64(rapid.IntRange(0, int(b.Last)+1).Draw(t, "token"))}
+			o := Order{At: now, Machine: name, Token: uint64(rapid.IntRange(0, int(b.LastToken)+1).Draw(t, "token"))}
 			if w := b.Works[name]; w != nil && rapid.Bool().Draw(t, "right") {
 				o.Token = w.Token
 			}
-			kind := rapid.SampledFrom([]string{Ask, Ask, Grant, Grant, Grant, Drain, Drain, Ack, Ack, Ack, Go, Go, Back, Warm, Warmed, Withdraw, Cancel, Tick, Lost, "member", "on", "on", "on", "on", "on", "on", "on", "on", "on", "on"}).Draw(t, "deed")
+			kind := rapid.SampledFrom([]string{Ask, Ask, Grant, Grant, Grant, Drain, Drain, Ack, Ack, Ack, Go, Go, Back, ReportWarm, FinishWarming, Withdraw, Cancel, Tick, Lost, "member", "on", "on", "on", "on", "on", "on", "on", "on", "on", "on"}).Draw(t, "deed")
 			if kind == "on" { // the next step of that machine's way
 				w := b.Works[name]
 				if kind = Ask; w != nil {
-					kind = [...]string{Ask, Grant, Drain, Ack, Back, Back, rapid.SampledFrom([]string{Warm, Warm, Warmed}).Draw(t, "warm")}[w.Stage]
+					kind = [...]string{Ask, Grant, Drain, Ack, Back, Back, rapid.SampledFrom([]string{ReportWarm, ReportWarm, FinishWarming}).Draw(t, "warm")}[w.Stage]
 					o.Token = w.Token
-					if w.Stage == Draining && len(b.Waits(w, b.Machine(name))) == 0 {
+					if w.Stage == Draining && len(b.PendingAcks(w, b.Machine(name))) == 0 {
 						kind = Go
 					}
 				}
@@ -143,10 +143,10 @@
 				o.Request = &Request{ID: "r" + name + fmt.Sprint(n/40), Machine: name, Takes: 60}
 			case Cancel:
 				o.ID = "r" + name + fmt.Sprint(n/40)
-			case Ack, Warm:
+			case Ack, ReportWarm:
 				o.From = rapid.SampledFrom(gateways).Draw(t, "from")
 				if w := b.Works[name]; w != nil && w.Stage == Draining && rapid.Bool().Draw(t, "one that is waited for") {
-					if waits := b.Waits(w, b.Machine(name)); len(waits) > 0 {
+					if waits := b.PendingAcks(w, b.Machine(name)); len(waits) > 0 {
 						o.From = waits[0]
 					}
 				}
@@ -156,10 +156,10 @@
 			if kind == "member" {
 				g := rapid.SampledFrom(gateways).Draw(t, "gateway")
 				x := b.Gateways[g]
-				if inc++; x.There {
-					b.Member(g, x.Incarnation, false)
+				if inc++; x.Live {
+					b.SetGateway(g, x.Incarnation, false)
 				} else {
-					b.Member(g, inc, true)
+					b.SetGateway(g, inc, true)
 				}
 			} else {
 				b.give(t, kind, o)
@@ -177,7 +177,7 @@
 				if was {
 					from = old.Stage
 				}
-				if w.Stage != from && !slices.ContainsFunc(Steps, func(s Step) bool { return s.From == from && s.To == w.Stage }) {
+				if w.Stage != from && !slices.ContainsFunc(Transitions, func(s Transition) bool { return s.From == from && s.To == w.Stage }) {
 					t.Fatalf("%d: %s brings %s from %v to %v", n, kind, name, from, w.Stage)
 				}
 				if w.Stage == Out && from == Draining {
@@ -186,24 +186,24 @@
 					}
 					for _, g := range gateways {
 						x := b.Gateways[g]
-						if !old.Acks[g] && !slices.Contains(b.Machine(name).Gateways, g) && (x.There || now < x.Since+l.Grace) && !slices.Contains(w.Without, g) {
+						if !old.Acks[g] && !slices.Contains(b.Machine(name).Gateways, g) && (x.Live || now < x.Since+l.Grace) && !slices.Contains(w.Without, g) {
 							t.Fatalf("%d: %s is out without word from %s, and does not say so", n, name, g)
 						}
 					}
-					if len(w.Without) > 0 && (l.Silent != GoOut || now < old.Since+l.Drain) {
+					if len(w.Without) > 0 && (l.MissingAck != ProceedWithoutAck || now < old.Since+l.Drain) {
 						t.Fatalf("%d: %s is out without word from %v", n, name, w.Without)
 					}
 				}
-				if w.Token > b.Last || was && w.Stage == Granted && from == Asked && w.Token <= last {
+				if w.Token > b.LastToken || was && w.Stage == Granted && from == Asked && w.Token <= last {
 					t.Fatalf("%d: token %d after %d", n, w.Token, last)
 				}
 			}
-			last = b.Last
+			last = b.LastToken
 			for name, old := range before {
-				if b.Works[name] == nil && kind == Warmed { // by the word of more than half of those of its club that are there
+				if b.Works[name] == nil && kind == FinishWarming { // by the word of more than half of those of its club that are there
 					there, say := 0, 0
 					for _, g := range gateways {
-						if strings.HasSuffix(g, b.Machine(name).Club) && b.Gateways[g].There {
+						if strings.HasSuffix(g, b.Machine(name).Club) && b.Gateways[g].Live {
 							if there++; old.Warm[g] {
 								say++
 							}
@@ -213,7 +213,7 @@
 						t.Fatalf("%d: %s is in by the word of %d of %d", n, name, say, there)
 					}
 				}
-				if b.Works[name] == nil && !slices.ContainsFunc(Steps, func(s Step) bool { return s.From == old.Stage && s.To == In }) {
+				if b.Works[name] == nil && !slices.ContainsFunc(Transitions, func(s Transition) bool { return s.From == old.Stage && s.To == In }) {
 					t.Fatalf("%d: %s brings %s in from %v", n, kind, name, old.Stage)
 				}
 			}
@@ -235,22 +235,22 @@
 		stage Stage
 		err   error
 	}{
-		{Ask, Order{At: 10, Request: &Request{ID: "a", Machine: "nowhere", Takes: 5}}, 0, ErrUnknown},
-		{Ask, Order{At: 10, Request: &Request{ID: "a", Machine: "amber-1", Takes: 60, By: 50}}, 0, ErrPast},
-		{Ask, Order{At: 10, Request: &Request{ID: "a", Machine: "amber-1", Takes: 0}}, 0, ErrBad},
-		{Grant, Order{Machine: "amber-1"}, 0, ErrUnknown},
+		{Ask, Order{At: 10, Request: &Request{ID: "a", Machine: "nowhere", Takes: 5}}, 0, ErrUnknownMachine},
+		{Ask, Order{At: 10, Request: &Request{ID: "a", Machine: "amber-1", Takes: 60, By: 50}}, 0, ErrDeadline},
+		{Ask, Order{At: 10, Request: &Request{ID: "a", Machine: "amber-1", Takes: 0}}, 0, ErrMalformed},
+		{Grant, Order{Machine: "amber-1"}, 0, ErrUnknownMachine},
 		{Ask, Order{At: 10, Request: &Request{ID: "a", Machine: "amber-1", Takes: 1000, NotBefore: 100}}, Asked, nil},
 		{Ask, Order{At: 11, Request: &Request{ID: "a", Machine: "amber-1", Takes: 1000, NotBefore: 100}}, Asked, nil},
-		{Ask, Order{At: 11, Request: &Request{ID: "b", Machine: "amber-1", Takes: 1000}}, 0, ErrOther},
-		{Ask, Order{At: 11, Request: &Request{ID: "a", Machine: "amber-2", Takes: 1000}}, 0, ErrOther},
-		{Grant, Order{At: 20, Machine: "amber-1"}, 0, ErrStage}, // not before 100
+		{Ask, Order{At: 11, Request: &Request{ID: "b", Machine: "amber-1", Takes: 1000}}, 0, ErrConflict},
+		{Ask, Order{At: 11, Request: &Request{ID: "a", Machine: "amber-2", Takes: 1000}}, 0, ErrConflict},
+		{Grant, Order{At: 20, Machine: "amber-1"}, 0, ErrWrongStage}, // not before 100
 		{Grant, Order{At: 100, Machine: "amber-1"}, Granted, nil},
 		{Ask, Order{At: 100, Request: &Request{ID: "c", Machine: "birch-1", Takes: 50}}, Asked, nil},
 		{Grant, Order{At: 100, Machine: "birch-1"}, 0, Refused{}},
-		{Go, Order{At: 110, Machine: "amber-1", Token: 1}, 0, ErrStage},
-		{Drain, Order{At: 110, Machine: "amber-1", Token: 7}, 0, ErrOld},
+		{Go, Order{At: 110, Machine: "amber-1", Token: 1}, 0, ErrWrongStage},
+		{Drain, Order{At: 110, Machine: "amber-1", Token: 7}, 0, ErrStaleGrant},
 		{Withdraw, Order{At: 120, Machine: "amber-1"}, Asked, nil},
-		{Drain, Order{At: 130, Machine: "amber-1", Token: 1}, 0, ErrOld}, // its grant was withdrawn
+		{Drain, Order{At: 130, Machine: "amber-1", Token: 1}, 0, ErrStaleGrant}, // its grant was withdrawn
 		{Grant, Order{At: 140, Machine: "amber-1"}, Granted, nil},
 		{Tick, Order{At: 1140}, Asked, nil}, // it did not begin
 		{Grant, Order{At: 1150, Machine: "amber-1"}, Granted, nil},
@@ -260,9 +260,9 @@
 		{Ack, Order{At: 1170, Machine: "amber-1", Token: 3, From: "g1birch"}, Draining, nil},
 		{Go, Order{At: 1170, Machine: "amber-1", Token: 3}, 0, ErrWaits},
 		{Ack, Order{At: 1180, Machine: "amber-1", Token: 3, From: "g2birch"}, Draining, nil},
-		{Go, Order{At: 1180, Machine: "amber-1", Token: 2}, 0, ErrOld},
+		{Go, Order{At: 1180, Machine: "amber-1", Token: 2}, 0, ErrStaleGrant},
 		{Go, Order{At: 1180, Machine: "amber-1", Token: 3}, Out, nil},
-		{Cancel, Order{At: 1190, ID: "a"}, 0, ErrStage},
+		{Cancel, Order{At: 1190, ID: "a"}, 0, ErrWrongStage},
 		{Tick, Order{At: 3000}, Out, nil},
 		{Tick, Order{At: 3180}, Overdue, nil},
 		{Back, Order{At: 3200, Machine: "amber-1", Token: 3}, Warming, nil},
@@ -272,7 +272,7 @@
 		{Grant, Order{At: 3500, Machine: "birch-1"}, Granted, nil},
 		{Cancel, Order{At: 3600, ID: "c"}, In, nil},
 		{Cancel, Order{At: 3600, ID: "c"}, In, nil},
-		{Cancel, Order{At: 3600, ID: "x"}, 0, ErrUnknown},
+		{Cancel, Order{At: 3600, ID: "x"}, 0, ErrUnknownMachine},
 		{Ask, Order{At: 3700, Request: &Request{ID: "c", Machine: "birch-1", Takes: 50}}, In, nil}, // it comes again, after its end
 	} {
 		got := b.give(t, c.kind, c.o)
@@ -308,10 +308,10 @@
 		want Deed
 	}{
 		{Keeper{}, nil, Wait}, {Keeper{}, &Work{Stage: Asked}, Wait}, {Keeper{}, &Work{Stage: Granted, Token: 3}, DoDrain}, {Keeper{}, &Work{Stage: Draining, Token: 3}, DoGo},
-		{Keeper{}, &Work{Stage: Out, Token: 3}, DoWork}, {Keeper{Token: 3, Phase: Begun}, &Work{Stage: Out, Token: 3}, DoReady}, {Keeper{Token: 3, Phase: Worked}, &Work{Stage: Overdue, Token: 3}, DoReady},
+		{Keeper{}, &Work{Stage: Out, Token: 3}, DoWork}, {Keeper{Token: 3, Phase: Started}, &Work{Stage: Out, Token: 3}, DoReady}, {Keeper{Token: 3, Phase: Completed}, &Work{Stage: Overdue, Token: 3}, DoReady},
 		{Keeper{Token: 3, Phase: Failed}, &Work{Stage: Overdue, Token: 3}, Wait}, {Keeper{Token: 3, Phase: Failed}, &Work{Stage: Out, Token: 4}, DoWork},
-		{Keeper{Token: 3, Phase: Worked}, &Work{Stage: Out, Token: 4}, DoWork}, {Keeper{Token: 3, Phase: Worked}, &Work{Stage: Warming, Token: 3}, Wait},
-		{Keeper{Token: 3, Phase: Worked}, nil, Finished}, {Keeper{Token: 3}, nil, Wait}, {Keeper{Token: 3, Phase: Begun}, &Work{Stage: Draining, Token: 4}, DoGo},
+		{Keeper{Token: 3, Phase: Completed}, &Work{Stage: Out, Token: 4}, DoWork}, {Keeper{Token: 3, Phase: Completed}, &Work{Stage: Warming, Token: 3}, Wait},
+		{Keeper{Token: 3, Phase: Completed}, nil, Finished}, {Keeper{Token: 3}, nil, Wait}, {Keeper{Token: 3, Phase: Started}, &Work{Stage: Draining, Token: 4}, DoGo},
 	} {
 		if got := c.k.Next(c.w); got != c.want {
 			t.Errorf("%+v, %+v: %v, want %v", c.k, c.w, got, c.want)
@@ -325,10 +325,10 @@
 	for _, m := range []string{"amber-1", "birch-1"} {
 		b.give(t, Ask, Order{At: 1, Request: &Request{ID: m, Machine: m, Takes: 100}})
 	}
-	if err, ok := b.give(t, Grant, Order{At: 2, Machine: "amber-1", Owned: 5}).(error); ok {
+	if err, ok := b.give(t, Grant, Order{At: 2, Machine: "amber-1", OwnerToken: 5}).(error); ok {
 		t.Error(err)
 	}
-	if r := b.give(t, Grant, Order{At: 2, Machine: "birch-1", Owned: 4}); r != ErrOld {
+	if r := b.give(t, Grant, Order{At: 2, Machine: "birch-1", OwnerToken: 4}); r != ErrStaleGrant {
 		t.Errorf("granted under an older token: %v", r)
 	}
 }
@@ -336,8 +336,8 @@
 // A gateway that was lost just now is waited for until its grace is past, as something of its may be on its way; one that stays silent holds up
 // that machine alone, for the time that the operator gives. A machine that is overdue keeps its place.
 func TestBarrier(t *testing.T) {
-	for _, silent := range []Silence{PutBack, GoOut} {
-		b := begun(t, Limits{Most: 1, Drain: 500, Grace: 100, Overdue: 2, Silent: silent})
+	for _, silent := range []MissingAckPolicy{Requeue, ProceedWithoutAck} {
+		b := begun(t, Limits{Most: 1, Drain: 500, Grace: 100, Overdue: 2, MissingAck: silent})
 		for _, m := range []string{"amber-2", "birch-2"} {
 			b.give(t, Ask, Order{At: 1, Request: &Request{ID: m, Machine: m, Takes: 100}})
 		}
@@ -347,23 +347,23 @@
 			b.give(t, Ack, Order{At: 10, Machine: "amber-2", Token: 1, From: g})
 		}
 		b.Inventory.Limits.Most = 0 // a loss takes from the limits, which is another test's
-		b.Member("g1birch", 5, false)
+		b.SetGateway("g1birch", 5, false)
 		goes := func(at float64) any { return b.give(t, Go, Order{At: at, Machine: "amber-2", Token: 1}) }
-		if r := goes(50); r != ErrWaits || len(b.Waits(b.Works["amber-2"], b.Machine("amber-2"))) != 2 {
+		if r := goes(50); r != ErrWaits || len(b.PendingAcks(b.Works["amber-2"], b.Machine("amber-2"))) != 2 {
 			t.Errorf("%v: gone beside a gateway lost just now: %v", silent, r)
 		}
-		if r := goes(120); r != ErrWaits || len(b.Waits(b.Works["amber-2"], b.Machine("amber-2"))) != 1 {
+		if r := goes(120); r != ErrWaits || len(b.PendingAcks(b.Works["amber-2"], b.Machine("amber-2"))) != 1 {
 			t.Errorf("%v: gone without word from g2birch: %v", silent, r)
 		}
 		r := goes(510)
 		b.give(t, Tick, Order{At: 511})
 		switch w := b.Works["amber-2"]; {
-		case silent == PutBack && (r != ErrWaits || w.Stage != Asked):
+		case silent == Requeue && (r != ErrWaits || w.Stage != Asked):
 			t.Errorf("put back: %v, %+v", r, w)
-		case silent == GoOut && (w.Stage != Out || fmt.Sprint(w.Without) != "[g2birch]"):
+		case silent == ProceedWithoutAck && (w.Stage != Out || fmt.Sprint(w.Without) != "[g2birch]"):
 			t.Errorf("out without word: %v, %+v", r, w)
 		}
-		if silent == GoOut {
+		if silent == ProceedWithoutAck {
 			b.Inventory.Limits.Most = 2 // one machine is out, and one has lost its gateway
 			if b.give(t, Tick, Order{At: 800}); b.Works["amber-2"].Stage != Overdue {
 				t.Fatalf("%+v", b.Works["amber-2"])
@@ -398,7 +398,7 @@
 		{Limits{}, "amber-hub", "birch-hub", "hubs: the last ones", 0}, {Limits{Reserve: 0.5}, "amber-1", "amber-2", "reserve: what is left at amber carries 0", 5},
 	} {
 		b := begun(t, c.l)
-		b.give(t, Peak, Order{Club: "amber", Peak: c.peak})
+		b.give(t, SetPeak, Order{Club: "amber", Peak: c.peak})
 		ask(b, c.first, c.then)
 		if r, ok := b.give(t, Grant, Order{At: 2, Machine: c.first}).(error); ok {
 			t.Fatalf("%s: %v", c.first, r)
@@ -412,7 +412,7 @@
 	b.give(t, Grant, Order{At: 2, Machine: "amber-1"})
 	b.give(t, Grant, Order{At: 2, Machine: "birch-2"})
 	b.give(t, Drain, Order{At: 2, Machine: "amber-1", Token: 1})
-	b.Member("g2birch", 3, false)
+	b.SetGateway("g2birch", 3, false)
 	if b.Works["amber-1"].Stage != Draining || b.Works["birch-2"].Stage != Asked {
 		t.Errorf("after a loss: %v and %v", b.Works["amber-1"].Stage, b.Works["birch-2"].Stage)
 	}
@@ -421,7 +421,7 @@
 		t.Errorf("after two: %+v", b.Works["amber-1"])
 	}
 	b = begun(t, Limits{})
-	b.give(t, Votes, Order{Names: []string{"g1amber", "g1birch", "g2birch"}})
+	b.give(t, SetVoters, Order{Names: []string{"g1amber", "g1birch", "g2birch"}})
 	ask(b, "amber-1")
 	b.give(t, Grant, Order{At: 2, Machine: "amber-1"})
 	b.give(t, Drain, Order{At: 2, Machine: "amber-1", Token: 1})
@@ -431,7 +431,7 @@
 	if r, _ := b.give(t, Go, Order{At: 3, Machine: "amber-1", Token: 1}).(error); r == nil || !strings.Contains(r.Error(), "votes: 2 of 3") {
 		t.Errorf("a voter of three goes: %v", r)
 	}
-	b.give(t, Votes, Order{Names: []string{"g2amber", "g1birch", "g2birch"}}) // its vote went to another
+	b.give(t, SetVoters, Order{Names: []string{"g2amber", "g1birch", "g2birch"}}) // its vote went to another
 	if r, ok := b.give(t, Go, Order{At: 3, Machine: "amber-1", Token: 1}).(error); ok {
 		t.Errorf("without its vote: %v", r)
 	}
@@ -478,13 +478,13 @@
 	b.Apply(1, Have, canon.Encode(i))
 	for x := range n / 10 {
 		for h := range 24 {
-			b.Apply(1, Peak, canon.Encode(Order{Club: fmt.Sprint("club", x), Hour: h, Peak: 40 + 20*c.Below()}))
+			b.Apply(1, SetPeak, canon.Encode(Order{Club: fmt.Sprint("club", x), Hour: h, Peak: 40 + 20*c.Below()}))
 		}
 	}
 	for x, m := range i.Machines {
 		r := Request{ID: m.Name, Machine: m.Name, Takes: 60_000 * (5 + 30*c.Below())}
 		if x%4 == 0 {
-			r.By = 24 * hour * (0.02 + 0.15*c.Below())
+			r.By = 24 * hourMillis * (0.02 + 0.15*c.Below())
 		}
 		b.Apply(uint64(x), Ask, canon.Encode(Order{At: 1, Request: &r}))
 	}
@@ -617,16 +617,16 @@
 		m   *Machine
 		end float64
 	}
-	t := b.tally()
+	t := b.countOutages()
 	var out []going
 	wait, now, end := slices.Clone(works), b.Now, 0.0
 	for len(wait) > 0 {
 		wait = slices.DeleteFunc(wait, func(w *Work) bool {
 			m := b.Machine(w.Request.Machine)
-			if t.fits(m, now, now) != "" {
+			if t.blockedBy(m, now, now) != "" {
 				return false
 			}
-			t.add(m, t.spot(m), 1)
+			t.add(m, t.place(m), 1)
 			out = append(out, going{m, now + w.Request.Takes + b.Inventory.Limits.Warm})
 			end = max(end, now+w.Request.Takes+b.Inventory.Limits.Warm)
 			return true
@@ -638,7 +638,7 @@
 		now = next
 		out = slices.DeleteFunc(out, func(o going) bool {
 			if o.end <= now {
-				t.add(o.m, t.spot(o.m), -1)
+				t.add(o.m, t.place(o.m), -1)
 			}
 			return o.end <= now
 		})
--- a/internal/maintenance/measure.go
+++ b/internal/maintenance/measure.go
@@ -6,108 +6,108 @@
 	"slices"
 )
 
-// Load is what one gateway has measured over the last seconds.
+// Load is one gateway's measurement over the last seconds.
 type Load struct {
-	Rate  float64         // downloads a second that it took
-	Boxes map[string]Held // by edge cache; those that it asked for something
+	Rate  float64         // accepted downloads per second
+	Boxes map[string]Held // by edge cache, for those that it pulled from
 }
 
-// Held counts the pulls of one gateway from an edge cache that brought what was asked for, and those of them that the cache held.
+// Held counts one gateway's successful pulls from an edge cache, and how many of them were cache hits.
 type Held struct{ Pulls, Held float64 }
 
-// leastPulls is below which a share says nothing.
-const leastPulls = 20
+// minPulls is the number of pulls below which a hit ratio is not meaningful.
+const minPulls = 20
 
-// Warm tells whether, by what one gateway measured, a machine that is back serves as its like do: each edge cache on it holds at least the
-// limits' share of what the caches of its club hold that were not away. Where there is too little to go by, or a hub stands on it, nobody
-// says so, and its time decides.
-func (b *Book) Warm(m *Machine, l Load) bool {
+// IsWarm tells whether a returned machine is warm by one gateway's measurement: the hit ratio of each edge cache on it is at least the
+// configured share of that of the club's edge caches that are not out. With too few pulls, or with a hub on the machine, no gateway
+// reports it warm, and the time limit decides.
+func (b *Book) IsWarm(m *Machine, l Load) bool {
 	if len(m.Hubs) > 0 || b.Inventory.Limits.WarmShare <= 0 {
 		return false
 	}
-	var like Held
+	var peers Held
 	for i := range b.Inventory.Machines {
-		x := &b.Inventory.Machines[i]
-		if x.Club != m.Club || x.Name == m.Name || b.gone(x) {
+		other := &b.Inventory.Machines[i]
+		if other.Club != m.Club || other.Name == m.Name || b.isOut(other) {
 			continue
 		}
-		for _, box := range x.Boxes {
-			like.Pulls += l.Boxes[box].Pulls
-			like.Held += l.Boxes[box].Held
+		for _, box := range other.Boxes {
+			peers.Pulls += l.Boxes[box].Pulls
+			peers.Held += l.Boxes[box].Held
 		}
 	}
 	for _, box := range m.Boxes {
-		if x := l.Boxes[box]; x.Pulls < leastPulls || like.Pulls < leastPulls || x.Held/x.Pulls < b.Inventory.Limits.WarmShare*like.Held/like.Pulls {
+		if cache := l.Boxes[box]; cache.Pulls < minPulls || peers.Pulls < minPulls || cache.Held/cache.Pulls < b.Inventory.Limits.WarmShare*peers.Held/peers.Pulls {
 			return false
 		}
 	}
 	return true
 }
 
-// WarmBy tells whether a machine that is back is what it was by the word of its club: more than half of the gateways that are there say so.
-func (b *Book) WarmBy(m *Machine, w *Work) bool {
-	there, say := 0, 0
+// WarmByMajority tells whether more than half of the live gateways of a returned machine's club report it warm, and nothing on it is lost.
+func (b *Book) WarmByMajority(m *Machine, w *Work) bool {
+	live, warm := 0, 0
 	for i := range b.Inventory.Machines {
-		x := &b.Inventory.Machines[i]
-		if x.Club != m.Club {
+		other := &b.Inventory.Machines[i]
+		if other.Club != m.Club {
 			continue
 		}
-		for _, g := range x.Gateways {
-			if b.Gateways[g].There {
-				there++
+		for _, g := range other.Gateways {
+			if b.Gateways[g].Live {
+				live++
 				if w.Warm[g] {
-					say++
+					warm++
 				}
 			}
 		}
 	}
-	return w.Stage == Warming && 2*say > there && !b.hurt(m)
+	return w.Stage == Warming && 2*warm > live && !b.isDegraded(m)
 }
 
-// Gauge follows what one gateway takes, to tell the fleet its peak in each hour of the day: the highest rate in that hour, downloads a second.
-// A club's peak is the sum of those of its gateways, the lost ones too, as their members come to those that are left.
-type Gauge struct {
-	hour  float64 // in hours since 1970; 0: nothing was measured yet
-	from  float64 // when it began to measure in that hour
-	most  float64
-	ended *Order // of an hour that is over, until the log has it
+// PeakMeter measures one gateway's peak load in each hour of the day, which is the highest rate of that hour in downloads per second, to
+// report it to the log. A club's peak is the sum over its gateways, including lost ones, as their clients move to the remaining ones.
+type PeakMeter struct {
+	hour    float64 // hours since 1970; 0: nothing was measured yet
+	since   float64 // when it began to measure in that hour; Unix ms
+	peak    float64
+	pending *Order // the report of a finished hour, until the log has it
 }
 
-// whole is the part of an hour that has to be measured for it to take the place of a higher peak of the day before.
-const whole = 0.75
+// minMeasuredShare is the share of an hour that has to be measured for its peak to replace a higher one of the day before.
+const minMeasuredShare = 0.75
 
-// raises is by how much the present hour's peak must pass what the log has, for the fleet to be told before the hour is over.
-const raises = 1.25
+// raiseFactor is the factor by which the current hour's peak has to exceed the logged one to be reported before the hour is over.
+const raiseFactor = 1.25
 
-// See takes a measure at a time (Unix ms) and gives what the log has to be told, again until it has it; nil: nothing.
-func (g *Gauge) See(at float64, l Load, b *Book, name string) *Order {
-	known := b.Measured[name]
-	if h := math.Floor(at / hour); h != g.hour {
-		if g.hour != 0 && (at-g.from >= whole*hour || g.most > known[int(math.Mod(g.hour, 24))]) {
-			g.ended = &Order{From: name, Hour: int(math.Mod(g.hour, 24)), Peak: g.most}
+// Observe takes a measurement at a time (Unix ms). It returns a report to propose, the same one until the log has it, or nil.
+func (p *PeakMeter) Observe(at float64, l Load, b *Book, name string) *Order {
+	known := b.MeasuredPeaks[name]
+	if h := math.Floor(at / hourMillis); h != p.hour {
+		if p.hour != 0 && (at-p.since >= minMeasuredShare*hourMillis || p.peak > known[int(math.Mod(p.hour, 24))]) {
+			p.pending = &Order{From: name, Hour: int(math.Mod(p.hour, 24)), Peak: p.peak}
 		}
-		g.hour, g.from, g.most = h, at, 0
+		p.hour, p.since, p.peak = h, at, 0
 	}
 	if !(l.Rate >= 0) || math.IsInf(l.Rate, 1) {
 		return nil
 	}
-	g.most = max(g.most, l.Rate)
-	if g.ended != nil && known[g.ended.Hour] == g.ended.Peak {
-		g.ended = nil
+	p.peak = max(p.peak, l.Rate)
+	if p.pending != nil && known[p.pending.Hour] == p.pending.Peak {
+		p.pending = nil
 	}
-	o := g.ended
-	if now := int(math.Mod(g.hour, 24)); o == nil && g.most > raises*known[now]+1 {
-		o = &Order{From: name, Hour: now, Peak: g.most}
+	report := p.pending
+	if current := int(math.Mod(p.hour, 24)); report == nil && p.peak > raiseFactor*known[current]+1 {
+		report = &Order{From: name, Hour: current, Peak: p.peak}
 	}
-	if o != nil {
-		c := *o
-		c.At = at
-		return &c
+	if report != nil {
+		timed := *report
+		timed.At = at
+		return &timed
 	}
 	return nil
 }
 
-// clubs are those of the inventory, sorted.
+// clubs returns the clubs of the inventory, sorted.
 func (b *Book) clubs() []string {
 	all := map[string]bool{}
 	for i := range b.Inventory.Machines {
--- a/internal/maintenance/measure_test.go
+++ b/internal/maintenance/measure_test.go
@@ -25,17 +25,17 @@
 		{"gateways alone", "amber-3", nil, true},
 	} {
 		b := begun(t, l)
-		if got := b.Warm(b.Machine(c.machine), Load{Boxes: c.boxes}); got != c.want {
+		if got := b.IsWarm(b.Machine(c.machine), Load{Boxes: c.boxes}); got != c.want {
 			t.Errorf("%s: %t", c.name, got)
 		}
 	}
 	b := begun(t, l)
 	b.Lost["e2amber"] = true // its like is away itself
-	if b.Warm(b.Machine("amber-1"), Load{Boxes: map[string]Held{"e1amber": {40, 30}, "e2amber": {40, 30}, "e3amber": {40, 30}}}) {
+	if b.IsWarm(b.Machine("amber-1"), Load{Boxes: map[string]Held{"e1amber": {40, 30}, "e2amber": {40, 30}, "e3amber": {40, 30}}}) {
 		t.Error("judged beside one that is lost")
 	}
 	b.Inventory.Limits.WarmShare = 0
-	if b.Warm(b.Machine("amber-3"), Load{}) {
+	if b.IsWarm(b.Machine("amber-3"), Load{}) {
 		t.Error("warm by a measure that is off")
 	}
 }
@@ -43,7 +43,7 @@
 // A machine that is back is in by the word of more than half of its club's gateways that are there, under the grant that stands, and not while
 // something on it is lost.
 func TestWarmByItsClub(t *testing.T) {
-	b := begun(t, Limits{Most: 1, Begin: 1000, Drain: 500, Warm: 60_000, Overdue: 2, Grace: 100, Silent: GoOut})
+	b := begun(t, Limits{Most: 1, Begin: 1000, Drain: 500, Warm: 60_000, Overdue: 2, Grace: 100, MissingAck: ProceedWithoutAck})
 	say := func(at float64, kind, from string, token uint64) any {
 		return b.give(t, kind, Order{At: at, Machine: "amber-2", From: from, Token: token})
 	}
@@ -54,7 +54,7 @@
 	for _, g := range []string{"g1amber", "g2amber", "g1birch", "g2birch"} {
 		say(30, Ack, g, 1)
 	}
-	if r := say(35, Warm, "g1amber", 1); r != ErrStage {
+	if r := say(35, ReportWarm, "g1amber", 1); r != ErrWrongStage {
 		t.Errorf("warm before it went: %v", r)
 	}
 	say(40, Go, "", 1)
@@ -64,25 +64,25 @@
 		token      uint64
 		want       any
 	}{
-		{Warmed, "", 0, ErrCold},
-		{Warm, "g1birch", 1, nil}, // another club's
-		{Warm, "g1amber", 7, ErrOld},
-		{Warm, "g1amber", 1, nil},
-		{Warmed, "", 0, ErrCold}, // one of two
-		{Warm, "g1amber", 1, nil},
-		{Warmed, "", 0, ErrCold}, // twice is once
-		{Warm, "g2amber", 1, nil},
+		{FinishWarming, "", 0, ErrNotWarm},
+		{ReportWarm, "g1birch", 1, nil}, // another club's
+		{ReportWarm, "g1amber", 7, ErrStaleGrant},
+		{ReportWarm, "g1amber", 1, nil},
+		{FinishWarming, "", 0, ErrNotWarm}, // one of two
+		{ReportWarm, "g1amber", 1, nil},
+		{FinishWarming, "", 0, ErrNotWarm}, // twice is once
+		{ReportWarm, "g2amber", 1, nil},
 	} {
 		if r, is := say(60, c.kind, c.from, c.token).(error); is != (c.want != nil) || is && r != c.want {
 			t.Fatalf("%d: %s by %s: %v, want %v", i, c.kind, c.from, r, c.want)
 		}
 	}
 	b.give(t, Lost, Order{At: 70, Names: []string{"e3amber"}})
-	if r := say(70, Warmed, "", 0); r != ErrCold {
+	if r := say(70, FinishWarming, "", 0); r != ErrNotWarm {
 		t.Errorf("in with a cache lost: %v", r)
 	}
 	b.give(t, Lost, Order{At: 70})
-	if say(80, Warmed, "", 0); b.Works["amber-2"] != nil || len(b.Ended) != 1 {
+	if say(80, FinishWarming, "", 0); b.Works["amber-2"] != nil || len(b.Ended) != 1 {
 		t.Errorf("not in: %+v, %+v", b.Works["amber-2"], b.Ended)
 	}
 }
@@ -96,7 +96,7 @@
 	for _, g := range []string{"g2amber", "g1birch", "g2birch"} {
 		b.give(t, Ack, Order{At: 40, Machine: "amber-1", Token: 1, From: g})
 	}
-	b.Member("g1birch", 99, true)
+	b.SetGateway("g1birch", 99, true)
 	if r := b.give(t, Go, Order{At: 50, Machine: "amber-1", Token: 1}); r != ErrWaits {
 		t.Errorf("it goes: %v", r)
 	}
@@ -110,25 +110,25 @@
 // goes before them.
 func TestGauge(t *testing.T) {
 	b := begun(t, Limits{Reserve: 0.5})
-	day, lost := 24*hour, 0
-	var g Gauge
+	day, lost := 24*hourMillis, 0
+	var g PeakMeter
 	rate := func(at float64) float64 { return 10 + 8*math.Sin(at/day*2*math.Pi) }
 	told := 0
 	for at := 100 * day; at < 102*day; at += 10_000 {
-		if o := g.See(at, Load{Rate: rate(at)}, b, "g1amber"); o != nil {
+		if o := g.Observe(at, Load{Rate: rate(at)}, b, "g1amber"); o != nil {
 			if told++; told%3 == 0 {
 				lost++
 				continue // it goes out again
 			}
-			b.give(t, Measured, *o)
+			b.give(t, ReportPeak, *o)
 		}
 	}
 	for h := range 24 {
 		want := 0.0
-		for at := 101*day + float64(h)*hour; at < 101*day+float64(h+1)*hour; at += 10_000 {
+		for at := 101*day + float64(h)*hourMillis; at < 101*day+float64(h+1)*hourMillis; at += 10_000 {
 			want = max(want, rate(at))
 		}
-		if got := b.Measured["g1amber"][h]; h < 23 && math.Abs(got-want) > 1e-9 {
+		if got := b.MeasuredPeaks["g1amber"][h]; h < 23 && math.Abs(got-want) > 1e-9 {
 			t.Errorf("hour %d: %v, want %v", h, got, want)
 		}
 	}
@@ -136,33 +136,33 @@
 		t.Errorf("the log was told %d times", told)
 	}
 	// One that begins anew late in an hour, and measures little of it, takes nothing of the day before away.
-	anew, known := Gauge{}, b.Measured["g1amber"][10]
-	for at := 102*day + 10*hour + 50*60_000; at < 102*day+11*hour+120_000; at += 10_000 {
-		if o := anew.See(at, Load{Rate: 1}, b, "g1amber"); o != nil {
-			b.give(t, Measured, *o)
+	anew, known := PeakMeter{}, b.MeasuredPeaks["g1amber"][10]
+	for at := 102*day + 10*hourMillis + 50*60_000; at < 102*day+11*hourMillis+120_000; at += 10_000 {
+		if o := anew.Observe(at, Load{Rate: 1}, b, "g1amber"); o != nil {
+			b.give(t, ReportPeak, *o)
 		}
 	}
-	if got := b.Measured["g1amber"][10]; got != known {
+	if got := b.MeasuredPeaks["g1amber"][10]; got != known {
 		t.Errorf("ten minutes of little took the place of %v: %v", known, got)
 	}
-	if r := b.give(t, Measured, Order{From: "nobody", Peak: 1}); r != ErrBad {
+	if r := b.give(t, ReportPeak, Order{From: "nobody", Peak: 1}); r != ErrMalformed {
 		t.Errorf("of nobody: %v", r)
 	}
 	// 10 and 20 are carried at amber; with a half in reserve the first may go where the peak is at most 13.3.
-	b.Now = 101*day + 18*hour
-	if why := b.tally().fits(b.Machine("amber-1"), b.Now, b.Now+1000); why != "" {
+	b.Now = 101*day + 18*hourMillis
+	if why := b.countOutages().blockedBy(b.Machine("amber-1"), b.Now, b.Now+1000); why != "" {
 		t.Errorf("at the quiet hour: %s", why)
 	}
-	b.Now = 101*day + 5*hour
-	if why := b.tally().fits(b.Machine("amber-1"), b.Now, b.Now+1000); why == "" {
+	b.Now = 101*day + 5*hourMillis
+	if why := b.countOutages().blockedBy(b.Machine("amber-1"), b.Now, b.Now+1000); why == "" {
 		t.Error("at the peak it may go")
 	}
-	b.give(t, Peak, Order{Club: "amber", Hour: 5, Peak: 3})
-	if why := b.tally().fits(b.Machine("amber-1"), b.Now, b.Now+1000); why != "" {
+	b.give(t, SetPeak, Order{Club: "amber", Hour: 5, Peak: 3})
+	if why := b.countOutages().blockedBy(b.Machine("amber-1"), b.Now, b.Now+1000); why != "" {
 		t.Errorf("by an operator's word: %s", why)
 	}
-	b.give(t, Peak, Order{Club: "amber", Hour: 5})
-	if why := b.tally().fits(b.Machine("amber-1"), b.Now, b.Now+1000); why == "" {
+	b.give(t, SetPeak, Order{Club: "amber", Hour: 5})
+	if why := b.countOutages().blockedBy(b.Machine("amber-1"), b.Now, b.Now+1000); why == "" {
 		t.Error("the word was taken back")
 	}
 }
@@ -172,17 +172,17 @@
 func TestGaugeTellsWhatWas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := begun(t, Limits{})
-		var g Gauge
-		at, hours := 50*24*hour, map[float64][]float64{}
+		var g PeakMeter
+		at, hours := 50*24*hourMillis, map[float64][]float64{}
 		for range rapid.IntRange(1, 60).Draw(t, "measures") {
 			at += rapid.SampledFrom([]float64{1000, 60_000, 600_000, 1_800_000, 4_000_000}).Draw(t, "ms")
 			if rapid.IntRange(0, 9).Draw(t, "anew") == 0 {
-				g = Gauge{}
+				g = PeakMeter{}
 			}
 			rate := float64(rapid.IntRange(0, 50).Draw(t, "rate"))
-			h := math.Floor(at / hour)
+			h := math.Floor(at / hourMillis)
 			hours[h] = append(hours[h], rate)
-			o := g.See(at, Load{Rate: rate}, b, "g1amber")
+			o := g.Observe(at, Load{Rate: rate}, b, "g1amber")
 			if o == nil {
 				continue
 			}
@@ -196,7 +196,7 @@
 				t.Fatalf("told %v of hour %d, of %v", o.Peak, o.Hour, hours)
 			}
 			if rapid.Bool().Draw(t, "agreed") {
-				b.give(t, Measured, *o)
+				b.give(t, ReportPeak, *o)
 			}
 		}
 	})
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -6,69 +6,70 @@
 	"slices"
 )
 
-// Slot is when a machine is expected to go and to be in again.
+// Slot is a machine's planned maintenance window: when it is expected to leave and to be back in service.
 type Slot struct {
 	Machine string  `json:"machine"`
 	ID      string  `json:"id"`
 	Start   float64 `json:"start"`
 	End     float64 `json:"end"`
 	By      float64 `json:"by,omitempty"`
-	Late    bool    `json:"late,omitempty"`  // its deadline can't be kept
-	Limit   string  `json:"limit,omitempty"` // what kept it from going sooner, last
-	Never   bool    `json:"never,omitempty"` // by the limits as they are it does not go at all
+	Late    bool    `json:"late,omitempty"`  // it misses its deadline
+	Limit   string  `json:"limit,omitempty"` // what kept it from leaving earlier; the last such limit for a request with a deadline, else the first
+	Never   bool    `json:"never,omitempty"` // under the current limits it never leaves
 }
 
-// Plan is the whole schedule, worked out from the agreed state alone: whoever works it out gets the same. Of those that wait, the one
-// goes first whose deadline is earliest and can be kept, then the one that takes least from its club, then the one that waits for
-// longest; whatever fits beside what is out goes along.
+// Plan computes the whole schedule from the replicated state alone, so every gateway computes the same one. It is greedy: among queued
+// machines, those whose deadline can be met come first, ordered by deadline; then those that miss it; then those without one. Ties go
+// to the machine with the smallest share of its club's capacity, then to the earliest request. Every machine that the limits allow
+// beside the current outages leaves at once.
 func (b *Book) Plan() []Slot {
-	t, l, now := b.tally(), b.Inventory.Limits, b.Now
-	type running struct {
+	counts, l, now := b.countOutages(), b.Inventory.Limits, b.Now
+	type activeOutage struct {
 		m   *Machine
-		at  spot
+		at  placement
 		end float64
 	}
-	type waiting struct {
-		w      *Work
-		m      *Machine
-		at     spot
-		harm   float64
-		whole  float64 // ms from its turn until it is in again
-		hurt   bool
-		limit  limit  // that keeps it now
-		before string // what did last
+	type queuedMachine struct {
+		w             *Work
+		m             *Machine
+		at            placement
+		capacityShare float64 // of its club's remaining capacity
+		duration      float64 // ms from its grant until it is back in service
+		degraded      bool
+		limit         limit  // that blocks it now
+		blockedBy     string // as reported in its slot
 	}
 	machines := make(map[string]*Machine, len(b.Inventory.Machines))
 	for i := range b.Inventory.Machines {
 		machines[b.Inventory.Machines[i].Name] = &b.Inventory.Machines[i]
 	}
-	// What should be in again and is not takes its place for a little longer: nobody knows until when.
-	soon := func(end float64) float64 { return max(end, b.Now+1000) }
-	var out []running
-	var wait []*waiting
+	// A machine that should be back by now is expected a little later, as its return time is unknown.
+	expectedEnd := func(end float64) float64 { return max(end, b.Now+1000) }
+	var out []activeOutage
+	var queue []*queuedMachine
 	for name, w := range b.Works {
 		m := machines[name]
 		if m == nil {
 			continue
 		}
-		at := t.spot(m)
+		at := counts.place(m)
 		switch {
 		case w.Stage == Asked:
-			wait = append(wait, &waiting{w: w, m: m, at: at, harm: m.Carries / max(1e-9, t.carried[at.club]), whole: l.Drain + w.Request.Takes + l.Warm, hurt: b.hurt(m)})
-		case w.Stage == Overdue || b.hurt(m): // nobody knows until when
+			queue = append(queue, &queuedMachine{w: w, m: m, at: at, capacityShare: m.Carries / max(1e-9, counts.capacity[at.club]), duration: l.Drain + w.Request.Takes + l.Warm, degraded: b.isDegraded(m)})
+		case w.Stage == Overdue || b.isDegraded(m): // its return time is unknown
 		case w.Stage == Warming:
-			out = append(out, running{m, at, soon(w.Since + l.Warm)})
+			out = append(out, activeOutage{m, at, expectedEnd(w.Since + l.Warm)})
 		case w.Stage == Out:
-			out = append(out, running{m, at, soon(w.Since + w.Request.Takes + l.Warm)})
+			out = append(out, activeOutage{m, at, expectedEnd(w.Since + w.Request.Takes + l.Warm)})
 		default:
-			out = append(out, running{m, at, soon(w.Since + l.Drain + w.Request.Takes + l.Warm)})
+			out = append(out, activeOutage{m, at, expectedEnd(w.Since + l.Drain + w.Request.Takes + l.Warm)})
 		}
 	}
-	slices.SortFunc(wait, func(x, y *waiting) int {
-		bx, by := cmp.Or(x.w.Request.By, math.Inf(1)), cmp.Or(y.w.Request.By, math.Inf(1))
-		return cmp.Or(cmp.Compare(bx, by), cmp.Compare(x.harm, y.harm), cmp.Compare(x.w.Asked, y.w.Asked), cmp.Compare(x.m.Name, y.m.Name))
+	slices.SortFunc(queue, func(x, y *queuedMachine) int {
+		deadlineX, deadlineY := cmp.Or(x.w.Request.By, math.Inf(1)), cmp.Or(y.w.Request.By, math.Inf(1))
+		return cmp.Or(cmp.Compare(deadlineX, deadlineY), cmp.Compare(x.capacityShare, y.capacityShare), cmp.Compare(x.w.RequestIndex, y.w.RequestIndex), cmp.Compare(x.m.Name, y.m.Name))
 	})
-	// A deadline that can be kept goes before one that can't, and that before none.
+	// A request whose deadline can be met precedes one that misses it, which precedes one without a deadline.
 	rank := func(w *Work) int {
 		switch r := &w.Request; {
 		case r.By == 0:
@@ -79,60 +80,60 @@
 		return 0
 	}
 	var slots []Slot
-	for len(wait) > 0 {
-		next, passed := math.Inf(1), t.passed() != ""
-		gone := map[*waiting]bool{}
-		for turn := range 3 {
-			for _, x := range wait {
-				if gone[x] || rank(x.w) != turn {
+	for len(queue) > 0 {
+		next, exceeded := math.Inf(1), counts.exceeded() != ""
+		granted := map[*queuedMachine]bool{}
+		for pass := range 3 {
+			for _, q := range queue {
+				if granted[q] || rank(q.w) != pass {
 					continue
 				}
-				if x.w.Request.NotBefore > now {
-					next = min(next, x.w.Request.NotBefore)
+				if q.w.Request.NotBefore > now {
+					next = min(next, q.w.Request.NotBefore)
 					continue
 				}
-				peak := t.peak(x.at.club, now, now+x.whole)
+				peak := counts.peak(q.at.club, now, now+q.duration)
 				switch {
-				case x.hurt:
-					x.limit = hurts
-				case passed:
-					x.limit = passes
+				case q.degraded:
+					q.limit = limitDegraded
+				case exceeded:
+					q.limit = limitExceeded
 				default:
-					x.limit = t.check(x.m, x.at, peak)
+					q.limit = counts.firstLimit(q.m, q.at, peak)
 				}
-				if x.limit != free {
-					if x.before == "" || x.w.Request.By > 0 {
-						x.before = t.words(x.limit, x.m, x.at, peak)
+				if q.limit != noLimit {
+					if q.blockedBy == "" || q.w.Request.By > 0 {
+						q.blockedBy = counts.describe(q.limit, q.m, q.at, peak)
 					}
 					continue
 				}
-				late := turn == 1
-				if late && x.before == "" {
-					x.before = "by: sooner than it takes, with the time to drain"
+				late := pass == 1
+				if late && q.blockedBy == "" {
+					q.blockedBy = "by: sooner than it takes, with the time to drain"
 				}
-				t.add(x.m, x.at, 1)
-				gone[x] = true
-				out = append(out, running{x.m, x.at, now + x.whole})
-				slots = append(slots, Slot{Machine: x.m.Name, ID: x.w.Request.ID, Start: now, End: now + x.whole, By: x.w.Request.By, Late: late, Limit: x.before})
+				counts.add(q.m, q.at, 1)
+				granted[q] = true
+				out = append(out, activeOutage{q.m, q.at, now + q.duration})
+				slots = append(slots, Slot{Machine: q.m.Name, ID: q.w.Request.ID, Start: now, End: now + q.duration, By: q.w.Request.By, Late: late, Limit: q.blockedBy})
 			}
 		}
-		wait = slices.DeleteFunc(wait, func(x *waiting) bool { return gone[x] })
+		queue = slices.DeleteFunc(queue, func(q *queuedMachine) bool { return granted[q] })
 		for _, r := range out {
 			next = min(next, r.end)
 		}
-		if h := (math.Floor(now/hour) + 1) * hour; math.IsInf(next, 1) && h < b.Now+25*hour {
-			next = h // nothing ends; the peak of another hour may let it go
+		if h := (math.Floor(now/hourMillis) + 1) * hourMillis; math.IsInf(next, 1) && h < b.Now+25*hourMillis {
+			next = h // no outage ends; the lower peak of another hour may allow a machine to leave
 		}
-		if len(wait) > 0 && (math.IsInf(next, 1) || next > b.Now+400*24*hour) {
-			for _, x := range wait {
-				slots = append(slots, Slot{Machine: x.m.Name, ID: x.w.Request.ID, By: x.w.Request.By, Late: x.w.Request.By > 0, Limit: x.before, Never: true})
+		if len(queue) > 0 && (math.IsInf(next, 1) || next > b.Now+400*24*hourMillis) {
+			for _, q := range queue {
+				slots = append(slots, Slot{Machine: q.m.Name, ID: q.w.Request.ID, By: q.w.Request.By, Late: q.w.Request.By > 0, Limit: q.blockedBy, Never: true})
 			}
 			break
 		}
 		now = max(now, next)
-		out = slices.DeleteFunc(out, func(r running) bool {
+		out = slices.DeleteFunc(out, func(r activeOutage) bool {
 			if r.end <= now {
-				t.add(r.m, r.at, -1)
+				counts.add(r.m, r.at, -1)
 			}
 			return r.end <= now
 		})
--- a/internal/maintenance/report.go
+++ b/internal/maintenance/report.go
@@ -5,64 +5,65 @@
 	"slices"
 )
 
-// Hurt tells whether something that stands on a machine is lost, or drained by the list.
-func (b *Book) Hurt(name string) bool {
+// Degraded tells whether part of a machine is lost, or drained in the node list.
+func (b *Book) Degraded(name string) bool {
 	m := b.Machine(name)
-	return m != nil && b.hurt(m)
+	return m != nil && b.isDegraded(m)
 }
 
-// Strangers names gateways that are members and stand on no machine of the inventory, and those of it that never announced themselves.
-func (b *Book) Strangers() (all []string) {
+// InventoryMismatches lists members that are on no machine of the inventory, and gateways of the inventory that never announced
+// themselves.
+func (b *Book) InventoryMismatches() (mismatches []string) {
 	known := map[string]bool{}
 	for _, m := range b.Inventory.Machines {
 		for _, g := range m.Gateways {
 			if known[g] = true; b.Gateways[g].Incarnation == 0 {
-				all = append(all, g+": on machine "+m.Name+", and never announced itself")
+				mismatches = append(mismatches, g+": on machine "+m.Name+", and never announced itself")
 			}
 		}
 	}
 	for _, g := range slices.Sorted(maps.Keys(b.Gateways)) {
-		if !known[g] && b.Gateways[g].There {
-			all = append(all, g+": announced itself, and stands on no machine")
+		if !known[g] && b.Gateways[g].Live {
+			mismatches = append(mismatches, g+": announced itself, and stands on no machine")
 		}
 	}
-	return all
+	return mismatches
 }
 
-// Near tells of each limit that is set how much of it is taken.
-func (b *Book) Near() map[string][2]float64 {
-	t, l, near := b.tally(), b.Inventory.Limits, map[string][2]float64{}
+// LimitUsage returns, for each configured limit, how much of it is used and its size.
+func (b *Book) LimitUsage() map[string][2]float64 {
+	counts, l, usage := b.countOutages(), b.Inventory.Limits, map[string][2]float64{}
 	if l.Most > 0 {
-		near["most"] = [2]float64{float64(t.out), float64(l.Most)}
+		usage["most"] = [2]float64{float64(counts.machinesOut), float64(l.Most)}
 	}
-	for key, i := range t.index {
+	for key, i := range counts.index {
 		switch {
 		case key[0] == 'c' && l.PerClub > 0:
-			near["per_club "+key[1:]] = [2]float64{float64(t.clubs[i]), float64(l.PerClub)}
+			usage["per_club "+key[1:]] = [2]float64{float64(counts.outByClub[i]), float64(l.PerClub)}
 		case key[0] == 'z' && l.PerZone > 0 && key != "z":
-			near["per_zone "+key[1:]] = [2]float64{float64(t.zones[i]), float64(l.PerZone)}
+			usage["per_zone "+key[1:]] = [2]float64{float64(counts.outByZone[i]), float64(l.PerZone)}
 		}
 	}
-	for name, x := range map[string][3]float64{"gateways": {l.Gateways, float64(t.gateways), float64(t.all[0])}, "boxes": {l.Boxes, float64(t.boxes), float64(t.all[1])},
-		"hubs": {l.Hubs, float64(t.hubs), float64(t.all[2])}} {
-		if x[0] > 0 {
-			near[name] = [2]float64{x[1], x[0] * x[2]}
+	for name, values := range map[string][3]float64{"gateways": {l.Gateways, float64(counts.gatewaysOut), float64(counts.totals[0])}, "boxes": {l.Boxes, float64(counts.boxesOut), float64(counts.totals[1])},
+		"hubs": {l.Hubs, float64(counts.hubsOut), float64(counts.totals[2])}} {
+		if values[0] > 0 {
+			usage[name] = [2]float64{values[1], values[0] * values[2]}
 		}
 	}
 	for _, club := range b.clubs() {
-		if peak := t.peak(t.index["c"+club], b.Now, b.Now); peak > 0 {
-			near["reserve "+club] = [2]float64{peak * (1 + l.Reserve), t.carried[t.index["c"+club]]}
+		if peak := counts.peak(counts.index["c"+club], b.Now, b.Now); peak > 0 {
+			usage["reserve "+club] = [2]float64{peak * (1 + l.Reserve), counts.capacity[counts.index["c"+club]]}
 		}
 	}
-	return near
+	return usage
 }
 
-// Going are the gateways that are about to go, or have gone, for work.
-func (b *Book) Going() (all []string) {
+// LeavingGateways returns the gateways on machines that are about to leave or are out for maintenance.
+func (b *Book) LeavingGateways() (gateways []string) {
 	for _, name := range slices.Sorted(maps.Keys(b.Works)) {
 		if m := b.Machine(name); m != nil && b.Works[name].Stage >= Granted && b.Works[name].Stage != Warming {
-			all = append(all, m.Gateways...)
+			gateways = append(gateways, m.Gateways...)
 		}
 	}
-	return all
+	return gateways
 }
--- a/internal/maintenance/night_test.go
+++ b/internal/maintenance/simulation_test.go
@@ -32,7 +32,7 @@
 func (n *night) play(policy func(n *night) []string) float64 {
 	n.t.Helper()
 	changed := ""
-	for ; n.now < 48*hour; n.now += 1000 {
+	for ; n.now < 48*hourMillis; n.now += 1000 {
 		open := 0
 		for _, m := range n.b.Inventory.Machines {
 			if until, lost := n.lostFor[m.Name]; lost && n.now >= until {
@@ -62,8 +62,8 @@
 					}
 				}
 			case Draining:
-				for _, name := range n.b.Waits(w, n.b.Machine(m.Name)) {
-					if n.now >= n.acks[m.Name][name] && n.b.Gateways[name].There {
+				for _, name := range n.b.PendingAcks(w, n.b.Machine(m.Name)) {
+					if n.now >= n.acks[m.Name][name] && n.b.Gateways[name].Live {
 						n.give(Ack, Order{Machine: m.Name, Token: w.Token, From: name})
 					}
 				}
@@ -98,7 +98,7 @@
 
 func (n *night) lose(m Machine, gone bool) {
 	for _, g := range m.Gateways {
-		n.b.Member(g, n.b.Gateways[g].Incarnation+1, !gone)
+		n.b.SetGateway(g, n.b.Gateways[g].Incarnation+1, !gone)
 	}
 	var names []string
 	for x := range n.b.Lost {
@@ -138,7 +138,7 @@
 		t.Fatal(r)
 	}
 	for x := range 300 {
-		n.b.Member(fmt.Sprintf("g%03d", x), uint64(x+1), true)
+		n.b.SetGateway(fmt.Sprintf("g%03d", x), uint64(x+1), true)
 	}
 	clubs, sum := map[string]float64{}, 0.0
 	for range 60 {
@@ -212,7 +212,7 @@
 			}
 		}
 		took[p.name] = end / bound
-		t.Logf("%s: %d done in %.1f h, %.2f times the least of %.1f h; at most %d out; %d s past a limit by loss alone", p.name, done, end/hour, end/bound, bound/hour, n.worst, n.over)
+		t.Logf("%s: %d done in %.1f h, %.2f times the least of %.1f h; at most %d out; %d s past a limit by loss alone", p.name, done, end/hourMillis, end/bound, bound/hourMillis, n.worst, n.over)
 		if p.name != "one after another" && n.worst < 6 {
 			t.Errorf("%s: never more than %d out", p.name, n.worst)
 		}
