--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -14,7 +14,7 @@
 	End     float64 `json:"end"`
 	By      float64 `json:"by,omitempty"`
 	Late    bool    `json:"late,omitempty"`  // it misses its deadline
-	Limit   string  `json:"limit,omitempty"` // what kept it from leaving earlier; the last such limit for a request with a deadline, else the first
+	Limit   string  `json:"limit,omitempty"` // what kept it from leaving earlier: the last limit, or the first if it has no deadline
 	Never   bool    `json:"never,omitempty"` // under the current limits it never leaves
 }
 
--- a/internal/maintenance/state.go
+++ b/internal/maintenance/state.go
@@ -355,8 +355,8 @@
 			return Refused{"something on it is lost or drained"}
 		}
 		counts := b.countOutages()
-		if reason := cmp.Or(counts.exceeded(), counts.blockedBy(m, b.Now, b.Now+w.Request.Takes+b.Inventory.Limits.Warm)); reason != "" { // nothing is granted while a loss exceeds any limit
-			return Refused{reason}
+		if reason := cmp.Or(counts.exceeded(), counts.blockedBy(m, b.Now, b.Now+w.Request.Takes+b.Inventory.Limits.Warm)); reason != "" {
+			return Refused{reason} // also for any machine while a loss exceeds a limit
 		}
 		if ok = b.transition(o.Machine, w, Granted, Scheduler, Grant, "its turn"); ok {
 			b.LastToken++
--- a/internal/maintenance/types.go
+++ b/internal/maintenance/types.go
@@ -24,12 +24,12 @@
 // Limits bound concurrent outages. Machines in maintenance, lost, draining or warming up all count as out.
 type Limits struct {
 	Most       int              `cbor:"1,keyasint" json:"most"`      // machines in total; 0 means no limit, here and in the fields below
-	PerClub    int              `cbor:"2,keyasint" json:"per_club"`  //
-	PerZone    int              `cbor:"3,keyasint" json:"per_zone"`  //
-	Gateways   float64          `cbor:"4,keyasint" json:"gateways"`  // share of all gateways; the next two likewise for edge caches and hubs
-	Boxes      float64          `cbor:"5,keyasint" json:"boxes"`     //
-	Hubs       float64          `cbor:"6,keyasint" json:"hubs"`      //
-	Reserve    float64          `cbor:"7,keyasint" json:"reserve"`   // share of the club's peak load that the remaining capacity must exceed that peak by
+	PerClub    int              `cbor:"2,keyasint" json:"per_club"`  // machines per club
+	PerZone    int              `cbor:"3,keyasint" json:"per_zone"`  // machines per zone
+	Gateways   float64          `cbor:"4,keyasint" json:"gateways"`  // share of all gateways
+	Boxes      float64          `cbor:"5,keyasint" json:"boxes"`     // share of all edge caches
+	Hubs       float64          `cbor:"6,keyasint" json:"hubs"`      // share of all hubs
+	Reserve    float64          `cbor:"7,keyasint" json:"reserve"`   // spare capacity a club must keep beyond its peak load, as a share of that peak
 	Begin      float64          `cbor:"8,keyasint" json:"begin_ms"`  // a granted machine that does not start to drain within this time loses its grant
 	Drain      float64          `cbor:"9,keyasint" json:"drain_ms"`  // time within which all live gateways have to acknowledge the drain
 	MissingAck MissingAckPolicy `cbor:"10,keyasint" json:"silent"`   // what happens when an acknowledgement is missing after that
@@ -76,7 +76,7 @@
 	Asked          // requested, and queued for a grant
 	Granted        // allowed to start draining
 	Draining       // gateways stop using it and acknowledge once they have
-	Out            //
+	Out            // left for maintenance
 	Overdue        // out for longer than requested; it still counts towards the limits
 	Warming        // returned, and not yet warm
 	stageCount
