--- a/internal/maintenance/types.go
+++ b/internal/maintenance/types.go
@@ -70,7 +70,7 @@
 // Stage is a machine's state in its maintenance window.
 type Stage int
 
-// The stageCount.
+// The stages, in the order of a maintenance window.
 const (
 	In       Stage = iota
 	Asked          // requested, and queued for a grant
