--- a/internal/quorum/drive/block.go
+++ b/internal/quorum/drive/block.go
@@ -10,15 +10,15 @@
 	"poppymill/internal/quorum"
 )
 
-// Block is what an operator says of the agreement among gateways; off unless it stands in the file.
+// Block is the block quorum of an operator's file. Without it the gateway takes no part in a replicated log.
 type Block struct {
 	On       bool
-	Listen   string // for peers; a private address, as peers speak plain frames
-	Store    string // folder; empty: this gateway only follows
+	Listen   string // address for peers; should be private, as frames are not encrypted
+	Store    string // directory; empty: this gateway only follows
 	Settings quorum.Settings
 }
 
-// Fields are those of the block quorum.
+// Fields returns the fields of the block quorum.
 func (b *Block) Fields() []operator.Field {
 	b.On, b.Settings = true, quorum.Defaults()
 	s := &b.Settings
@@ -37,8 +37,8 @@
 		operator.Attr("keep", operator.Whole(&s.Keep, 16, 1_000_000)),
 		operator.Attr("members", operator.Whole(&s.Members, 3, 5000)),
 		operator.Block("peer", []string{"name"}, func(labels []string, _ int) ([]operator.Field, error) {
-			if _, twice := s.Peers[labels[0]]; twice {
-				return nil, errors.New("stands twice")
+			if _, duplicate := s.Peers[labels[0]]; duplicate {
+				return nil, errors.New("defined twice")
 			}
 			address := ""
 			s.Peers[labels[0]] = ""
@@ -54,26 +54,27 @@
 	}
 }
 
+// check validates the block as a whole.
 func (b *Block) check() error {
 	s := b.Settings
 	switch n := len(s.Founders); {
 	case n != 0 && n != 1 && n != 3 && n != 5 && n != 7:
-		return fmt.Errorf("founders: %d of them; 1, 3, 5 or 7 can vote", n)
+		return fmt.Errorf("founders: %d given, must be 1, 3, 5 or 7", n)
 	case s.Votes != 0 && s.Votes%2 == 0:
-		return fmt.Errorf("votes: %d of them; 1, 3, 5 or 7 can vote", s.Votes)
+		return fmt.Errorf("votes: %d given, must be 1, 3, 5 or 7", s.Votes)
 	case s.Election < 5*s.Beat:
-		return errors.New("election: must be at least five beats")
+		return errors.New("election: must be at least five times beat")
 	case s.Lease < 2*s.Election:
-		return errors.New("lease: must be at least two elections, or a change of leader would look like a loss")
+		return errors.New("lease: must be at least twice election, or members would be declared silent during a change of leader")
 	case len(s.Peers) == 0 && n > 1:
-		return errors.New("peer: none is named, and founders are several")
+		return errors.New("peer: at least one is required with more than one founder")
 	}
 	host, _, err := net.SplitHostPort(b.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	if ip := net.ParseIP(host); s.Address == "" && (host == "" || ip != nil && ip.IsUnspecified()) {
-		return fmt.Errorf("address: missing, and listen %q tells peers no place to reach this gateway", b.Listen)
+		return fmt.Errorf("address: missing, and peers can't connect to the listen address %q", b.Listen)
 	}
 	return nil
 }
--- a/internal/quorum/drive/council.go
+++ b/internal/quorum/drive/council.go
@@ -1,4 +1,5 @@
-// Package drive puts sockets, a disk and a clock round the agreement of package quorum.
+// Package drive runs a node of the replicated log of package quorum: it provides the connections to peers, the store on
+// disk and the clock, and an event loop that hosts the subsystems built on the log.
 package drive
 
 import (
@@ -21,91 +22,103 @@
 	"poppymill/internal/quorum"
 )
 
-// inboxMost bounds what waits for the loop; frames beyond it are lost, as on a network.
-const inboxMost = 4096
+// inboxCapacity limits the events queued for the loop. Further ones are dropped, as frames may be on a network.
+const inboxCapacity = 4096
 
-// Council is one gateway's part in the agreement, running. Its loop is its own: nothing that serves downloads waits for it.
+// Council runs one gateway's node of the replicated log. It has an event loop of its own, which nothing that serves
+// downloads waits for.
 type Council struct {
-	node  *quorum.Node
-	peers *peers
-	store *store // nil: no disk, it only follows
-	disk  chan quorum.Record
-	inbox chan any
-	log   logrus.FieldLogger
-	start time.Time
-	token uint64
-	waits map[uint64]func(quorum.Outcome)
-	part  Part     // nil: none
-	told  Followed // as the part knows it
-	news  bool     // the log went on since
+	node      *quorum.Node
+	peers     *peers
+	store     *store             // nil: this gateway only follows
+	writes    chan quorum.Record // to the goroutine that writes to the store
+	inbox     chan any
+	log       logrus.FieldLogger
+	start     time.Time
+	lastToken uint64
+	pending   map[uint64]func(quorum.Outcome) // callbacks of the proposed commands, by token
+	part      Part                            // nil: none
+	notified  Followed                        // the last state passed to the part; Restored: not passed on yet
+	advanced  bool                            // whether the log advanced since
 }
 
+// call is a function in the inbox, to be called by the loop.
 type call func()
 
-// Part is what else lives in the council's loop, on what is agreed. All of it is called from that loop and must not wait.
+// Part is a subsystem that runs in the council's loop on top of the replicated log. Its methods are called from that
+// loop and must not block.
 type Part interface {
+	// Books returns its state machines by name.
 	Books() map[string]quorum.Book
-	// Begin hands it the council, before anything else.
+	// Begin passes it the council, before any event.
 	Begin(c *Council)
-	// Handle takes a Followed, an Asked, a Leaving or whatever was handed to Council.Post; nil only lets time pass.
+	// Handle processes a Followed, an Asked, a Leaving or an event passed to Council.Post; nil only advances the time.
 	Handle(now float64, e any)
+	// Next returns when Handle has to be called again at the latest, in ms.
 	Next() float64
-	// Tell answers a person's question; what it gives is told as JSON.
+	// Tell answers an operator's query. The answer is sent as JSON.
 	Tell(about, name string) (any, error)
-	// Allow tells whether a person may have a command agreed.
+	// Allow returns an error if an operator may not propose a command.
 	Allow(quorum.Command) error
-	// Idle tells whether it may end, after a Leaving.
+	// Idle reports whether the process may end, after a Leaving.
 	Idle() bool
+	// Close releases its resources when the loop ends.
 	Close() error
 }
 
 // Events of a Part.
 type (
-	// Followed tells that the log went on, or that this gateway stands otherwise in it. Incarnation 0: it may ask for nothing.
+	// Followed reports that the log advanced, or that this gateway's own state in it changed. With incarnation 0 the
+	// gateway must not propose commands.
 	Followed struct {
 		Name        string
 		Incarnation uint64
 		Leads       bool
-		Restored    bool // a whole state came in the place of what was followed
+		Restored    bool // a snapshot replaced the whole state
 	}
-	// Asked is a frame of a peer's that the agreement does not look into; Answer may be called from anywhere.
+	// Asked is a peer's request that is not part of the replication itself. Answer may be called from any goroutine.
 	Asked struct {
 		From   string
 		Frame  quorum.Frame
 		Answer func(quorum.Frame)
 	}
-	// Leaving tells that this gateway is about to end.
+	// Leaving announces that this process is about to end.
 	Leaving struct{}
 )
 
-// handOver bounds how long a gateway that leaves waits until what it had is another's.
-const handOver = 700 * time.Millisecond
+const (
+	// handOverTimeout limits how long a process that leaves waits until other gateways have taken over its work.
+	handOverTimeout = 700 * time.Millisecond
+	// leaveFlushTime is the time between the announcement that this process leaves and its end, so that the frames are sent.
+	leaveFlushTime = 100 * time.Millisecond
+)
 
-// Open reads the store, listens, and is ready to Run with so many connections at most. Without a store, or with one that can't be
-// used, this gateway follows and never votes; the log says why.
-func Open(b Block, name, zone string, conns int, part Part, log logrus.FieldLogger) (*Council, error) {
+// Open reads the store and listens for peers, with maxConns connections at most; Run then starts the loop. Without a
+// store, or with an unusable one, this gateway follows and never votes. An unusable store is logged with its error.
+func Open(b Block, name, zone string, maxConns int, part Part, log logrus.FieldLogger) (*Council, error) {
 	var books map[string]quorum.Book
 	if part != nil {
 		books = part.Books()
 	}
-	c := &Council{part: part, inbox: make(chan any, inboxMost), disk: make(chan quorum.Record, 1), log: log, start: time.Now(), waits: map[uint64]func(quorum.Outcome){}}
+	c := &Council{part: part, inbox: make(chan any, inboxCapacity), writes: make(chan quorum.Record, 1), log: log, start: time.Now(), pending: map[uint64]func(quorum.Outcome){}}
 	var seed [16]byte
 	rand.Read(seed[:])
-	set := b.Settings
-	set.Name, set.Zone, set.Seed = name, zone, binary.LittleEndian.Uint64(seed[:])
-	var held quorum.Store
+	settings := b.Settings
+	settings.Name, settings.Zone, settings.Seed = name, zone, binary.LittleEndian.Uint64(seed[:])
+	var stored quorum.Store
 	if b.Store != "" {
 		if err := os.MkdirAll(b.Store, 0o700); err != nil {
-			log.WithError(err).Error("quorum: the store's folder can't be made")
+			log.WithError(err).Error("quorum: the store's directory can't be created")
 		}
 		path := filepath.Join(b.Store, "agreed")
 		var err error
-		if c.store, held, err = openStore(path); err != nil && checked.Spoilt(err) {
-			// What it holds can't be trusted, its identity least of all: it goes aside, and this gateway joins as somebody else.
+		if c.store, stored, err = openStore(path); err != nil && checked.Spoilt(err) {
+			// Nothing in a corrupt store can be trusted, least of all its identity: it is moved aside, and this gateway
+			// joins under a new identity.
 			aside := fmt.Sprintf("%s.spoilt-%d", path, time.Now().Unix())
-			log.WithError(err).WithField("aside", aside).Error("quorum: the store is spoilt: this gateway joins anew as somebody else")
+			log.WithError(err).WithField("aside", aside).Error("quorum: the store is corrupt: this gateway joins under a new identity")
 			if err = os.Rename(path, aside); err == nil {
-				c.store, held, err = openStore(path)
+				c.store, stored, err = openStore(path)
 			}
 		}
 		if err != nil {
@@ -113,34 +126,34 @@
 		}
 	}
 	if c.store == nil {
-		set.Founders, set.Diskless = nil, true
+		settings.Founders, settings.Diskless = nil, true
 	}
 	l, err := net.Listen("tcp", b.Listen)
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("quorum: listen: %w", err), c.shut())
+		return nil, errors.Join(fmt.Errorf("quorum: listen: %w", err), c.closeStore())
 	}
-	if set.Address == "" {
-		set.Address = l.Addr().String()
+	if settings.Address == "" {
+		settings.Address = l.Addr().String()
 	}
 	nonce := binary.LittleEndian.Uint64(seed[8:]) | 1
-	c.told.Name = name
-	if c.node, err = begin(set, held, books, nonce, c.now()); err != nil {
+	c.notified.Name = name
+	if c.node, err = newNode(settings, stored, books, nonce, c.now()); err != nil {
 		log.WithError(err).Error("quorum: the store can't be used: this gateway only follows")
-		c.shut()
-		c.store, set.Founders, set.Diskless = nil, nil, true
-		if c.node, err = begin(set, quorum.Store{}, books, nonce, c.now()); err != nil {
+		c.closeStore()
+		c.store, settings.Founders, settings.Diskless = nil, nil, true
+		if c.node, err = newNode(settings, quorum.Store{}, books, nonce, c.now()); err != nil {
 			l.Close()
 			return nil, fmt.Errorf("quorum: %w", err)
 		}
 	}
-	// A follower renews six times a lease; what is silent for many of them is gone.
-	c.peers = newPeers(name, l, conns, time.Duration(5*set.Lease*float64(time.Millisecond)))
-	c.peers.address = c.node.Address // asked by the loop alone
-	c.peers.lost = func(to string) { c.post(quorum.Lost{To: to}) }
-	c.peers.received = func(from string, f quorum.Frame, answer func(quorum.Frame)) {
+	// A follower renews its lease six times in each lease period, so a connection that is silent for five periods is dead.
+	c.peers = newPeers(name, l, maxConns, time.Duration(5*settings.Lease*float64(time.Millisecond)))
+	c.peers.address = c.node.Address // called by the loop only
+	c.peers.onLost = func(to string) { c.post(quorum.Lost{To: to}) }
+	c.peers.onFrame = func(from string, f quorum.Frame, answer func(quorum.Frame)) {
 		switch f.Kind {
 		case quorum.Status:
-			c.post(call(func() { c.asked(f, answer) }))
+			c.post(call(func() { c.answerQuestion(f, answer) }))
 		case quorum.Effect, quorum.Effected:
 			if part != nil {
 				c.Post(Asked{From: from, Frame: f, Answer: answer})
@@ -155,22 +168,24 @@
 	return c, nil
 }
 
-// begin makes a node of a store. What raft finds impossible in it, it tells by a panic.
-func begin(set quorum.Settings, held quorum.Store, books map[string]quorum.Book, nonce uint64, now float64) (n *quorum.Node, err error) {
+// newNode creates a node with the state of a store. It returns an error when raft panics, as it does on a state that
+// contradicts itself.
+func newNode(settings quorum.Settings, stored quorum.Store, books map[string]quorum.Book, nonce uint64, now float64) (n *quorum.Node, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("store: %v", p)
 		}
 	}()
-	return quorum.New(set, held, books, nonce, now)
+	return quorum.New(settings, stored, books, nonce, now)
 }
 
-// Address is where peers reach this gateway.
+// Address returns the address on which this gateway listens for peers.
 func (c *Council) Address() string { return c.peers.listener.Addr().String() }
 
+// now returns the ms since the start.
 func (c *Council) now() float64 { return float64(time.Since(c.start)) / float64(time.Millisecond) }
 
-// post hands something to the loop, or lets go of it where too much waits.
+// post queues an event for the loop. It drops the event when the inbox is full.
 func (c *Council) post(e any) {
 	select {
 	case c.inbox <- e:
@@ -178,55 +193,60 @@
 	}
 }
 
-// Post hands something to the part, from anywhere. It is lost where too much waits.
+// Post queues an event for the part. It may be called from any goroutine, and drops the event when the inbox is full.
 func (c *Council) Post(e any) {
 	c.post(call(func() { c.part.Handle(c.now(), e) }))
 }
 
-// Send brings a frame to a peer; it may be lost. Never is called, from anywhere, where it is known that no byte of it went out. Of
-// the loop, as all that a Part does.
-func (c *Council) Send(to string, f quorum.Frame, never func()) { c.peers.send(to, f, never) }
+// Send sends a frame to a peer; the frame may be lost. When it is certain that no byte of it was sent, notSent is
+// called, from any goroutine; it may be nil. Send must be called from the loop, like all that a Part calls unless it
+// says otherwise.
+func (c *Council) Send(to string, f quorum.Frame, notSent func()) { c.peers.send(to, f, notSent) }
 
-// Retire names gateways that are about to go for a while: their votes go to others first. Of the loop.
+// Retire names the gateways that are about to go down for a while. Their votes are moved to other gateways first. It
+// must be called from the loop.
 func (c *Council) Retire(names []string) { c.node.Retire(names) }
 
-// Sight is how many ms ago this gateway last knew all that was agreed by then; under 0: it never did. Of the loop.
+// Sight returns the age of this gateway's view in ms: it has seen all commands that were committed by then. The result
+// is negative while the age is not known. It must be called from the loop.
 func (c *Council) Sight() float64 {
-	at, knows := c.node.Sight()
-	if !knows {
+	at, known := c.node.Sight()
+	if !known {
 		return -1
 	}
 	return c.now() - at
 }
 
-// Voters are the names of those that vote, sorted. Of the loop.
+// Voters returns the names of the voters, sorted; nil while they are not known or change (see quorum.Node.Voters). It
+// must be called from the loop.
 func (c *Council) Voters() []string { return c.node.Voters() }
 
-// Run plays this gateway's part until the context ends; then it says goodbye and returns.
+// Run runs the loop until the context ends. Then it lets other gateways take over this one's work, announces that it
+// leaves, and returns.
 func (c *Council) Run(ctx context.Context) error {
 	c.peers.serve()
-	written := make(chan any, 4) // one is under way at a time, but for one whose part has broken
-	diskEnds := make(chan bool)
+	written := make(chan any, 4) // one write is in progress at a time, unless the node broke during one
+	writerDone := make(chan bool)
 	go func() {
-		defer close(diskEnds)
-		for r := range c.disk {
-			at := time.Now()
+		defer close(writerDone)
+		for record := range c.writes {
+			started := time.Now()
 			var err error
 			if c.store != nil {
 				failpoint.Here(failpoint.Saving)
-				err = c.store.put(r)
+				err = c.store.put(record)
 				failpoint.Here(failpoint.Saved)
 			}
 			if err != nil {
 				written <- quorum.Broken{Err: err}
 			} else {
-				written <- quorum.Saved{Took: float64(time.Since(at)) / float64(time.Millisecond)}
+				written <- quorum.Saved{Took: float64(time.Since(started)) / float64(time.Millisecond)}
 			}
 		}
 	}()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var leaving, handing <-chan time.Time
+	var leaveFlushed, handOverExpired <-chan time.Time
 	done := ctx.Done()
 	for over := false; !over; {
 		next := c.node.Next()
@@ -240,88 +260,89 @@
 		case e = <-c.inbox:
 		case <-timer.C:
 		case <-done:
-			done, handing = nil, time.After(handOver)
+			done, handOverExpired = nil, time.After(handOverTimeout)
 			if c.part != nil {
 				c.part.Handle(c.now(), Leaving{})
 			}
-		case <-handing:
-			handing, leaving = nil, time.After(100*time.Millisecond)
+		case <-handOverExpired:
+			handOverExpired, leaveFlushed = nil, time.After(leaveFlushTime)
 			failpoint.Here(failpoint.Leaving)
 			e = quorum.Leave{}
-		case <-leaving:
+		case <-leaveFlushed:
 			over = true
 		}
 		if do, ok := e.(call); ok {
 			do()
 			e = nil
 		}
-		c.carry(c.handle(e))
-		c.tell()
-		if handing != nil && (c.part == nil || c.part.Idle()) {
-			handing, leaving = nil, time.After(100*time.Millisecond)
+		c.perform(c.handle(e))
+		c.notifyPart()
+		if handOverExpired != nil && (c.part == nil || c.part.Idle()) {
+			handOverExpired, leaveFlushed = nil, time.After(leaveFlushTime)
 			failpoint.Here(failpoint.Leaving)
-			c.carry(c.handle(quorum.Leave{}))
+			c.perform(c.handle(quorum.Leave{}))
 		}
 	}
-	close(c.disk)
-	<-diskEnds
+	close(c.writes)
+	<-writerDone
 	c.peers.close()
 	if c.part != nil {
 		if err := c.part.Close(); err != nil {
-			c.log.WithError(err).Error("jobs: the record of effects was not closed")
+			c.log.WithError(err).Error("jobs: the record of effects can't be closed")
 		}
 	}
-	for _, w := range c.waits {
-		w(quorum.Outcome{Err: quorum.ErrGivenUp})
+	for _, callback := range c.pending {
+		callback(quorum.Outcome{Err: quorum.ErrGivenUp})
 	}
-	return c.shut()
+	return c.closeStore()
 }
 
-// tell has the part know how things stand now.
-func (c *Council) tell() {
+// notifyPart passes the part the current state of the log, or only the time when nothing changed.
+func (c *Council) notifyPart() {
 	if c.part == nil {
 		return
 	}
-	f := Followed{Name: c.told.Name, Incarnation: c.node.Incarnation(), Leads: c.node.Leads(), Restored: c.told.Restored}
-	if !c.news && f == c.told {
+	f := Followed{Name: c.notified.Name, Incarnation: c.node.Incarnation(), Leads: c.node.Leads(), Restored: c.notified.Restored}
+	if !c.advanced && f == c.notified {
 		c.part.Handle(c.now(), nil)
 		return
 	}
-	c.news, c.told = false, f
-	c.told.Restored = false
+	c.advanced, c.notified = false, f
+	c.notified.Restored = false
 	c.part.Handle(c.now(), f)
 }
 
-// handle is one event. What raft finds impossible, as a log that others don't have, ends this gateway's part and not its
-// downloads.
+// handle passes an event to the node. When raft panics, as it does when its log contradicts that of other voters, the
+// node stops voting while the gateway goes on serving downloads.
 func (c *Council) handle(e any) (actions []quorum.Action) {
 	defer func() {
 		if p := recover(); p != nil {
-			c.log.WithField("error", p).Error("the agreement is broken here: this gateway votes no more until it is started anew")
+			c.log.WithField("error", p).Error("quorum: raft panicked: this gateway does not vote until it is restarted")
 			actions = c.node.Handle(c.now(), quorum.Broken{Err: fmt.Errorf("%v", p)})
 		}
 	}()
 	return c.node.Handle(c.now(), e)
 }
 
-func (c *Council) carry(actions []quorum.Action) {
+// perform carries out the node's actions in order.
+func (c *Council) perform(actions []quorum.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case quorum.Send:
 			c.peers.send(a.To, a.Frame, nil)
 		case quorum.Save:
-			c.disk <- a.Record
+			c.writes <- a.Record
 		case quorum.Agreed:
-			if !c.news {
+			if !c.advanced {
 				failpoint.Here(failpoint.Agreed)
 			}
-			c.news = true
+			c.advanced = true
 		case quorum.Restored:
-			c.news, c.told.Restored = true, true
+			c.advanced, c.notified.Restored = true, true
 		case quorum.Outcome:
-			if w := c.waits[a.Token]; w != nil {
-				delete(c.waits, a.Token)
-				w(a)
+			if done := c.pending[a.Token]; done != nil {
+				delete(c.pending, a.Token)
+				done(a)
 			}
 		case quorum.Say:
 			c.log.WithFields(a.Fields).Info("quorum: " + a.Text)
@@ -329,14 +350,17 @@
 	}
 }
 
-// propose asks for a command to be agreed; done is called once, from the loop, and must not wait. Of the loop.
+// propose proposes a command. Its outcome is passed to done, which is called once, from the loop, and must not block.
+// It must be called from the loop.
 func (c *Council) propose(command quorum.Command, done func(quorum.Outcome)) {
-	c.token++
-	c.waits[c.token] = done
-	c.carry(c.handle(quorum.Propose{Token: c.token, Command: command}))
+	c.lastToken++
+	c.pending[c.lastToken] = done
+	c.perform(c.handle(quorum.Propose{Token: c.lastToken, Command: command}))
 }
 
-// Propose is propose from anywhere. A Part's must not be called from within Handle's own outcome.
+// Propose proposes a command; it may be called from any goroutine. Its outcome is passed to done, which must not block.
+// It is called once, from the loop, unless the loop ends before it takes the command from the inbox. When the inbox is
+// full, done is called with ErrBusy before Propose returns, so a Part that proposes in Handle must be prepared for that.
 func (c *Council) Propose(command quorum.Command, done func(quorum.Outcome)) {
 	select {
 	case c.inbox <- call(func() { c.propose(command, done) }):
@@ -345,8 +369,9 @@
 	}
 }
 
-// Question is a person's. About: empty, or what the part knows of; Name: of one thing. Command: to be agreed before the answer is
-// given. Fresh: the answer holds all that was agreed before it was asked.
+// Question is an operator's query. About selects what a Part reports; empty: only the state of the log. Name selects one
+// item of that. Command is committed before the answer is given. Fresh: the answer reflects all commands that were
+// committed before the query.
 type Question struct {
 	About   string          `cbor:"1,keyasint,omitempty"`
 	Name    string          `cbor:"2,keyasint,omitempty"`
@@ -354,16 +379,16 @@
 	Command *quorum.Command `cbor:"4,keyasint,omitempty"`
 }
 
-// Reply is its answer.
+// Reply is the answer to a Question.
 type Reply struct {
 	Error  string          `json:"error,omitempty"`
-	Index  uint64          `json:"index,omitempty"` // of the command
-	Report quorum.Report   `json:"report"`          // how this gateway stands, with its view's age
-	Body   json.RawMessage `json:"body,omitempty"`  // what the part tells
+	Index  uint64          `json:"index,omitempty"` // of the committed command
+	Report quorum.Report   `json:"report"`          // state of the log at this gateway, and the age of its view
+	Body   json.RawMessage `json:"body,omitempty"`  // answer of the part
 }
 
-// asked answers a person's question.
-func (c *Council) asked(f quorum.Frame, answer func(quorum.Frame)) {
+// answerQuestion answers an operator's query, after its command is committed, if it has one.
+func (c *Council) answerQuestion(f quorum.Frame, answer func(quorum.Frame)) {
 	var q Question
 	if len(f.Data) > 0 {
 		if err := canon.Decode(f.Data, &q); err != nil {
@@ -381,7 +406,7 @@
 			return
 		}
 	case q.Fresh:
-		// A place in the log of its own, behind all that was agreed when it was asked.
+		// An empty command: its index is after all commands that were committed when the query came.
 		q.Command = &quorum.Command{Book: "members", Kind: "nothing"}
 	}
 	if q.Command == nil {
@@ -391,15 +416,16 @@
 	fresh := q.Command.Book == "members"
 	c.propose(*q.Command, func(o quorum.Outcome) {
 		if fresh && o.Index > 0 {
-			o.Err = nil // nothing is what it is for
+			o.Err = nil // the empty command is refused as unknown, which is expected
 		}
 		c.reply(q, o.Index, o.Err, answer)
 	})
 }
 
+// reply sends the answer to an operator's query.
 func (c *Council) reply(q Question, index uint64, err error, answer func(quorum.Frame)) {
 	r := Reply{Index: index, Report: c.node.Report(c.now())}
-	r.Report.Frames = c.peers.sent.Load()
+	r.Report.Frames = c.peers.framesSent.Load()
 	if err == nil && q.About != "" {
 		var body any
 		if err = errors.New("this gateway knows of nothing of that kind"); c.part != nil {
@@ -414,48 +440,49 @@
 	}
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // our own type
+		panic(err) // can't happen: Reply is a type of this package
 	}
 	answer(quorum.Frame{Kind: quorum.Status, Data: b})
 }
 
-func (c *Council) shut() error {
+// closeStore closes the store, if there is one.
+func (c *Council) closeStore() error {
 	if c.store == nil {
 		return nil
 	}
 	return c.store.close()
 }
 
-// Ask asks a gateway at its peer address how things stand.
-func Ask(ctx context.Context, address string) (quorum.Report, error) {
+// QueryReport returns the state of the log as seen by the gateway at a peer address.
+func QueryReport(ctx context.Context, address string) (quorum.Report, error) {
 	r, err := Put(ctx, address, Question{})
 	return r.Report, err
 }
 
-// Put puts a question to a gateway at its peer address. What it could not do is the error of its Reply.
+// Put sends a query to the gateway at a peer address. An error of the gateway itself is the Error of its Reply.
 func Put(ctx context.Context, address string, q Question) (r Reply, err error) {
-	nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
+	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return r, err
 	}
-	defer nc.Close()
-	if by, ok := ctx.Deadline(); ok {
-		nc.SetDeadline(by)
+	defer conn.Close()
+	if deadline, ok := ctx.Deadline(); ok {
+		conn.SetDeadline(deadline)
 	}
 	name := fmt.Sprintf("?%d", os.Getpid())
-	b := quorum.Frame{Kind: quorum.Hello, Data: []byte(name)}.Append(nil)
-	if _, err := nc.Write(quorum.Frame{Kind: quorum.Status, Data: canon.Encode(q)}.Append(b)); err != nil {
+	hello := quorum.Frame{Kind: quorum.Hello, Data: []byte(name)}.Append(nil)
+	if _, err := conn.Write(quorum.Frame{Kind: quorum.Status, Data: canon.Encode(q)}.Append(hello)); err != nil {
 		return r, err
 	}
 	var f quorum.Frame
 	var joiner quorum.Joiner
 	for whole := false; err == nil && !whole; {
-		if f, err = read(nc); err == nil {
+		if f, err = readFrame(conn); err == nil {
 			f, whole, err = joiner.Join(f)
 		}
 	}
 	if err == nil && f.Kind != quorum.Status {
-		err = fmt.Errorf("%s: answered with something else", address)
+		err = fmt.Errorf("%s: unexpected kind of frame in the answer", address)
 	}
 	if err == nil {
 		err = json.Unmarshal(f.Data, &r)
--- a/internal/quorum/drive/drive_test.go
+++ b/internal/quorum/drive/drive_test.go
@@ -23,125 +23,130 @@
 	"poppymill/internal/quorum"
 )
 
+// entry returns a log entry.
 func entry(index, term uint64, text string) *raftpb.Entry {
 	return &raftpb.Entry{Index: &index, Term: &term, Data: []byte(text)}
 }
 
-func hard(term, commit uint64) *raftpb.HardState {
+// hardState returns raft's state of a voter.
+func hardState(term, commit uint64) *raftpb.HardState {
 	return &raftpb.HardState{Term: &term, Commit: &commit}
 }
 
+// snapshot returns a snapshot up to an index, with one voter.
 func snapshot(index uint64) *raftpb.Snapshot {
 	term := uint64(1)
 	return &raftpb.Snapshot{Data: []byte("state"), Metadata: &raftpb.SnapshotMetadata{Index: &index, Term: &term, ConfState: &raftpb.ConfState{Voters: []uint64{7}}}}
 }
 
-func text(s quorum.Store) string {
-	t := fmt.Sprintf("%v commit %d after %d:", s.Identity, s.Hard.GetCommit(), s.Snapshot.GetMetadata().GetIndex())
+// describe returns the content of a store as text.
+func describe(s quorum.Store) string {
+	text := fmt.Sprintf("%v commit %d after %d:", s.Identity, s.Hard.GetCommit(), s.Snapshot.GetMetadata().GetIndex())
 	for _, e := range s.Entries {
-		t += fmt.Sprintf(" %d/%d %s", e.GetIndex(), e.GetTerm(), e.Data)
+		text += fmt.Sprintf(" %d/%d %s", e.GetIndex(), e.GetTerm(), e.Data)
 	}
-	return t
+	return text
 }
 
-// What was put is there after a restart: later entries take the place of earlier ones from their index on, a snapshot of a
-// leader's that of all, one of its own leaves what comes after.
-func TestStore(t *testing.T) {
+// A record is there after a restart. Later entries replace all earlier ones from their first index on, a snapshot of a
+// leader replaces the whole log, and one of the node's own keeps the entries after it.
+func TestStoreReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "agreed")
 	for i, c := range []struct {
-		put  quorum.Record
-		want string
+		record quorum.Record
+		want   string
 	}{
 		{quorum.Record{Identity: &quorum.Identity{ID: 7, Name: "g"}}, "{7 g} commit 0 after 0:"},
-		{quorum.Record{Snapshot: snapshot(1), Hard: hard(1, 1)}, "{7 g} commit 1 after 1:"},
+		{quorum.Record{Snapshot: snapshot(1), Hard: hardState(1, 1)}, "{7 g} commit 1 after 1:"},
 		{quorum.Record{Entries: []*raftpb.Entry{entry(2, 1, "a"), entry(3, 1, "b"), entry(4, 1, "c")}}, "{7 g} commit 1 after 1: 2/1 a 3/1 b 4/1 c"},
-		{quorum.Record{Entries: []*raftpb.Entry{entry(3, 2, "d")}, Hard: hard(2, 3)}, "{7 g} commit 3 after 1: 2/1 a 3/2 d"},
+		{quorum.Record{Entries: []*raftpb.Entry{entry(3, 2, "d")}, Hard: hardState(2, 3)}, "{7 g} commit 3 after 1: 2/1 a 3/2 d"},
 		{quorum.Record{Entries: []*raftpb.Entry{entry(4, 2, "e")}}, "{7 g} commit 3 after 1: 2/1 a 3/2 d 4/2 e"},
 		{quorum.Record{Snapshot: snapshot(3), Compact: 2}, "{7 g} commit 3 after 3: 4/2 e"},
-		{quorum.Record{Snapshot: snapshot(9), Hard: hard(3, 9)}, "{7 g} commit 9 after 9:"},
+		{quorum.Record{Snapshot: snapshot(9), Hard: hardState(3, 9)}, "{7 g} commit 9 after 9:"},
 	} {
 		s, _, err := openStore(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := errors.Join(s.put(c.put), s.close()); err != nil {
+		if err := errors.Join(s.put(c.record), s.close()); err != nil {
 			t.Fatal(err)
 		}
-		s, held, err := openStore(path)
+		s, stored, err := openStore(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := text(held); got != c.want {
+		if got := describe(stored); got != c.want {
 			t.Errorf("after record %d: %s, want %s", i, got, c.want)
 		}
 		s.close()
 	}
 }
 
-// A store that was torn or spoilt anywhere is either told as such or holds what was put: never something else.
-func TestSpoilt(t *testing.T) {
+// A store with a corrupt byte anywhere is either reported as corrupt or holds exactly what was written, or nothing.
+func TestCorruptStore(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "agreed")
 	s, _, err := openStore(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.put(quorum.Record{Identity: &quorum.Identity{ID: 7, Name: "g"}, Snapshot: snapshot(1), Hard: hard(1, 1)})
+	s.put(quorum.Record{Identity: &quorum.Identity{ID: 7, Name: "g"}, Snapshot: snapshot(1), Hard: hardState(1, 1)})
 	var all []*raftpb.Entry
 	for i := range uint64(40) {
 		all = append(all, entry(2+i, 1, fmt.Sprintf("entry-%02d-with-some-length", i)))
 	}
-	s.put(quorum.Record{Entries: all, Hard: hard(1, 41)})
+	s.put(quorum.Record{Entries: all, Hard: hardState(1, 41)})
 	s.close()
 	good, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, held, _ := openStore(path)
-	want := text(held)
-	told := 0
-	for at := 0; at < len(good); at += 211 - 200*min(1, max(0, 100-at%4096)) { // closely at the head of each page
+	_, stored, _ := openStore(path)
+	want := describe(stored)
+	detected := 0
+	for at := 0; at < len(good); at += 211 - 200*min(1, max(0, 100-at%4096)) { // every 11 bytes in the first 100 of each page, every 211 elsewhere
 		bad := append([]byte{}, good...)
 		bad[at] ^= 0x5a
 		other := filepath.Join(dir, fmt.Sprint("bad", at))
 		if err := os.WriteFile(other, bad, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, held, err := openStore(other)
+		s, stored, err := openStore(other)
 		if err == nil {
-			if got := text(held); got != want && got != "{0 } commit 0 after 0:" {
-				t.Errorf("spoilt at %d it holds %s", at, got)
+			if got := describe(stored); got != want && got != "{0 } commit 0 after 0:" {
+				t.Errorf("with byte %d corrupt the store holds %s", at, got)
 			}
 			s.close()
-		} else if told++; !checked.Spoilt(err) {
-			t.Errorf("spoilt at %d: %v", at, err)
+		} else if detected++; !checked.Spoilt(err) {
+			t.Errorf("with byte %d corrupt: %v", at, err)
 		}
 		os.Remove(other)
 	}
-	if told < 10 {
-		t.Errorf("only %d spoilt stores were told", told)
+	if detected < 10 {
+		t.Errorf("only %d corrupt stores were detected", detected)
 	}
 }
 
-// killAt names the step at which the test's own copy ends itself, as kill -9 does.
+// killAt names the environment variable with the store, and the step of a write at which a child process of the test
+// sends itself SIGKILL.
 const killAt = "POPPYMILL_TEST_KILL_AT"
 
 func TestMain(m *testing.M) {
 	if at := os.Getenv(killAt); at != "" {
 		path, step, _ := strings.Cut(at, "|")
-		s, held, err := openStore(path)
+		s, stored, err := openStore(path)
 		if err != nil {
 			fmt.Println(err)
 			os.Exit(3)
 		}
-		next := uint64(len(held.Entries)) + 1
+		next := uint64(len(stored.Entries)) + 1
 		for ; ; next++ {
-			s.step = func(here string) {
-				if here == step && next%5 == 0 {
+			s.onStep = func(reached string) {
+				if reached == step && next%5 == 0 {
 					syscall.Kill(os.Getpid(), syscall.SIGKILL)
 				}
 			}
-			if err := s.put(quorum.Record{Entries: []*raftpb.Entry{entry(next, 1, "x")}, Hard: hard(1, next)}); err != nil {
+			if err := s.put(quorum.Record{Entries: []*raftpb.Entry{entry(next, 1, "x")}, Hard: hardState(1, next)}); err != nil {
 				os.Exit(4)
 			}
 			fmt.Println(next)
@@ -150,8 +155,9 @@
 	os.Exit(m.Run())
 }
 
-// Killed with -9 at each step of a write, again and again: what was told as written is there, and at most one more.
-func TestKilled(t *testing.T) {
+// A process is killed with SIGKILL at each step of a write, repeatedly. All entries it reported as written must be in the
+// store, and at most one more.
+func TestKilledDuringWrite(t *testing.T) {
 	for _, step := range []string{"before", "written", "synced"} {
 		path := filepath.Join(t.TempDir(), "agreed")
 		for range 3 {
@@ -162,20 +168,20 @@
 			if !errors.As(err, &exit) || exit.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
 				t.Fatalf("%s: %v", step, err)
 			}
-			told := 0
-			for _, l := range strings.Fields(string(out)) {
-				fmt.Sscan(l, &told)
+			reported := 0
+			for _, line := range strings.Fields(string(out)) {
+				fmt.Sscan(line, &reported)
 			}
-			s, held, err := openStore(path)
+			s, stored, err := openStore(path)
 			if err != nil {
 				t.Fatalf("%s: %v", step, err)
 			}
-			n := len(held.Entries)
-			if more := n - told; told > 0 && (more < 0 || more > 1) || held.Hard.GetCommit() != uint64(n) || step == "synced" && n%5 != 0 {
-				t.Errorf("killed at %s: told %d, there are %d, committed %d", step, told, n, held.Hard.GetCommit())
+			n := len(stored.Entries)
+			if more := n - reported; reported > 0 && (more < 0 || more > 1) || stored.Hard.GetCommit() != uint64(n) || step == "synced" && n%5 != 0 {
+				t.Errorf("killed at %s: %d entries reported, %d stored, %d committed", step, reported, n, stored.Hard.GetCommit())
 			}
-			if step != "synced" { // or it would end at the same one again
-				if err := s.put(quorum.Record{Entries: []*raftpb.Entry{entry(uint64(n+1), 1, "y")}, Hard: hard(1, uint64(n+1))}); err != nil {
+			if step != "synced" { // else the next process would be killed at the same entry
+				if err := s.put(quorum.Record{Entries: []*raftpb.Entry{entry(uint64(n+1), 1, "y")}, Hard: hardState(1, uint64(n+1))}); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -184,7 +190,7 @@
 	}
 }
 
-// What is wrong with the block is told by file, line and name.
+// Errors of the block name the file, the line and the field.
 func TestBlock(t *testing.T) {
 	read := func(text string) (Block, error) {
 		var b Block
@@ -197,12 +203,12 @@
 	}
 	for _, c := range [][2]string{
 		{"", "Missing required argument"}, {"listen = \"here\"", "listen: address here: missing port"},
-		{"listen = \"127.0.0.1:1\"\nfounders = [\"a\", \"b\"]", "founders: 2 of them; 1, 3, 5 or 7"},
-		{"listen = \"127.0.0.1:1\"\nfounders = [\"a\", \"b\", \"c\"]", "peer: none is named"},
-		{"listen = \"127.0.0.1:1\"\nelection = \"200ms\"", "election: must be at least five beats"},
-		{"listen = \"127.0.0.1:1\"\nlease = \"1s\"", "lease: must be at least two elections"},
+		{"listen = \"127.0.0.1:1\"\nfounders = [\"a\", \"b\"]", "founders: 2 given, must be 1, 3, 5 or 7"},
+		{"listen = \"127.0.0.1:1\"\nfounders = [\"a\", \"b\", \"c\"]", "peer: at least one is required with more than one founder"},
+		{"listen = \"127.0.0.1:1\"\nelection = \"200ms\"", "election: must be at least five times beat"},
+		{"listen = \"127.0.0.1:1\"\nlease = \"1s\"", "lease: must be at least twice election"},
 		{"listen = \":7101\"", "address: missing"}, {"listen = \"0.0.0.0:7101\"", "address: missing"},
-		{good + "\npeer \"c\" {\n address = \"127.0.0.1:4\"\n}", "peer c: stands twice"},
+		{good + "\npeer \"c\" {\n address = \"127.0.0.1:4\"\n}", "peer c: defined twice"},
 		{"listen = \"127.0.0.1:1\"\npeer \"c\" {\n address = \"nowhere\"\n}", "f.hcl:3: quorum.peer c: address: address nowhere"},
 	} {
 		if _, err := read(c[0]); err == nil || !strings.Contains(err.Error(), c[1]) {
@@ -211,7 +217,7 @@
 	}
 }
 
-// ledger is a book that keeps what it was told.
+// ledger is a Part whose state machine keeps the data of all its commands.
 type ledger struct {
 	mu    sync.Mutex
 	lines []string
@@ -230,13 +236,16 @@
 	l.lines = strings.FieldsFunc(string(b), func(r rune) bool { return r == '|' })
 	return nil
 }
+
+// all returns the data of all commands.
 func (l *ledger) all() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Join(l.lines, " ")
 }
 
-// It is a Part that does nothing but keep its book.
+// The methods of a Part that does nothing but keep its state machine.
+
 func (l *ledger) Books() map[string]quorum.Book    { return map[string]quorum.Book{"ledger": l} }
 func (l *ledger) Begin(*Council)                   {}
 func (l *ledger) Handle(float64, any)              {}
@@ -246,16 +255,17 @@
 func (l *ledger) Idle() bool                       { return true }
 func (l *ledger) Close() error                     { return nil }
 
-// Over TCP: one gateway founds alone and is told of nobody; one without a disk and one with follow it. What any of them asks for is
-// agreed, survives a restart of the one that votes, and tells it where the others are. A store of another name is passed over.
+// Over TCP: a single founder that is configured without peers, and two followers of it, one with a store and one
+// without. Commands of all of them are committed and survive a restart of the founder, which learns the addresses of
+// the others from the log. A gateway that joins receives a state that is larger than a frame.
 func TestCouncil(t *testing.T) {
 	dir, log := t.TempDir(), logrus.New()
 	log.SetOutput(io.Discard)
-	until := func(what string, holds func() bool) {
+	until := func(condition string, holds func() bool) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("not seen: %s", what)
+				t.Fatalf("not reached: %s", condition)
 			}
 		}
 	}
@@ -268,17 +278,17 @@
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		over := make(chan error, 1)
-		go func() { over <- c.Run(ctx) }()
+		ended := make(chan error, 1)
+		go func() { ended <- c.Run(ctx) }()
 		var once sync.Once
-		end := func() { once.Do(func() { cancel(); <-over }) }
-		t.Cleanup(end)
-		return c, l, end
+		stop := func() { once.Do(func() { cancel(); <-ended }) }
+		t.Cleanup(stop)
+		return c, l, stop
 	}
-	ask := func(c *Council) quorum.Report {
+	report := func(c *Council) quorum.Report {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		r, _ := Ask(ctx, c.Address())
+		r, _ := QueryReport(ctx, c.Address())
 		return r
 	}
 	propose := func(c *Council, line string) {
@@ -294,42 +304,43 @@
 			t.Fatalf("%s: no outcome", line)
 		}
 	}
-	a, la, endA := start("a", "127.0.0.1:0", dir+"/a", map[string]string{}, "a")
-	at := a.Address()
-	b, lb, _ := start("b", "127.0.0.1:0", "", map[string]string{"a": at})
-	c, lc, _ := start("c", "127.0.0.1:0", dir+"/c", map[string]string{"a": at})
-	until("three are there", func() bool { return len(ask(a).Members) == 3 && ask(b).Incarnation*ask(c).Incarnation > 0 })
+	a, la, stopA := start("a", "127.0.0.1:0", dir+"/a", map[string]string{}, "a")
+	addressA := a.Address()
+	b, lb, _ := start("b", "127.0.0.1:0", "", map[string]string{"a": addressA})
+	c, lc, _ := start("c", "127.0.0.1:0", dir+"/c", map[string]string{"a": addressA})
+	until("three members", func() bool { return len(report(a).Members) == 3 && report(b).Incarnation*report(c).Incarnation > 0 })
 	propose(a, "one")
 	propose(b, "two")
 	propose(c, "three")
-	until("all have all", func() bool { return la.all() == "one two three" && lb.all() == la.all() && lc.all() == la.all() })
-	for _, m := range ask(a).Members {
+	until("all have all commands", func() bool { return la.all() == "one two three" && lb.all() == la.all() && lc.all() == la.all() })
+	for _, m := range report(a).Members {
 		if want := map[string]*Council{"a": a, "b": b, "c": c}[m.Name].Address(); m.Address != want || m.Votes != (m.Name == "a") {
 			t.Errorf("%+v, reached at %s", m, want)
 		}
 	}
-	endA()
-	a, la, _ = start("a", at, dir+"/a", map[string]string{}, "a")
+	stopA()
+	a, la, _ = start("a", addressA, dir+"/a", map[string]string{}, "a")
 	propose(b, "four")
-	until("all have all after a restart", func() bool {
+	until("all have all commands after a restart", func() bool {
 		return la.all() == "one two three four" && lb.all() == la.all() && lc.all() == la.all()
 	})
-	// A state that is larger than a frame comes to one that joins, in pieces.
+	// A state that is larger than a frame is sent to a joining gateway in fragments.
 	for i := range 24 {
 		propose(b, strings.Repeat(string(rune('a'+i)), 250_000))
 	}
-	_, ld, _ := start("d", "127.0.0.1:0", "", map[string]string{"a": at})
-	until("one that joins has a state of 6 MB", func() bool { return ld.all() == la.all() && len(ld.all()) > 24*250_000 })
-	until("it is a member", func() bool { return len(ask(a).Members) == 4 })
-	if r := ask(a); r.Role != "leader" {
+	_, ld, _ := start("d", "127.0.0.1:0", "", map[string]string{"a": addressA})
+	until("the joining gateway has a state of 6 MB", func() bool { return ld.all() == la.all() && len(ld.all()) > 24*250_000 })
+	until("the joining gateway is a member", func() bool { return len(report(a).Members) == 4 })
+	if r := report(a); r.Role != "leader" {
 		t.Errorf("after its restart: %+v", r)
 	}
 }
 
-// What can't be used of a store costs the vote, and not the gateway: another's, and one that holds a state of an unknown form.
+// A gateway whose store can't be used runs on as a follower: the store of another gateway, and one with a snapshot of an
+// unknown format.
 func TestUnusableStore(t *testing.T) {
 	for _, r := range []quorum.Record{{Identity: &quorum.Identity{ID: 7, Name: "other"}},
-		{Identity: &quorum.Identity{ID: 7, Name: "g"}, Founding: &quorum.Founding{Cluster: 5, Voters: map[string]uint64{"g": 7}}, Snapshot: snapshot(1), Hard: hard(1, 1)}} {
+		{Identity: &quorum.Identity{ID: 7, Name: "g"}, Founding: &quorum.Founding{Cluster: 5, Voters: map[string]uint64{"g": 7}}, Snapshot: snapshot(1), Hard: hardState(1, 1)}} {
 		dir := t.TempDir()
 		s, _, err := openStore(dir + "/agreed")
 		if err != nil {
@@ -338,13 +349,13 @@
 		if err := errors.Join(s.put(r), s.close()); err != nil {
 			t.Fatal(err)
 		}
-		var said strings.Builder
+		var logged strings.Builder
 		log := logrus.New()
-		log.SetOutput(&said)
+		log.SetOutput(&logged)
 		b := Block{On: true, Listen: "127.0.0.1:0", Store: dir, Settings: quorum.Defaults()}
 		c, err := Open(b, "g", "club", 64, nil, log)
-		if err != nil || c.store != nil || !strings.Contains(said.String(), "the store can't be used") {
-			t.Fatalf("%v, said %q", err, said.String())
+		if err != nil || c.store != nil || !strings.Contains(logged.String(), "the store can't be used") {
+			t.Fatalf("%v, logged %q", err, logged.String())
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
--- a/internal/quorum/drive/parts.go
+++ b/internal/quorum/drive/parts.go
@@ -9,78 +9,78 @@
 	"poppymill/internal/quorum"
 )
 
-// Parts are several parts that live in one council's loop, each with books of its own.
+// Parts combines several parts into one. Each has state machines of its own.
 type Parts []Part
 
-// Books are those of all.
+// Books returns the state machines of all parts.
 func (p Parts) Books() map[string]quorum.Book {
 	all := map[string]quorum.Book{}
-	for _, x := range p {
-		maps.Copy(all, x.Books())
+	for _, part := range p {
+		maps.Copy(all, part.Books())
 	}
 	return all
 }
 
-// Begin hands all of them the council.
+// Begin passes the council to all parts.
 func (p Parts) Begin(c *Council) {
-	for _, x := range p {
-		x.Begin(c)
+	for _, part := range p {
+		part.Begin(c)
 	}
 }
 
-// Handle has all of them hear of it; each takes what is for it.
+// Handle passes the event to all parts. Each ignores the events of others.
 func (p Parts) Handle(now float64, e any) {
-	for _, x := range p {
-		x.Handle(now, e)
+	for _, part := range p {
+		part.Handle(now, e)
 	}
 }
 
-// Next is when the first has something due.
+// Next returns the earliest time at which a part has something due.
 func (p Parts) Next() float64 {
 	next := math.Inf(1)
-	for _, x := range p {
-		next = min(next, x.Next())
+	for _, part := range p {
+		next = min(next, part.Next())
 	}
 	return next
 }
 
-// ErrNotMine is a part's answer about what another may know.
+// ErrNotMine is returned by a part for a query that another part may answer.
 var ErrNotMine = errors.New("this gateway knows nothing of that")
 
-// Tell has the one answer that knows of it.
+// Tell returns the answer of the first part that knows the subject.
 func (p Parts) Tell(about, name string) (any, error) {
-	for _, x := range p {
-		if body, err := x.Tell(about, name); !errors.Is(err, ErrNotMine) {
+	for _, part := range p {
+		if body, err := part.Tell(about, name); !errors.Is(err, ErrNotMine) {
 			return body, err
 		}
 	}
 	return nil, fmt.Errorf("%q: %w", about, ErrNotMine)
 }
 
-// Allow asks the one whose book it is.
+// Allow asks the part that owns the command's state machine.
 func (p Parts) Allow(c quorum.Command) error {
-	for _, x := range p {
-		if x.Books()[c.Book] != nil {
-			return x.Allow(c)
+	for _, part := range p {
+		if part.Books()[c.Book] != nil {
+			return part.Allow(c)
 		}
 	}
 	return fmt.Errorf("%q: %w", c.Book, ErrNotMine)
 }
 
-// Idle tells whether all may end.
+// Idle reports whether all parts are idle.
 func (p Parts) Idle() bool {
-	for _, x := range p {
-		if !x.Idle() {
+	for _, part := range p {
+		if !part.Idle() {
 			return false
 		}
 	}
 	return true
 }
 
-// Close ends all.
+// Close closes all parts.
 func (p Parts) Close() (err error) {
-	for _, x := range p {
-		err = errors.Join(err, x.Close())
+	for _, part := range p {
+		err = errors.Join(err, part.Close())
 	}
 	return err
 }
--- a/internal/quorum/drive/peers.go
+++ b/internal/quorum/drive/peers.go
@@ -13,99 +13,103 @@
 	"poppymill/internal/quorum"
 )
 
-// Bounds of what goes between two peers. Raft sends again what is lost, so a full queue costs time and nothing else.
+// Limits of a connection between two peers. Raft retransmits what is lost, so a full queue only costs time.
 const (
-	queueMost   = 256
-	largeMost   = 4
-	writeWithin = 2 * time.Second
-	dialWithin  = time.Second
-	redialAfter = 100 * time.Millisecond
-	queueBytes  = quorum.MostWhole + 4*quorum.MostFrame // that wait for one peer, at most
+	queueCapacity      = 256 // frames
+	largeQueueCapacity = 4   // frames that are sent in fragments
+	writeTimeout       = 2 * time.Second
+	dialTimeout        = time.Second
+	redialDelay        = 100 * time.Millisecond
+	maxQueuedBytes     = quorum.MostWhole + 4*quorum.MostFrame // of both queues
 )
 
-// peers are the connections with other gateways. A connection's first frame names who opened it; frames then go both ways.
+// peers manages the connections with other gateways. The first frame on a connection is a Hello with the name of the
+// side that opened it; after that both sides send frames.
 type peers struct {
-	name     string
-	listener net.Listener
-	address  func(name string) string
-	received func(from string, f quorum.Frame, answer func(quorum.Frame))
-	lost     func(to string)
-	mu       sync.Mutex
-	most     int           // connections
-	silent   time.Duration // on which nothing came for so long are closed
-	links    map[string]*link
-	dialled  map[string]time.Time // when the last call ended
-	dialling map[string]bool
-	conns    map[net.Conn]bool
-	live     sync.WaitGroup
-	sent     atomic.Uint64 // frames
-	ctx      context.Context
-	stop     context.CancelFunc
+	name        string
+	listener    net.Listener
+	address     func(name string) string // empty: unknown
+	onFrame     func(from string, f quorum.Frame, answer func(quorum.Frame))
+	onLost      func(to string)
+	mu          sync.Mutex
+	maxConns    int
+	idleTimeout time.Duration        // a connection that received nothing for so long is closed
+	links       map[string]*link     // by name of the peer
+	lastDial    map[string]time.Time // when the last dial to a peer ended
+	dialling    map[string]bool
+	conns       map[net.Conn]bool
+	goroutines  sync.WaitGroup
+	framesSent  atomic.Uint64
+	ctx         context.Context
+	stop        context.CancelFunc
 }
 
-// link is one connection with a peer.
+// link is a connection with a peer.
 type link struct {
-	nc     net.Conn
-	queue  chan []byte
-	large  chan [][]byte // in pieces, which let what is small go in between
-	queued atomic.Int64  // bytes
+	conn        net.Conn
+	queue       chan []byte
+	largeQueue  chan [][]byte // frames in fragments; small frames are sent in between
+	queuedBytes atomic.Int64
 }
 
-func newPeers(name string, l net.Listener, most int, silent time.Duration) *peers {
-	p := &peers{name: name, listener: l, most: most, silent: silent, links: map[string]*link{}, dialled: map[string]time.Time{},
+// newPeers returns the peers of a gateway; serve starts accepting connections.
+func newPeers(name string, l net.Listener, maxConns int, idleTimeout time.Duration) *peers {
+	p := &peers{name: name, listener: l, maxConns: maxConns, idleTimeout: idleTimeout, links: map[string]*link{}, lastDial: map[string]time.Time{},
 		dialling: map[string]bool{}, conns: map[net.Conn]bool{}}
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	return p
 }
 
-// serve accepts until close.
+// serve accepts connections until close.
 func (p *peers) serve() {
 	p.spawn(func() {
 		for {
-			nc, err := p.listener.Accept()
+			conn, err := p.listener.Accept()
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
 			if err != nil {
 				select {
-				case <-time.After(10 * time.Millisecond): // a shortage of descriptors passes
+				case <-time.After(10 * time.Millisecond): // a shortage of file descriptors is temporary
 					continue
 				case <-p.ctx.Done():
 					return
 				}
 			}
-			p.run(nc, "")
+			p.run(conn, "")
 		}
 	})
 }
 
+// spawn runs a function in a goroutine that close waits for.
 func (p *peers) spawn(do func()) {
-	p.live.Add(1)
+	p.goroutines.Add(1)
 	go func() {
-		defer p.live.Done()
+		defer p.goroutines.Done()
 		do()
 	}()
 }
 
-// run reads and writes a connection until it ends; its name is known from the start where this side opened it, to bring a frame.
-func (p *peers) run(nc net.Conn, name string, first ...quorum.Frame) {
-	l := &link{nc: nc, queue: make(chan []byte, queueMost), large: make(chan [][]byte, largeMost)}
+// run reads and writes a connection until it ends. The peer's name is empty when the peer opened the connection; else
+// this side did, to send the first frames.
+func (p *peers) run(conn net.Conn, name string, first ...quorum.Frame) {
+	l := &link{conn: conn, queue: make(chan []byte, queueCapacity), largeQueue: make(chan [][]byte, largeQueueCapacity)}
 	p.mu.Lock()
-	if p.ctx.Err() != nil || len(p.conns) >= p.most {
+	if p.ctx.Err() != nil || len(p.conns) >= p.maxConns {
 		p.mu.Unlock()
-		nc.Close()
+		conn.Close()
 		return
 	}
-	p.conns[nc] = true
+	p.conns[conn] = true
 	if name != "" {
 		p.links[name] = l
 	}
 	p.mu.Unlock()
 	if name != "" {
-		l.post(quorum.Frame{Kind: quorum.Hello, Data: []byte(p.name)})
+		l.enqueue(quorum.Frame{Kind: quorum.Hello, Data: []byte(p.name)})
 	}
 	for _, f := range first {
-		l.post(f)
+		l.enqueue(f)
 	}
 	ended := make(chan bool)
 	p.spawn(func() {
@@ -114,8 +118,8 @@
 			select {
 			case b := <-l.queue:
 				err = l.write(b)
-			case pieces := <-l.large:
-				for _, b := range pieces {
+			case fragments := <-l.largeQueue:
+				for _, b := range fragments {
 					for range len(l.queue) {
 						err = errors.Join(err, l.write(<-l.queue))
 					}
@@ -127,18 +131,18 @@
 				return
 			}
 			if err != nil {
-				nc.Close()
+				conn.Close()
 				return
 			}
 		}
 	})
 	p.spawn(func() {
 		name := name
-		r := bufio.NewReader(nc)
+		r := bufio.NewReader(conn)
 		var joiner quorum.Joiner
 		for {
-			nc.SetReadDeadline(time.Now().Add(p.silent))
-			f, err := read(r)
+			conn.SetReadDeadline(time.Now().Add(p.idleTimeout))
+			f, err := readFrame(r)
 			if err != nil {
 				break
 			}
@@ -159,122 +163,126 @@
 				p.mu.Unlock()
 				continue
 			}
-			p.received(name, f, func(f quorum.Frame) { l.post(f) })
+			p.onFrame(name, f, func(f quorum.Frame) { l.enqueue(f) })
 		}
 		close(ended)
-		nc.Close()
+		conn.Close()
 		p.mu.Lock()
-		delete(p.conns, nc)
-		last := p.links[name] == l // another connection with it may be there
-		if last {
+		delete(p.conns, conn)
+		current := p.links[name] == l // another connection with the peer may have replaced it
+		if current {
 			delete(p.links, name)
 		}
 		p.mu.Unlock()
-		if name != "" && last {
-			p.lost(name)
+		if name != "" && current {
+			p.onLost(name)
 		}
 	})
 }
 
+// write writes the bytes of a queued frame or fragment.
 func (l *link) write(b []byte) error {
-	l.queued.Add(-int64(len(b)))
-	l.nc.SetWriteDeadline(time.Now().Add(writeWithin))
-	_, err := l.nc.Write(b)
+	l.queuedBytes.Add(-int64(len(b)))
+	l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, err := l.conn.Write(b)
 	return err
 }
 
-// post puts a frame in the queue, or lets go of it where too much waits.
-func (l *link) post(f quorum.Frame) bool {
-	pieces, bytes := f.Pieces(), int64(0)
-	for _, b := range pieces {
+// enqueue queues a frame for sending. It drops the frame and returns false when the queue is full.
+func (l *link) enqueue(f quorum.Frame) bool {
+	fragments, bytes := f.Pieces(), int64(0)
+	for _, b := range fragments {
 		bytes += int64(len(b))
 	}
-	if l.queued.Add(bytes) > queueBytes {
-		l.queued.Add(-bytes)
+	if l.queuedBytes.Add(bytes) > maxQueuedBytes {
+		l.queuedBytes.Add(-bytes)
 		return false
 	}
-	if len(pieces) == 1 {
+	if len(fragments) == 1 {
 		select {
-		case l.queue <- pieces[0]:
+		case l.queue <- fragments[0]:
 			return true
 		default:
 		}
 	} else {
 		select {
-		case l.large <- pieces:
+		case l.largeQueue <- fragments:
 			return true
 		default:
 		}
 	}
-	l.queued.Add(-bytes)
+	l.queuedBytes.Add(-bytes)
 	return false
 }
 
-func read(r io.Reader) (f quorum.Frame, err error) {
-	var head [quorum.FrameHead]byte
-	if _, err = io.ReadFull(r, head[:]); err != nil {
+// readFrame reads one frame.
+func readFrame(r io.Reader) (f quorum.Frame, err error) {
+	var header [quorum.FrameHead]byte
+	if _, err = io.ReadFull(r, header[:]); err != nil {
 		return f, err
 	}
-	n, err := quorum.Length(head)
+	length, err := quorum.Length(header)
 	if err != nil {
 		return f, err
 	}
-	content := make([]byte, n)
+	content := make([]byte, length)
 	if _, err = io.ReadFull(r, content); err != nil {
 		return f, err
 	}
-	return quorum.Read(head, content)
+	return quorum.Read(header, content)
 }
 
-// send puts a frame in a peer's queue, or opens a connection to it for it. While one is being opened what comes more is let go of:
-// whoever sent it sends again. Never, where there is one, is called from anywhere where no byte of the frame can have gone out.
-func (p *peers) send(to string, f quorum.Frame, never func()) {
-	if never == nil {
-		never = func() {}
+// send queues a frame for a peer, or opens a connection to the peer with it. While the connection is being opened
+// further frames are dropped; their senders retry. When no byte of the frame can have been sent, notSent is called, from
+// any goroutine; it may be nil.
+func (p *peers) send(to string, f quorum.Frame, notSent func()) {
+	if notSent == nil {
+		notSent = func() {}
 	}
 	p.mu.Lock()
 	l := p.links[to]
 	if l == nil {
 		address := p.address(to)
-		if address == "" || p.dialling[to] || time.Since(p.dialled[to]) < redialAfter || p.ctx.Err() != nil {
+		if address == "" || p.dialling[to] || time.Since(p.lastDial[to]) < redialDelay || p.ctx.Err() != nil {
 			p.mu.Unlock()
-			never()
+			notSent()
 			return
 		}
 		p.dialling[to] = true
 		p.mu.Unlock()
 		p.spawn(func() {
-			ctx, cancel := context.WithTimeout(p.ctx, dialWithin)
+			ctx, cancel := context.WithTimeout(p.ctx, dialTimeout)
 			defer cancel()
-			nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
+			conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 			p.mu.Lock()
 			delete(p.dialling, to)
-			p.dialled[to] = time.Now()
+			p.lastDial[to] = time.Now()
 			p.mu.Unlock()
 			if err != nil {
-				p.lost(to)
-				never()
+				p.onLost(to)
+				notSent()
 				return
 			}
-			p.run(nc, to, f)
+			p.run(conn, to, f)
 		})
 		return
 	}
 	p.mu.Unlock()
-	if !l.post(f) {
-		never()
+	if !l.enqueue(f) {
+		notSent()
 		return
 	}
-	p.sent.Add(1)
+	p.framesSent.Add(1)
 }
 
+// close closes all connections and waits for the goroutines to end.
 func (p *peers) close() {
 	p.stop()
 	p.listener.Close()
 	p.mu.Lock()
-	for nc := range p.conns {
-		nc.Close()
+	for conn := range p.conns {
+		conn.Close()
 	}
 	p.mu.Unlock()
-	p.live.Wait()
+	p.goroutines.Wait()
 }
--- a/internal/quorum/drive/recover.go
+++ b/internal/quorum/drive/recover.go
@@ -11,24 +11,25 @@
 	"poppymill/internal/quorum"
 )
 
-// Recover looks at the store in a folder, of a gateway that does not run, and makes another fleet of it where that is wanted
-// (quorum.Recover). Wanted must have been told what may be lost.
-func Recover(folder string, books map[string]quorum.Book, wanted bool) (r quorum.Recovery, err error) {
-	path := filepath.Join(folder, "agreed")
+// Recover reads the store in a directory, of a gateway that is not running. With commit set it writes a new fleet to
+// the store (see quorum.Recover); the operator must have confirmed what that can lose. Without it only the
+// report is returned.
+func Recover(dir string, books map[string]quorum.Book, commit bool) (report quorum.Recovery, err error) {
+	path := filepath.Join(dir, "agreed")
 	if _, err := os.Stat(path); err != nil {
-		return r, fmt.Errorf("store: %w", err)
+		return report, fmt.Errorf("store: %w", err)
 	}
-	s, held, err := openStore(path)
+	s, stored, err := openStore(path)
 	if err != nil {
-		return r, err
+		return report, err
 	}
 	defer func() { err = errors.Join(err, s.close()) }()
 	var seed [8]byte
 	rand.Read(seed[:])
-	record, r, err := quorum.Recover(held, books, binary.LittleEndian.Uint64(seed[:]))
-	if err != nil || !wanted {
-		r.Next = 0
-		return r, err
+	record, report, err := quorum.Recover(stored, books, binary.LittleEndian.Uint64(seed[:]))
+	if err != nil || !commit {
+		report.Next = 0
+		return report, err
 	}
-	return r, s.put(record)
+	return report, s.put(record)
 }
--- a/internal/quorum/drive/store.go
+++ b/internal/quorum/drive/store.go
@@ -14,8 +14,10 @@
 	"poppymill/internal/quorum"
 )
 
+// storeVersion is the version of the store's format.
 const storeVersion = 1
 
+// Buckets of the store, and the keys of the bucket meta. The bucket entries holds log entries by index.
 var (
 	metaBucket    = []byte("meta")
 	entriesBucket = []byte("entries")
@@ -28,21 +30,22 @@
 	snapshotKey   = []byte("snapshot")
 )
 
-// store keeps on the disk what the agreement rests on (go.etcd.io/bbolt): what was put is synced before put returns, whole or
-// not at all. Every value carries a checksum with its key, so that a page of another time or place is told.
+// store keeps the persistent state of a node on disk (go.etcd.io/bbolt). A record is written atomically and synced
+// before put returns. Every value carries a checksum over its key and itself, which detects a stale or misplaced page
+// (see package checked).
 type store struct {
-	db   *bolt.DB
-	step func(string) // called at each step of a write
+	db     *bolt.DB
+	onStep func(string) // called at each step of a write; a test hook
 }
 
-// openStore opens a store, or makes an empty one, and reads all that it holds.
-func openStore(path string) (s *store, held quorum.Store, err error) {
+// openStore opens a store, or creates an empty one, and reads its content.
+func openStore(path string) (s *store, stored quorum.Store, err error) {
 	defer checked.Guard(&err)()
 	db, err := checked.Open(path)
 	if err != nil {
-		return nil, held, fmt.Errorf("store %s: %w", path, err)
+		return nil, stored, fmt.Errorf("store %s: %w", path, err)
 	}
-	s = &store{db: db, step: func(string) {}}
+	s = &store{db: db, onStep: func(string) {}}
 	err = db.Update(func(tx *bolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(metaBucket)
 		if err != nil {
@@ -54,37 +57,38 @@
 		return checked.Version(meta, versionKey, storeVersion)
 	})
 	if err == nil {
-		err = db.View(func(tx *bolt.Tx) error { return load(tx, &held) })
+		err = db.View(func(tx *bolt.Tx) error { return load(tx, &stored) })
 	}
 	if err != nil {
 		db.Close()
-		return nil, held, fmt.Errorf("store %s: %w", path, err)
+		return nil, stored, fmt.Errorf("store %s: %w", path, err)
 	}
-	return s, held, nil
+	return s, stored, nil
 }
 
-func load(tx *bolt.Tx, held *quorum.Store) error {
+// load reads the content of a store. The log must continue the snapshot without a gap, up to the commit index at least.
+func load(tx *bolt.Tx, stored *quorum.Store) error {
 	meta, entries := tx.Bucket(metaBucket), tx.Bucket(entriesBucket)
-	for _, x := range []struct {
-		key  []byte
-		read func([]byte) error
+	for _, field := range []struct {
+		key    []byte
+		decode func([]byte) error
 	}{
-		{identityKey, func(b []byte) error { return canon.Decode(b, &held.Identity) }},
-		{startsKey, func(b []byte) error { return canon.Decode(b, &held.Starts) }},
-		{marksKey, func(b []byte) error { return canon.Decode(b, &held.Marks) }},
-		{foundingKey, func(b []byte) error { return canon.Decode(b, &held.Founding) }},
-		{hardKey, func(b []byte) error { held.Hard = &raftpb.HardState{}; return proto.Unmarshal(b, held.Hard) }},
-		{snapshotKey, func(b []byte) error { held.Snapshot = &raftpb.Snapshot{}; return proto.Unmarshal(b, held.Snapshot) }},
+		{identityKey, func(b []byte) error { return canon.Decode(b, &stored.Identity) }},
+		{startsKey, func(b []byte) error { return canon.Decode(b, &stored.Starts) }},
+		{marksKey, func(b []byte) error { return canon.Decode(b, &stored.Marks) }},
+		{foundingKey, func(b []byte) error { return canon.Decode(b, &stored.Founding) }},
+		{hardKey, func(b []byte) error { stored.Hard = &raftpb.HardState{}; return proto.Unmarshal(b, stored.Hard) }},
+		{snapshotKey, func(b []byte) error { stored.Snapshot = &raftpb.Snapshot{}; return proto.Unmarshal(b, stored.Snapshot) }},
 	} {
-		b, err := checked.Get(meta, x.key)
+		b, err := checked.Get(meta, field.key)
 		if err == nil && b != nil {
-			err = x.read(b)
+			err = field.decode(b)
 		}
 		if err != nil {
-			return fmt.Errorf("%w: %s: %v", checked.ErrSpoilt, x.key, err)
+			return fmt.Errorf("%w: %s: %v", checked.ErrSpoilt, field.key, err)
 		}
 	}
-	at := held.Snapshot.GetMetadata().GetIndex()
+	snapshotIndex := stored.Snapshot.GetMetadata().GetIndex()
 	c := entries.Cursor()
 	for k, _ := c.First(); k != nil; k, _ = c.Next() {
 		b, err := checked.Get(entries, k)
@@ -98,28 +102,28 @@
 		if err != nil {
 			return fmt.Errorf("%w: entry %x: %v", checked.ErrSpoilt, k, err)
 		}
-		if e.GetIndex() <= at {
-			continue // kept for those that lag; what the snapshot holds is not read again
+		if e.GetIndex() <= snapshotIndex {
+			continue // kept for lagging members; the snapshot covers it
 		}
-		if want := at + uint64(len(held.Entries)) + 1; e.GetIndex() != want {
-			return fmt.Errorf("%w: entry %d where %d should stand", checked.ErrSpoilt, e.GetIndex(), want)
+		if want := snapshotIndex + uint64(len(stored.Entries)) + 1; e.GetIndex() != want {
+			return fmt.Errorf("%w: entry %d in place of entry %d", checked.ErrSpoilt, e.GetIndex(), want)
 		}
-		held.Entries = append(held.Entries, e)
+		stored.Entries = append(stored.Entries, e)
 	}
-	if last := at + uint64(len(held.Entries)); held.Hard.GetCommit() > last {
-		return fmt.Errorf("%w: agreed up to %d, held up to %d", checked.ErrSpoilt, held.Hard.GetCommit(), last)
+	if last := snapshotIndex + uint64(len(stored.Entries)); stored.Hard.GetCommit() > last {
+		return fmt.Errorf("%w: committed up to %d, but the last entry is %d", checked.ErrSpoilt, stored.Hard.GetCommit(), last)
 	}
 	return nil
 }
 
-// put puts a record on the disk, whole or not at all.
+// put writes a record to the disk and syncs it, atomically.
 func (s *store) put(r quorum.Record) (err error) {
 	defer checked.Guard(&err)()
-	s.step("before")
+	s.onStep("before")
 	err = s.db.Update(func(tx *bolt.Tx) error {
 		meta, entries := tx.Bucket(metaBucket), tx.Bucket(entriesBucket)
 		if r.Anew {
-			if err := errors.Join(meta.Delete(hardKey), meta.Delete(snapshotKey), cut(entries, 0, ^uint64(0))); err != nil {
+			if err := errors.Join(meta.Delete(hardKey), meta.Delete(snapshotKey), deleteEntries(entries, 0, ^uint64(0))); err != nil {
 				return err
 			}
 		}
@@ -148,19 +152,19 @@
 			if err = errors.Join(err, checked.Put(meta, snapshotKey, b)); err != nil {
 				return err
 			}
-			if r.Compact == 0 { // it came from a leader, in place of all that was here
-				if err := cut(entries, 0, ^uint64(0)); err != nil {
+			if r.Compact == 0 { // a snapshot of a leader, which replaces the whole log
+				if err := deleteEntries(entries, 0, ^uint64(0)); err != nil {
 					return err
 				}
 			}
 		}
 		if r.Compact > 0 {
-			if err := cut(entries, 0, r.Compact); err != nil {
+			if err := deleteEntries(entries, 0, r.Compact); err != nil {
 				return err
 			}
 		}
 		if len(r.Entries) > 0 {
-			if err := cut(entries, r.Entries[0].GetIndex(), ^uint64(0)); err != nil {
+			if err := deleteEntries(entries, r.Entries[0].GetIndex(), ^uint64(0)); err != nil {
 				return err
 			}
 		}
@@ -176,18 +180,18 @@
 				return err
 			}
 		}
-		s.step("written")
+		s.onStep("written")
 		return nil
 	})
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	s.step("synced")
+	s.onStep("synced")
 	return nil
 }
 
-// cut drops the entries from one place up to another, both with them.
-func cut(entries *bolt.Bucket, from, to uint64) error {
+// deleteEntries deletes the entries from one index to another, both included.
+func deleteEntries(entries *bolt.Bucket, from, to uint64) error {
 	c := entries.Cursor()
 	for k, _ := c.Seek(binary.BigEndian.AppendUint64(nil, from)); k != nil && binary.BigEndian.Uint64(k) <= to; k, _ = c.Next() {
 		if err := c.Delete(); err != nil {
@@ -197,4 +201,5 @@
 	return nil
 }
 
+// close closes the file.
 func (s *store) close() error { return s.db.Close() }
