--- a/internal/assert/assert.go
+++ b/internal/assert/assert.go
@@ -1,18 +1,19 @@
-// Package assert checks what must hold whatever peers do. A debug build stops at once, where the cause is still
-// near; a release build counts and goes on, as one wrong download is less than a gateway's all.
+// Package assert checks invariants that must hold whatever peers send. A debug build panics at the failed check, close
+// to its cause. A release build counts the failure and continues: one wrong download is better than losing all
+// downloads of the gateway.
 package assert
 
 import "sync/atomic"
 
-var broken atomic.Int64
+var failures atomic.Int64
 
-// That is called with what must hold; what names it for people.
-func That(holds bool, what string) {
+// That checks an invariant, which the message describes.
+func That(holds bool, message string) {
 	if !holds {
-		broken.Add(1)
-		fail(what)
+		failures.Add(1)
+		fail(message)
 	}
 }
 
-// Broken counts what did not hold since the start.
-func Broken() int64 { return broken.Load() }
+// Broken returns the number of failed checks since the start.
+func Broken() int64 { return failures.Load() }
--- a/internal/assert/debug.go
+++ b/internal/assert/debug.go
@@ -2,4 +2,4 @@
 
 package assert
 
-func fail(what string) { panic("does not hold: " + what) }
+func fail(message string) { panic("assertion failed: " + message) }
--- a/internal/canon/canon.go
+++ b/internal/canon/canon.go
@@ -1,5 +1,5 @@
-// Package canon words values as CBOR in the one form that alike values share (RFC 8949, 4.2), so that states can be compared by
-// their bytes, and reads them within bounds.
+// Package canon encodes values as CBOR in its deterministic form (RFC 8949, section 4.2): equal values have equal
+// encodings, so states can be compared by their bytes. Decoding is limited in size and nesting.
 package canon
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrUnreadable tells that bytes are not what they should be.
+// ErrUnreadable reports that bytes can't be decoded as the expected value.
 var ErrUnreadable = errors.New("can't be read")
 
 var (
@@ -18,7 +18,7 @@
 		MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 )
 
-// Encode words one of the program's own types.
+// Encode encodes a value of one of the program's own types. It panics on a type that CBOR can't represent.
 func Encode(v any) []byte {
 	b, err := encoding.Marshal(v)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return b
 }
 
-// Decode reads one; what was read of bytes that are no such value must not be used.
+// Decode decodes a value into v. After an error v may be partly filled and must not be used.
 func Decode(b []byte, v any) error {
 	if err := decoding.Unmarshal(b, v); err != nil {
 		return fmt.Errorf("%w: %v", ErrUnreadable, err)
--- a/internal/chance/chance.go
+++ b/internal/chance/chance.go
@@ -1,7 +1,9 @@
-// Package chance is the one generator of chance in the decisions: seeded, so that the same events bring the same actions.
+// Package chance is the pseudo-random number generator of all decisions. It is seeded, so that the same events lead to
+// the same actions.
 package chance
 
-// Chance is a multiply-with-carry generator: the low half is the state, the high half the carry.
+// Chance is a multiply-with-carry generator. The low 32 bits are its state, the high 32 bits the carry; its value at the
+// start is the seed.
 type Chance uint64
 
 // Next returns the next 32 bits.
@@ -10,5 +12,5 @@
 	return uint32(*c)
 }
 
-// Below is a number from 0 up to, not including, 1.
+// Below returns a number in [0, 1).
 func (c *Chance) Below() float64 { return float64(c.Next()) / (1 << 32) }
--- a/internal/checked/checked.go
+++ b/internal/checked/checked.go
@@ -1,5 +1,6 @@
-// Package checked reads and writes stores (go.etcd.io/bbolt) whose every value carries a checksum with its key, so that a page of
-// another time or place is told, and whose file is told where its last write was lost.
+// Package checked reads and writes bbolt stores (go.etcd.io/bbolt) with corruption checks. Every value carries a
+// checksum over its key and itself, which detects a stale or misplaced page; a check of the file's meta pages detects
+// that its last write was lost.
 package checked
 
 import (
@@ -17,11 +18,11 @@
 	berrors "go.etcd.io/bbolt/errors"
 )
 
-// ErrSpoilt tells that a store holds what it never wrote: a disk that is torn, spoilt or put back in part. Whoever had it must not
-// go by it.
-var ErrSpoilt = errors.New("the store is spoilt")
+// ErrSpoilt reports that a store holds data that was never written to it in this form, after a torn write, corruption
+// of the disk or a partial restore. Its content must not be used.
+var ErrSpoilt = errors.New("the store is corrupt")
 
-// Spoilt tells whether an error says that a store holds what was never written there so.
+// Spoilt reports whether an error means that a store is corrupt, as found by this package or by bbolt.
 func Spoilt(err error) bool {
 	for _, e := range []error{ErrSpoilt, berrors.ErrInvalid, berrors.ErrChecksum, berrors.ErrVersionMismatch} {
 		if errors.Is(err, e) {
@@ -31,29 +32,30 @@
 	return false
 }
 
-// Guard makes an error of what bbolt finds impossible in a page, which it tells by a panic, or by reading past its file:
-// `defer Guard(&err)()`.
+// Guard turns a panic of bbolt into ErrSpoilt: bbolt panics on an inconsistent page, or faults as it reads past the
+// end of its mapped file. Use it as `defer Guard(&err)()`.
 func Guard(err *error) func() {
-	before := debug.SetPanicOnFault(true)
+	previous := debug.SetPanicOnFault(true)
 	return func() {
-		debug.SetPanicOnFault(before)
+		debug.SetPanicOnFault(previous)
 		if p := recover(); p != nil {
 			*err = fmt.Errorf("%w: %v", ErrSpoilt, p)
 		}
 	}
 }
 
-// Open opens a store, or begins one, and waits a second for another process that holds it.
+// Open opens a store, or creates one. It waits up to a second for another process that holds the file lock.
 func Open(path string) (*bolt.DB, error) {
-	if err := heads(path); err != nil {
+	if err := checkMetaPages(path); err != nil {
 		return nil, err
 	}
 	return bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second})
 }
 
-// heads checks both heads of the file. Where one is torn or spoilt bbolt goes back to the other, the write before: to what may
-// have been told to others, and counted on by them, that would be an old copy.
-func heads(path string) error {
+// checkMetaPages checks both meta pages of the file. When one is torn or corrupt, bbolt falls back to the other, that
+// is to the state before the last write. Peers may already have been sent the last write and rely on it, so the store
+// would be an old copy.
+func checkMetaPages(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -64,68 +66,70 @@
 	if info, err := f.Stat(); err != nil || info.Size() == 0 {
 		return err
 	}
-	// Each head is a page: 16 bytes, then 56 of which the next 8 are the FNV-1a sum; the first 4 name the format.
+	// A meta page has a header of 16 bytes and 56 bytes of content, followed by their FNV-1a checksum of 8 bytes. The
+	// first 4 bytes of the content are bbolt's magic number.
 	b := make([]byte, 80)
 	for _, at := range []int64{0, int64(os.Getpagesize())} {
 		if _, err := f.ReadAt(b, at); err != nil {
-			return fmt.Errorf("%w: its head at %d: %v", ErrSpoilt, at, err)
+			return fmt.Errorf("%w: meta page at %d: %v", ErrSpoilt, at, err)
 		}
 		h := fnv.New64a()
 		h.Write(b[16:72])
 		if binary.NativeEndian.Uint32(b[16:]) != 0xED0CDAED || binary.NativeEndian.Uint64(b[72:]) != h.Sum64() {
-			return fmt.Errorf("%w: its head at %d is torn: the last write may be lost", ErrSpoilt, at)
+			return fmt.Errorf("%w: meta page at %d is torn: the last write may be lost", ErrSpoilt, at)
 		}
 	}
 	return nil
 }
 
-// Version writes a store's version where it has none, and tells whether it is the one that is read.
+// Version writes the format version to a store that has none, and returns an error if the store has another one.
 func Version(meta *bolt.Bucket, key []byte, want byte) error {
 	if meta.Get(key) == nil {
 		return Put(meta, key, []byte{want})
 	}
 	if v, err := Get(meta, key); err != nil || len(v) != 1 || v[0] != want {
-		return fmt.Errorf("%w: version %v, %v is read", ErrSpoilt, v, want)
+		return fmt.Errorf("%w: format version %v, this program reads version %v", ErrSpoilt, v, want)
 	}
 	return nil
 }
 
-// Put writes a value behind a checksum of key and value.
+// Put writes a value, prefixed with the checksum of key and value.
 func Put(b *bolt.Bucket, key, value []byte) error {
-	return b.Put(key, append(binary.BigEndian.AppendUint64(nil, sum(key, value)), value...))
+	return b.Put(key, append(binary.BigEndian.AppendUint64(nil, checksum(key, value)), value...))
 }
 
-func sum(key, value []byte) uint64 {
-	d := xxhash.New()
-	d.Write(key)
-	d.Write([]byte{0})
-	d.Write(value)
-	return d.Sum64()
+// checksum returns the checksum of a key and its value.
+func checksum(key, value []byte) uint64 {
+	digest := xxhash.New()
+	digest.Write(key)
+	digest.Write([]byte{0})
+	digest.Write(value)
+	return digest.Sum64()
 }
 
-// Get reads one; nil where there is none.
+// Get reads a value and verifies its checksum; nil if the key does not exist.
 func Get(b *bolt.Bucket, key []byte) ([]byte, error) {
 	v := b.Get(key)
 	if v == nil {
 		return nil, nil
 	}
-	if len(v) < 8 || binary.BigEndian.Uint64(v) != sum(key, v[8:]) {
-		return nil, errors.New("its checksum is wrong")
+	if len(v) < 8 || binary.BigEndian.Uint64(v) != checksum(key, v[8:]) {
+		return nil, errors.New("wrong checksum")
 	}
 	return bytes.Clone(v[8:]), nil
 }
 
-// Number reads a value of 8 bytes; 0 where there is none.
+// Number reads an integer of 8 bytes, most significant byte first; 0 if the key does not exist.
 func Number(b *bolt.Bucket, key []byte) (uint64, error) {
 	switch v, err := Get(b, key); {
 	case err != nil || v == nil:
 		return 0, err
 	case len(v) != 8:
-		return 0, fmt.Errorf("holds %d bytes", len(v))
+		return 0, fmt.Errorf("value of %d bytes, want 8", len(v))
 	default:
 		return binary.BigEndian.Uint64(v), nil
 	}
 }
 
-// Key words a number so that keys stand in its order.
+// Key encodes a number as a key, so that keys sort in numeric order.
 func Key(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
--- a/internal/failpoint/debug.go
+++ b/internal/failpoint/debug.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// On tells whether this build has any.
+// On reports whether this build has failpoints.
 const On = true
 
 var (
-	mu    sync.Mutex
-	block Block
-	pass  = map[string]int{}
+	mu     sync.Mutex
+	block  Block
+	passes = map[string]int{} // number of passes so far, by failpoint
 )
 
-// Set puts a block in force; passes count from now on.
+// Set activates the failpoints of a block. Passes are counted from now on.
 func Set(b Block) {
 	mu.Lock()
 	defer mu.Unlock()
 	block = b
-	clear(pass)
+	clear(passes)
 }
 
-// Here is called at each pass of a place.
+// Here marks a failpoint: it counts the pass, and stops or kills the process if the block says so.
 func Here(name string) {
 	mu.Lock()
-	pass[name]++
-	n, stop, kill := pass[name], block.stop[name], block.kill[name]
+	passes[name]++
+	pass, stop, kill := passes[name], block.stop[name], block.kill[name]
 	mu.Unlock()
-	switch n {
+	switch pass {
 	case kill:
 		syscall.Kill(syscall.Getpid(), syscall.SIGKILL)
 	case stop:
@@ -39,5 +39,5 @@
 	default:
 		return
 	}
-	time.Sleep(20 * time.Millisecond) // the signal may come to another thread first
+	time.Sleep(20 * time.Millisecond) // the signal may be delivered to another thread first
 }
--- a/internal/failpoint/failpoint.go
+++ b/internal/failpoint/failpoint.go
@@ -1,6 +1,6 @@
-// Package failpoint has a process stop or kill itself at a named place in the code, so that a test can put a fault exactly between
-// a check and what rests on it. Only a debug build does (-tags debug), by the operator's block `failpoints`; any other build refuses
-// the block.
+// Package failpoint lets a process stop or kill itself at a named point in the code, so that a test can inject a fault
+// exactly between a check and the step that relies on it. Only a debug build (-tags debug) has failpoints, configured
+// by the block `failpoints` of the operator's file; any other build rejects the block.
 package failpoint
 
 import (
@@ -12,35 +12,36 @@
 	"poppymill/internal/operator"
 )
 
-// The places.
+// The names of the failpoints.
 const (
-	Saving     = "quorum.saving"     // before a record is written to the disk
-	Saved      = "quorum.saved"      // it is on the disk, and nobody knows
-	Agreed     = "quorum.agreed"     // commands were agreed, and nothing of it has gone out
-	Sending    = "jobs.sending"      // it is known to own the job, and the effect has not gone out
-	Happened   = "jobs.happened"     // the effect has happened, and the log does not know
-	Checked    = "place.checked"     // a place has let a token pass, and nothing has happened
+	Saving     = "quorum.saving"     // before a record is written to the store
+	Saved      = "quorum.saved"      // a record is synced, and neither the node nor any peer knows
+	Agreed     = "quorum.agreed"     // commands were committed, and nothing about them was sent
+	Sending    = "jobs.sending"      // ownership of the job was confirmed, and the effect is not sent
+	Happened   = "jobs.happened"     // the effect was executed, and the log does not have its result
+	Checked    = "place.checked"     // a fencing token was accepted, and the effect is not executed
 	Written    = "place.written"     // an effect is written and not synced
-	Synced     = "place.synced"      // it is on the disk, and its sender does not know
-	Granting   = "jobs.granting"     // the leader is about to ask for a grant
-	Scheduling = "machines.granting" // the owner of the schedule is about to ask for a grant
-	Leaving    = "quorum.leaving"    // its goodbye has not gone out
+	Synced     = "place.synced"      // an effect is synced, and its sender does not know
+	Granting   = "jobs.granting"     // the leader is about to propose a grant
+	Scheduling = "machines.granting" // the owner of the schedule is about to propose a grant
+	Leaving    = "quorum.leaving"    // the process is about to announce that it leaves
 )
 
 var known = []string{Saving, Saved, Agreed, Sending, Happened, Checked, Written, Synced, Granting, Scheduling, Leaving}
 
-// Block is what an operator's file says: at each place, the how-manieth pass it is at which the process stops or ends.
+// Block is the block failpoints of an operator's file: for each failpoint, the number of the pass, counted from 1, at
+// which the process stops or is killed.
 type Block struct {
 	Stop, Kill []string
 	stop, kill map[string]int
 }
 
-// Fields are those of the block failpoints.
+// Fields returns the fields of the block failpoints.
 func (b *Block) Fields() []operator.Field {
 	return []operator.Field{operator.Attr("stop", operator.Texts(&b.Stop)), operator.Attr("kill", operator.Texts(&b.Kill)),
 		operator.Check(func() (err error) {
 			if !On {
-				return fmt.Errorf("only a debug build has any (-tags debug)")
+				return fmt.Errorf("only a debug build has failpoints (-tags debug)")
 			}
 			if b.stop, err = parse("stop", b.Stop); err == nil {
 				b.kill, err = parse("kill", b.Kill)
@@ -49,16 +50,16 @@
 		})}
 }
 
-// parse reads places in the form NAME:PASS.
-func parse(field string, all []string) (map[string]int, error) {
-	m := map[string]int{}
-	for _, text := range all {
+// parse parses failpoints in the form NAME:PASS, and returns the passes by name.
+func parse(field string, entries []string) (map[string]int, error) {
+	passes := map[string]int{}
+	for _, text := range entries {
 		name, pass, _ := strings.Cut(text, ":")
 		n, err := strconv.Atoi(pass)
 		if err != nil || n < 1 || !slices.Contains(known, name) {
-			return nil, fmt.Errorf("%s: %q is not NAME:PASS, with a name of %s", field, text, strings.Join(known, ", "))
+			return nil, fmt.Errorf("%s: %q is not NAME:PASS with a NAME among %s", field, text, strings.Join(known, ", "))
 		}
-		m[name] = n
+		passes[name] = n
 	}
-	return m, nil
+	return passes, nil
 }
--- a/internal/failpoint/release.go
+++ b/internal/failpoint/release.go
@@ -2,9 +2,11 @@
 
 package failpoint
 
-// On tells whether this build has any.
+// On reports whether this build has failpoints.
 const On = false
 
-// Set and Here do nothing.
-func Set(Block)   {}
+// Set does nothing in a release build.
+func Set(Block) {}
+
+// Here does nothing in a release build.
 func Here(string) {}
