--- a/internal/links/drive/drive.go
+++ b/internal/links/drive/drive.go
@@ -1,5 +1,5 @@
-// Package drive is what stands round the decisions of internal/links: the operator's block, where a front carries a token,
-// the store of what is spent, and the watch on the file of keys. It decides nothing.
+// Package drive connects internal/links to its surroundings: the operator's links block, the place of the token in a request,
+// the store of spent tokens, and the watch on the key file. It makes no decisions about tokens.
 package drive
 
 import (
@@ -17,17 +17,17 @@
 	"poppymill/internal/operator"
 )
 
-// Block is the block links of the operator's file.
+// Block is the links block of the operator's file.
 type Block struct {
 	On       bool
-	Keys     string // file
+	Keys     string // path of the key file
 	From     string // query, header or cookie
 	Name     string // of the parameter, header or cookie
-	Store    string // file of what is spent; empty: none
+	Store    string // path of the store of spent tokens; empty: none
 	Settings links.Settings
 }
 
-// Fields reads the block; it turns links on.
+// Fields resets the block to defaults, turns links on, and returns the fields to parse.
 func (b *Block) Fields() []operator.Field {
 	*b = Block{On: true, From: "query", Name: "URISigningPackage", Settings: links.Defaults()}
 	s := &b.Settings
@@ -49,20 +49,20 @@
 				return errors.New("base: ends in a slash")
 			}
 			if s.Form == "compact" && b.From != "query" {
-				return errors.New("from: the compact form stands in the query")
+				return errors.New("from: the compact form requires query")
 			}
 			return nil
 		}),
 	}
 }
 
-// Ring reads the block's keys.
+// Ring reads the block's key file.
 func (b *Block) Ring() (*links.Ring, error) {
 	_, ring, err := keyfile.Read(b.Keys)
 	return ring, err
 }
 
-// Params names the fields of a request that are needed to find a token and its client; none where links are off.
+// Params returns the names of the request fields that are needed to find a token and its client; none if links are off.
 func (b *Block) Params() []string {
 	if !b.On {
 		return nil
@@ -70,73 +70,76 @@
 	return []string{"QUERY_STRING", "HTTP_COOKIE", "REMOTE_ADDR", b.header()}
 }
 
+// header is the CGI name of the header that carries the token.
 func (b *Block) header() string {
 	return "HTTP_" + strings.ToUpper(strings.ReplaceAll(b.Name, "-", "_"))
 }
 
-// twice stands for a token that a request carries more than once: which of them is meant nobody can say, so none is.
-const twice = "."
+// ambiguousToken replaces a token that a request carries more than once. It is malformed, so such a request is refused: there
+// is no safe way to choose one of the tokens.
+const ambiguousToken = "."
 
-// Token finds a token among the fields of a request, named as CGI does (RFC 3875, section 4.1).
+// Token finds the token among the fields of a request, which have CGI names (RFC 3875, section 4.1).
 func (b *Block) Token(params map[string]string) string {
 	switch b.From {
 	case "header":
 		return params[b.header()]
 	case "cookie":
-		return one(params["HTTP_COOKIE"], ";", b.Name)
+		return singleValue(params["HTTP_COOKIE"], ";", b.Name)
 	}
 	if b.Settings.Form == "compact" {
 		return params["QUERY_STRING"]
 	}
-	return one(params["QUERY_STRING"], "&", b.Name)
+	return singleValue(params["QUERY_STRING"], "&", b.Name)
 }
 
-func one(text, between, name string) (found string) {
-	for pair := range strings.SplitSeq(text, between) {
+// singleValue returns the value of the pair with a name, or ambiguousToken if there are several.
+func singleValue(text, separator, name string) (found string) {
+	for pair := range strings.SplitSeq(text, separator) {
 		n, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
 		if !ok || n != name {
 			continue
 		}
 		if found != "" {
-			return twice
+			return ambiguousToken
 		}
 		found = value
 	}
 	return found
 }
 
-// Watch tells of changes of the file of keys until the context ends. It watches the folder, as a file that is put in place
-// whole is another file; what comes in a burst is told once.
+// Watch calls changed after each change of the key file, until the context ends. It watches the directory, as replacing the
+// file by a rename creates a new file. A burst of events leads to one call.
 func Watch(ctx context.Context, path string, changed func()) error {
-	w, err := fsnotify.NewWatcher()
+	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
-	defer w.Close()
-	if err := w.Add(filepath.Dir(path)); err != nil {
+	defer watcher.Close()
+	if err := watcher.Add(filepath.Dir(path)); err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
-	var settled <-chan time.Time
+	var debounce <-chan time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case e, ok := <-w.Events:
+		case event, ok := <-watcher.Events:
 			if !ok {
 				return nil
 			}
-			if filepath.Base(e.Name) == filepath.Base(path) && settled == nil {
-				settled = time.After(50 * time.Millisecond)
+			if filepath.Base(event.Name) == filepath.Base(path) && debounce == nil {
+				debounce = time.After(50 * time.Millisecond)
 			}
-		case err, ok := <-w.Errors:
+		case err, ok := <-watcher.Errors:
 			if !ok {
 				return nil
 			}
 			if errors.Is(err, fsnotify.ErrEventOverflow) {
-				settled = time.After(50 * time.Millisecond)
+				debounce = time.After(50 * time.Millisecond)
 			}
-		case <-settled:
-			settled = nil
+		case <-debounce:
+			debounce = nil
 			changed()
 		}
 	}
--- a/internal/links/drive/drive_test.go
+++ b/internal/links/drive/drive_test.go
@@ -18,26 +18,26 @@
 
 func TestMain(m *testing.M) {
 	if path := os.Getenv("STORE"); path != "" {
-		child(path, os.Getenv("STEP"))
+		runKilledWriter(path, os.Getenv("STEP"))
 		return
 	}
 	os.Exit(m.Run())
 }
 
-func spend(n int) links.Spend {
+func testSpend(n int) links.Spend {
 	return links.Spend{Key: [16]byte{byte(n), byte(n >> 8), 1}, Expires: 2e12}
 }
 
-// child writes spends one by one, prints each that it is told is written, and ends itself as kill -9 does at the third
-// time that it comes to a step.
-func child(path, step string) {
+// runKilledWriter writes spends one by one and prints each that is confirmed. It kills its own process with SIGKILL the
+// third time that it reaches a step.
+func runKilledWriter(path, step string) {
 	s, err := OpenStore(path, 1e12, func(links.Spend) {})
 	if err != nil {
 		fmt.Println("error", err)
 		return
 	}
 	times := 0
-	s.step = func(at string) {
+	s.onStep = func(at string) {
 		if at == step {
 			if times++; times == 3 {
 				syscall.Kill(os.Getpid(), syscall.SIGKILL)
@@ -48,7 +48,7 @@
 	go s.Run(context.Background(), func() float64 { return 1e12 })
 	for n := range 20 {
 		done := make(chan error)
-		s.Write(spend(n), func(err error) { done <- err })
+		s.Write(testSpend(n), func(err error) { done <- err })
 		if err := <-done; err != nil {
 			fmt.Println("error", err)
 			return
@@ -57,10 +57,10 @@
 	}
 }
 
-// Whatever step a process is killed at, what it was told as written is there after it, and the store opens. What was on
-// the disk and not told counts as spent.
-func TestKilledAtEachStep(t *testing.T) {
-	for step, least := range map[string]int{"taken": 2, "put": 2, "on the disk": 3, "told": 3, "never": 20} {
+// A process is killed at each step of a write. Afterwards the store opens and holds all confirmed writes. A write that was on
+// the disk but not confirmed counts as spent.
+func TestStoreSurvivesKillAtEachStep(t *testing.T) {
+	for step, minStored := range map[string]int{"taken": 2, "put": 2, "on the disk": 3, "told": 3, "never": 20} {
 		path := filepath.Join(t.TempDir(), "spent.db")
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "STORE="+path, "STEP="+step)
@@ -76,33 +76,33 @@
 			written++
 		}
 		cmd.Wait()
-		there := map[links.Spend]bool{}
-		s, err := OpenStore(path, 1e12, func(x links.Spend) { there[x] = true })
+		stored := map[links.Spend]bool{}
+		s, err := OpenStore(path, 1e12, func(x links.Spend) { stored[x] = true })
 		if err != nil {
 			t.Fatalf("killed when %s: %v", step, err)
 		}
 		for n := range written {
-			if !there[spend(n)] {
-				t.Errorf("killed when %s: %d was told as written and is gone", step, n)
+			if !stored[testSpend(n)] {
+				t.Errorf("killed when %s: %d was confirmed and is missing", step, n)
 			}
 		}
-		if written < 2 || len(there) < least || len(there) > written+1 {
-			t.Errorf("killed when %s: %d told, %d there, want %d at least", step, written, len(there), least)
+		if written < 2 || len(stored) < minStored || len(stored) > written+1 {
+			t.Errorf("killed when %s: %d confirmed, %d stored, want at least %d", step, written, len(stored), minStored)
 		}
 		s.db.Close()
 	}
 }
 
-// What is taken back or expired is gone after a restart; a store of another version is refused and left as it is.
+// Entries that were removed or have expired are absent after a restart. A file that is not a store is refused.
 func TestStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spent.db")
 	open := func(now float64) (*Store, map[links.Spend]bool) {
-		there := map[links.Spend]bool{}
-		s, err := OpenStore(path, now, func(x links.Spend) { there[x] = true })
+		stored := map[links.Spend]bool{}
+		s, err := OpenStore(path, now, func(x links.Spend) { stored[x] = true })
 		if err != nil {
 			t.Fatal(err)
 		}
-		return s, there
+		return s, stored
 	}
 	s, _ := open(1e12)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -110,9 +110,9 @@
 	go func() { ended <- s.Run(ctx, func() float64 { return 1e12 }) }()
 	done := make(chan error, 600)
 	for n := range 500 {
-		s.Write(spend(n), func(err error) { done <- err })
+		s.Write(testSpend(n), func(err error) { done <- err })
 	}
-	s.Back(spend(7))
+	s.Back(testSpend(7))
 	for range 500 {
 		if err := <-done; err != nil {
 			t.Fatal(err)
@@ -122,27 +122,27 @@
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
-	s, there := open(1e12)
-	if len(there) != 499 || there[spend(7)] {
-		t.Errorf("%d there, the one taken back: %t", len(there), there[spend(7)])
+	s, stored := open(1e12)
+	if len(stored) != 499 || stored[testSpend(7)] {
+		t.Errorf("%d stored, the removed one: %t", len(stored), stored[testSpend(7)])
 	}
-	if err := s.trim(3e12); err != nil || s.Trims != 499 {
-		t.Errorf("%d trimmed, %v", s.Trims, err)
+	if err := s.removeExpired(3e12); err != nil || s.Expired != 499 {
+		t.Errorf("%d expired entries removed, %v", s.Expired, err)
 	}
 	s.db.Close()
-	if s, there = open(3e12); len(there) != 0 {
-		t.Errorf("%d there after they expired", len(there))
+	if s, stored = open(3e12); len(stored) != 0 {
+		t.Errorf("%d stored after they expired", len(stored))
 	}
 	s.db.Close()
 	if err := os.WriteFile(path, []byte("no store"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := OpenStore(path, 0, nil); err == nil || !strings.Contains(err.Error(), path) {
-		t.Errorf("what is no store: %v", err)
+		t.Errorf("not a store: %v", err)
 	}
 }
 
-// A token is found where the block says, and one that stands twice is none.
+// A token is found where the block says. A token that occurs twice is refused.
 func TestToken(t *testing.T) {
 	for _, c := range []struct {
 		from, name, form string
@@ -150,12 +150,12 @@
 		want             string
 	}{
 		{"query", "URISigningPackage", "", map[string]string{"QUERY_STRING": "a=b&URISigningPackage=x.y.z"}, "x.y.z"},
-		{"query", "URISigningPackage", "", map[string]string{"QUERY_STRING": "URISigningPackage=x&URISigningPackage=x"}, twice},
+		{"query", "URISigningPackage", "", map[string]string{"QUERY_STRING": "URISigningPackage=x&URISigningPackage=x"}, ambiguousToken},
 		{"query", "URISigningPackage", "", map[string]string{"HTTP_COOKIE": "URISigningPackage=x"}, ""},
 		{"query", "", "compact", map[string]string{"QUERY_STRING": "Expires=1&KeyName=k&Signature=s"}, "Expires=1&KeyName=k&Signature=s"},
 		{"header", "X-Link", "", map[string]string{"HTTP_X_LINK": "x"}, "x"},
 		{"cookie", "link", "", map[string]string{"HTTP_COOKIE": "a=1; link=x; xlink=y"}, "x"},
-		{"cookie", "link", "", map[string]string{"HTTP_COOKIE": "link=x; link=y"}, twice},
+		{"cookie", "link", "", map[string]string{"HTTP_COOKIE": "link=x; link=y"}, ambiguousToken},
 	} {
 		b := Block{From: c.from, Name: c.name}
 		b.Settings.Form = c.form
@@ -165,8 +165,9 @@
 	}
 }
 
-// The file of keys is taken up when it is put in its place, and what others may read, or is cut, is refused by its fault.
-func TestKeys(t *testing.T) {
+// Each replacement of the key file is noticed. A file that others can read, or that is truncated or invalid, is refused with
+// an error that shows no secret.
+func TestKeyFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys.hcl")
 	f := &keyfile.File{Secret: make([]byte, 32)}
 	for i, alg := range []string{"EdDSA", "ES256", "HS256"} {
@@ -182,7 +183,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	changes, ended := make(chan bool, 9), make(chan error)
 	go func() { ended <- Watch(ctx, path, func() { changes <- true }) }()
-	time.Sleep(50 * time.Millisecond) // until it watches: the first change may come before, the next may not be lost
+	time.Sleep(50 * time.Millisecond) // the watch has to be running before the first change, and must then miss none
 	var ring *links.Ring
 	for range 3 {
 		if err := f.Rotate(); err != nil {
@@ -194,7 +195,7 @@
 		select {
 		case <-changes:
 		case <-time.After(5 * time.Second):
-			t.Fatal("a change was not told")
+			t.Fatal("a change was not reported")
 		}
 		var got *keyfile.File
 		var err error
@@ -207,7 +208,7 @@
 		}
 	}
 	if ring.Signs() != "k2" || f.Rotate() == nil {
-		t.Errorf("%s signs", ring.Signs())
+		t.Errorf("signing key: %s", ring.Signs())
 	}
 	cancel()
 	if err := <-ended; err != nil {
@@ -219,7 +220,7 @@
 		mode os.FileMode
 		want string
 	}{{string(text), 0o640, "chmod 600"}, {string(text[:len(text)/2]), 0o600, "keys.hcl:"}, {strings.Replace(string(text), "version = 1", "version = 2", 1), 0o600, "version"},
-		{strings.Replace(string(text), "k1", "k0", 1), 0o600, "stands twice"}, {strings.Replace(string(text), `"EdDSA"`, `"ES256"`, 1), 0o600, "don't belong"},
+		{strings.Replace(string(text), "k1", "k0", 1), 0o600, "duplicate id"}, {strings.Replace(string(text), `"EdDSA"`, `"ES256"`, 1), 0o600, "do not match"},
 		{strings.Replace(string(text), "private   = \"M", "private   = \"X", 1), 0o600, "private: "}} {
 		os.WriteFile(path, []byte(c.text), 0o600)
 		os.Chmod(path, c.mode)
@@ -229,7 +230,7 @@
 		}
 		for line := range strings.SplitSeq(string(text), "\n") {
 			if _, secret, ok := strings.Cut(line, "= \""); ok && len(secret) > 40 && strings.Contains(fmt.Sprint(err), secret[:20]) {
-				t.Errorf("an error shows what is secret: %v", err)
+				t.Errorf("an error shows a secret: %v", err)
 			}
 		}
 	}
--- a/internal/links/drive/store.go
+++ b/internal/links/drive/store.go
@@ -13,42 +13,43 @@
 	"poppymill/internal/links"
 )
 
-// Store keeps what is spent over a restart (go.etcd.io/bbolt). What was to be written and is told as written is on the disk;
-// what was not told may or may not be there, and counts as spent if it is.
+// Store keeps spent tokens across restarts (go.etcd.io/bbolt). A write that was confirmed is on the disk. A write that was not
+// confirmed may or may not be on the disk, and counts as spent if it is.
 type Store struct {
-	db    *bolt.DB
-	jobs  chan job
-	Trims int          // entries that had expired and were let go
-	step  func(string) // called at each step of a write; tests end the process there
+	db      *bolt.DB
+	queue   chan change
+	Expired int          // number of expired entries that were deleted
+	onStep  func(string) // called at each step of a write; tests end the process there
 }
 
-type job struct {
-	spend links.Spend
-	back  bool
-	done  func(error)
+// change is a queued write: spend is stored or, with remove, deleted.
+type change struct {
+	spend  links.Spend
+	remove bool
+	done   func(error)
 }
 
 const (
-	storeVersion = 1
-	mostJobs     = 1024
-	mostBatch    = 256 // one fsync serves so many
-	trimEvery    = time.Minute
+	storeVersion   = 1
+	maxQueued      = 1024 // changes
+	maxBatch       = 256  // changes per transaction, so per fsync
+	expiryInterval = time.Minute
 )
 
 var (
-	spentBucket = []byte("spent")
-	metaBucket  = []byte("meta")
-	versionKey  = []byte("version")
-	errFull     = errors.New("store: too much waits to be written")
+	spentBucket  = []byte("spent")
+	metaBucket   = []byte("meta")
+	versionKey   = []byte("version")
+	errQueueFull = errors.New("store: write queue is full")
 )
 
-// OpenStore opens a store, or makes one, and tells what is still in force in it.
+// OpenStore opens or creates a store, and calls restore for each entry that has not expired.
 func OpenStore(path string, now float64, restore func(links.Spend)) (*Store, error) {
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second})
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", path, err)
 	}
-	s := &Store{db: db, jobs: make(chan job, mostJobs), step: func(string) {}}
+	s := &Store{db: db, queue: make(chan change, maxQueued), onStep: func(string) {}}
 	err = db.Update(func(tx *bolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(metaBucket)
 		if err != nil {
@@ -59,19 +60,19 @@
 				return err
 			}
 		} else if len(v) != 1 || v[0] != storeVersion {
-			return fmt.Errorf("its version is %v, and %d is read here", v, storeVersion)
+			return fmt.Errorf("version is %v, want %d", v, storeVersion)
 		}
-		b, err := tx.CreateBucketIfNotExists(spentBucket)
+		bucket, err := tx.CreateBucketIfNotExists(spentBucket)
 		if err != nil {
 			return err
 		}
-		return b.ForEach(func(k, v []byte) error {
+		return bucket.ForEach(func(k, v []byte) error {
 			if len(k) != 16 || len(v) != 8 {
-				return fmt.Errorf("an entry of %d and %d bytes", len(k), len(v))
+				return fmt.Errorf("entry has a key of %d bytes and a value of %d bytes", len(k), len(v))
 			}
-			x := links.Spend{Key: [16]byte(k), Expires: math.Float64frombits(binary.BigEndian.Uint64(v))}
-			if x.Expires > now {
-				restore(x)
+			spend := links.Spend{Key: [16]byte(k), Expires: math.Float64frombits(binary.BigEndian.Uint64(v))}
+			if spend.Expires > now {
+				restore(spend)
 			}
 			return nil
 		})
@@ -82,38 +83,43 @@
 	return s, nil
 }
 
-// Write puts a spend on its way to the disk; done is called once, from another goroutine, when it is there or can't be. It
-// never waits.
-func (s *Store) Write(x links.Spend, done func(error)) { s.job(job{spend: x, done: done}) }
+// Write queues a spend to be stored. It never blocks. done is called once, from another goroutine, when the spend is on the
+// disk or could not be written.
+func (s *Store) Write(spend links.Spend, done func(error)) {
+	s.enqueue(change{spend: spend, done: done})
+}
 
-// Back takes a spend out again: what it was for never ran. It is no harm where that is lost.
-func (s *Store) Back(x links.Spend) { s.job(job{spend: x, back: true, done: func(error) {}}) }
+// Back queues the deletion of a spend whose download never ran. Losing the deletion is harmless: the token just stays spent.
+func (s *Store) Back(spend links.Spend) {
+	s.enqueue(change{spend: spend, remove: true, done: func(error) {}})
+}
 
-func (s *Store) job(j job) {
+// enqueue adds a change to the queue without blocking. If the queue is full, the change fails.
+func (s *Store) enqueue(c change) {
 	select {
-	case s.jobs <- j:
+	case s.queue <- c:
 	default:
-		go j.done(errFull)
+		go c.done(errQueueFull)
 	}
 }
 
-// Run writes until the context ends, all that has come by then included, and closes the store.
+// Run writes queued changes until the context ends. It then writes what is still queued and closes the store.
 func (s *Store) Run(ctx context.Context, now func() float64) error {
-	trim := time.NewTicker(trimEvery)
-	defer trim.Stop()
+	ticker := time.NewTicker(expiryInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case j := <-s.jobs:
-			s.batch(j)
-		case <-trim.C:
-			if err := s.trim(now()); err != nil {
+		case c := <-s.queue:
+			s.commitBatch(c)
+		case <-ticker.C:
+			if err := s.removeExpired(now()); err != nil {
 				return errors.Join(err, s.db.Close())
 			}
 		case <-ctx.Done():
 			for {
 				select {
-				case j := <-s.jobs:
-					s.batch(j)
+				case c := <-s.queue:
+					s.commitBatch(c)
 					continue
 				default:
 				}
@@ -123,53 +129,53 @@
 	}
 }
 
-// batch writes what waits by one transaction, in its order.
-func (s *Store) batch(first job) {
-	all := []job{first}
-	for len(all) < mostBatch {
+// commitBatch writes the queued changes in one transaction, in order.
+func (s *Store) commitBatch(first change) {
+	batch := []change{first}
+	for len(batch) < maxBatch {
 		select {
-		case j := <-s.jobs:
-			all = append(all, j)
+		case c := <-s.queue:
+			batch = append(batch, c)
 			continue
 		default:
 		}
 		break
 	}
-	s.step("taken")
+	s.onStep("taken")
 	err := s.db.Update(func(tx *bolt.Tx) error {
-		b := tx.Bucket(spentBucket)
-		defer s.step("put")
-		for _, j := range all {
-			key := j.spend.Key[:]
-			if j.back {
-				if err := b.Delete(key); err != nil {
+		bucket := tx.Bucket(spentBucket)
+		defer s.onStep("put")
+		for _, c := range batch {
+			key := c.spend.Key[:]
+			if c.remove {
+				if err := bucket.Delete(key); err != nil {
 					return err
 				}
 				continue
 			}
-			if err := b.Put(key, binary.BigEndian.AppendUint64(nil, math.Float64bits(j.spend.Expires))); err != nil {
+			if err := bucket.Put(key, binary.BigEndian.AppendUint64(nil, math.Float64bits(c.spend.Expires))); err != nil {
 				return err
 			}
 		}
 		return nil
 	})
-	s.step("on the disk")
-	for _, j := range all {
-		j.done(err)
+	s.onStep("on the disk")
+	for _, c := range batch {
+		c.done(err)
 	}
-	s.step("told")
+	s.onStep("told")
 }
 
-// trim lets go of what has expired.
-func (s *Store) trim(now float64) error {
+// removeExpired deletes the expired entries.
+func (s *Store) removeExpired(now float64) error {
 	return s.db.Update(func(tx *bolt.Tx) error {
-		c := tx.Bucket(spentBucket).Cursor()
-		for k, v := c.First(); k != nil; k, v = c.Next() {
+		cursor := tx.Bucket(spentBucket).Cursor()
+		for k, v := cursor.First(); k != nil; k, v = cursor.Next() {
 			if len(v) == 8 && math.Float64frombits(binary.BigEndian.Uint64(v)) <= now {
-				if err := c.Delete(); err != nil {
+				if err := cursor.Delete(); err != nil {
 					return err
 				}
-				s.Trims++
+				s.Expired++
 			}
 		}
 		return nil
--- a/internal/links/keyfile/keyfile.go
+++ b/internal/links/keyfile/keyfile.go
@@ -1,5 +1,5 @@
-// Package keyfile reads and writes the file of keys for signed links. It is taken whole or not at all; what others on the
-// machine can read is refused; nothing secret is ever in an error.
+// Package keyfile reads and writes the key file for signed links. A file is used as a whole or not at all. A file that other
+// users of the machine can access is refused. Errors never contain secrets.
 package keyfile
 
 import (
@@ -19,20 +19,20 @@
 	"poppymill/internal/operator"
 )
 
-// File is what stands in it.
+// File is the content of a key file.
 type File struct {
 	Keys   []links.Key
-	Secret []byte // of addresses in tokens; nil: none
+	Secret []byte // encrypts client addresses in tokens (address_secret); nil: none
 }
 
-// Read takes a file and makes a ring of it.
+// Read reads and validates a key file.
 func Read(path string) (*File, *links.Ring, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, nil, err
 	}
 	if info.Mode().Perm()&0o077 != 0 {
-		return nil, nil, fmt.Errorf("%s: others than its owner may use it (%v): chmod 600", path, info.Mode().Perm())
+		return nil, nil, fmt.Errorf("%s: accessible to users other than its owner (%v): chmod 600", path, info.Mode().Perm())
 	}
 	text, err := operator.Read(path)
 	if err != nil {
@@ -49,6 +49,7 @@
 	return f, ring, nil
 }
 
+// parse parses the HCL of a key file. It does not validate the keys as a set.
 func parse(text []byte, path string) (*File, error) {
 	f := &File{}
 	var version int
@@ -64,7 +65,7 @@
 				operator.Attr("private", operator.Text(&private)), operator.Attr("public", operator.Text(&public)),
 				operator.Attr("secret", operator.Text(&shared)), operator.Check(func() (err error) {
 					if k.State, err = links.ParseState(state); err == nil {
-						err = material(&k, private, public, shared)
+						err = parseMaterial(&k, private, public, shared)
 					}
 					f.Keys = append(f.Keys, k)
 					return err
@@ -78,10 +79,10 @@
 	return f, err
 }
 
-// material reads a key's halves: PKCS #8 and PKIX in DER, or the bytes of a secret, in base64.
-func material(k *links.Key, private, public, shared string) error {
+// parseMaterial decodes the key material: base64 of PKCS #8 (private) or PKIX (public) in DER, or of the bytes of a secret.
+func parseMaterial(k *links.Key, private, public, shared string) error {
 	if (k.Algorithm == "HS256") != (shared != "") || shared != "" && private+public != "" {
-		return errors.New("HS256 takes secret alone, the others private or public")
+		return errors.New("HS256 takes only secret; other algorithms take private or public")
 	}
 	if shared != "" {
 		raw, err := base64.StdEncoding.DecodeString(shared)
@@ -103,7 +104,7 @@
 		case ed25519.PrivateKey:
 			k.Private, k.Public = p, p.Public()
 		default:
-			return fmt.Errorf("private: is no key that is known here (%T)", err)
+			return fmt.Errorf("private: unsupported key (%T)", err)
 		}
 	}
 	if public != "" {
@@ -113,9 +114,9 @@
 		}
 		parsed, err := x509.ParsePKIXPublicKey(raw)
 		if err != nil {
-			return errors.New("public: is no key that is known here")
+			return errors.New("public: unsupported key")
 		}
-		k.Public = parsed // that both belong together is the ring's to check
+		k.Public = parsed // links.NewRing checks that it matches the private key
 	}
 	if k.Public == nil {
 		return errors.New("neither private nor public")
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// New makes a key of an algorithm.
+// New generates a key for an algorithm.
 func New(id, issuer, algorithm string, state links.State) (k links.Key, err error) {
 	k = links.Key{ID: id, Issuer: issuer, Algorithm: algorithm, State: state}
 	switch algorithm {
@@ -144,13 +145,13 @@
 		rand.Read(secret)
 		k.Private, k.Public = secret, secret
 	default:
-		return k, fmt.Errorf("algorithm %q is none of ES256, EdDSA, HS256", algorithm)
+		return k, fmt.Errorf("algorithm %q is not one of ES256, EdDSA, HS256", algorithm)
 	}
 	return k, nil
 }
 
-// Write puts a file in its place, whole at once and on the disk before it counts: after a crash there is the old one or
-// the new one. What is not a valid ring is not written.
+// Write replaces a key file atomically, and syncs it before the rename: after a crash either the old or the new file is there.
+// Invalid keys are not written.
 func Write(path string, f *File) error {
 	if _, err := links.NewRing(f.Keys, f.Secret); err != nil {
 		return err
@@ -162,15 +163,16 @@
 	}
 	for _, k := range f.Keys {
 		fmt.Fprintf(&b, "\nkey %q {\n  issuer    = %q\n  algorithm = %q\n  state     = %q\n", k.ID, k.Issuer, k.Algorithm, k.State)
-		if err := put(&b, k); err != nil {
+		if err := writeMaterial(&b, k); err != nil {
 			return fmt.Errorf("key %q: %w", k.ID, err)
 		}
 		b.WriteString("}\n")
 	}
-	return replace(path, []byte(b.String()))
+	return replaceFile(path, []byte(b.String()))
 }
 
-func put(b *strings.Builder, k links.Key) error {
+// writeMaterial writes the attribute that holds the key material.
+func writeMaterial(b *strings.Builder, k links.Key) error {
 	name, raw, err := "", []byte(nil), error(nil)
 	switch {
 	case k.Algorithm == "HS256":
@@ -188,7 +190,8 @@
 	return err
 }
 
-func replace(path string, text []byte) (err error) {
+// replaceFile writes a temporary file, syncs it and renames it to path.
+func replaceFile(path string, text []byte) (err error) {
 	f, err := os.CreateTemp(filepath.Dir(path), ".keys-*")
 	if err != nil {
 		return err
@@ -209,14 +212,15 @@
 	}
 	dir, err := os.Open(filepath.Dir(path))
 	if err != nil {
-		return nil // it is in its place; the folder can't be opened to make sure of it
+		return nil // the file is replaced; the directory cannot be opened to sync the rename
 	}
 	defer dir.Close()
 	dir.Sync()
 	return nil
 }
 
-// Rotate lets the oldest upcoming key sign, and the one that signed verify on: what it signed stays good until it expires.
+// Rotate makes the first upcoming key the signing key. The previous one becomes verifying, so that its tokens stay valid until
+// they expire.
 func (f *File) Rotate() error {
 	for i := range f.Keys {
 		if f.Keys[i].State != links.Upcoming {
@@ -230,10 +234,10 @@
 		f.Keys[i].State = links.Signing
 		return nil
 	}
-	return errors.New("keys: none is upcoming; add one first, and let all gateways take it up")
+	return errors.New("keys: there is no upcoming key; add one first, and wait until all gateways have loaded it")
 }
 
-// Set changes the state of a key.
+// Set sets the state of a key.
 func (f *File) Set(id string, s links.State) error {
 	for i := range f.Keys {
 		if f.Keys[i].ID == id {
@@ -241,5 +245,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("key %q: there is none", id)
+	return fmt.Errorf("key %q: does not exist", id)
 }
