--- a/internal/links/claims.go
+++ b/internal/links/claims.go
@@ -174,7 +174,7 @@
 		if take := fields[name]; take != nil {
 			return take(v)
 		}
-		return errors.New("is not accepted here") // with crit, jku, x5u and the like a token would choose how, and by which key, it is verified
+		return errors.New("is not accepted here") // crit, jku, x5u and the like let a token choose its own key or rules
 	})
 	if err == nil && (h.Alg == "" || h.Kid == "" || h.Typ != "" && !strings.EqualFold(h.Typ, "JWT")) {
 		err = errors.New("alg or kid is missing, or typ is not JWT")
