--- a/internal/fair/calendar.go
+++ b/internal/fair/calendar.go
@@ -9,84 +9,87 @@
 	"strings"
 )
 
-// calendar books room ahead. It is a ring of places of equal length; each holds what was booked in cost, and by whom as a
-// digest, so that an appointment is known again without memory for each client.
+// calendar reserves capacity ahead of time. It is a ring of time slots of equal length. Each slot holds the cost booked
+// in it and the bookings, identified by a hash, so that an appointment is recognised without per-client state.
 type calendar struct {
-	slot, slack float64
-	per         int
-	places      []place
-	from        int64 // no earlier place has room, as far as is known
-	missed      int
-	show        float64 // share of late of those booked that come
-	swept       int64   // the first place whose time is not over
+	slotLength, slack float64
+	maxPerSlot        int
+	slots             []slot
+	firstFree         int64   // all earlier slots are known to be full
+	missed            int     // bookings that were never used
+	showRate          float64 // moving average of the fraction of bookings that are used
+	sweptTo           int64   // first slot that was not swept yet
 }
 
-type place struct {
-	index int64 // since the epoch
-	cost  float64
-	open  float64 // of it, what has not come yet
-	who   []booking
+// slot is one time slot with its bookings.
+type slot struct {
+	index    int64 // in slot lengths since the epoch
+	cost     float64
+	pending  float64 // cost of the bookings that were not used yet
+	bookings []booking
 }
 
+// booking is one appointment; key is the hash of the download that it is for.
 type booking struct {
-	digest uint64
-	cost   float64
-	used   bool
+	key  uint64
+	cost float64
+	used bool
 }
 
 func newCalendar(s Settings) *calendar {
-	c := &calendar{slot: s.Slot, slack: s.Slack, per: s.PerSlot, places: make([]place, s.Slots), show: 1}
-	for i := range c.places {
-		c.places[i] = place{index: -1, who: make([]booking, 0, s.PerSlot)}
+	c := &calendar{slotLength: s.Slot, slack: s.Slack, maxPerSlot: s.PerSlot, slots: make([]slot, s.Slots), showRate: 1}
+	for i := range c.slots {
+		c.slots[i] = slot{index: -1, bookings: make([]booking, 0, s.PerSlot)}
 	}
 	return c
 }
 
-// at is a place by its number; what stood there before is over.
-func (c *calendar) at(index int64) *place {
-	p := &c.places[index%int64(len(c.places))]
+// slotAt returns the slot with this index, and clears an expired slot that occupied its position in the ring.
+func (c *calendar) slotAt(index int64) *slot {
+	p := &c.slots[index%int64(len(c.slots))]
 	if p.index != index {
-		*p = place{index: index, who: p.who[:0]}
+		*p = slot{index: index, bookings: p.bookings[:0]}
 	}
 	return p
 }
 
-// book finds the first place with room for a cost, of so much a place, no later than the longest wait.
-func (c *calendar) book(now, cost, room, longest float64, who uint64) (at float64, serial int, ok bool) {
-	first, last := int64((now+c.slack)/c.slot)+1, int64((now+longest)/c.slot)
-	last = min(last, int64(now/c.slot)+int64(len(c.places))-int64(c.slack/c.slot)-2)
-	for i := max(first, c.from); i <= last; i++ {
-		p := c.at(i)
-		if p.cost+cost > room && p.cost > 0 || len(p.who) >= c.per {
-			if i == c.from {
-				c.from++
+// book reserves a cost in the first slot that has room for it and is no later than the longest wait. room is the cost
+// that one slot can hold.
+func (c *calendar) book(now, cost, room, longest float64, key uint64) (at float64, serial int, ok bool) {
+	first, last := int64((now+c.slack)/c.slotLength)+1, int64((now+longest)/c.slotLength)
+	last = min(last, int64(now/c.slotLength)+int64(len(c.slots))-int64(c.slack/c.slotLength)-2)
+	for i := max(first, c.firstFree); i <= last; i++ {
+		p := c.slotAt(i)
+		if p.cost+cost > room && p.cost > 0 || len(p.bookings) >= c.maxPerSlot {
+			if i == c.firstFree {
+				c.firstFree++
 			}
 			continue
 		}
 		if cost > room && room <= 0 {
 			return 0, 0, false
 		}
-		p.cost, p.open = p.cost+cost, p.open+cost
-		p.who = append(p.who, booking{digest: who, cost: cost})
-		return float64(i) * c.slot, len(p.who) - 1, true
+		p.cost, p.pending = p.cost+cost, p.pending+cost
+		p.bookings = append(p.bookings, booking{key: key, cost: cost})
+		return float64(i) * c.slotLength, len(p.bookings) - 1, true
 	}
 	return 0, 0, false
 }
 
-// window is the places whose time is about now.
-func (c *calendar) window(now float64) (from, to int64) {
-	return max(0, int64((now-c.slack)/c.slot)), int64((now + c.slack) / c.slot)
+// slotsAround returns the range of slots whose appointments may be redeemed now.
+func (c *calendar) slotsAround(now float64) (from, to int64) {
+	return max(0, int64((now-c.slack)/c.slotLength)), int64((now + c.slack) / c.slotLength)
 }
 
-// redeem lets an appointment be kept, once.
-func (c *calendar) redeem(now float64, who uint64) bool {
-	from, to := c.window(now)
+// redeem marks an appointment as used and reports whether there was an unused one for this key.
+func (c *calendar) redeem(now float64, key uint64) bool {
+	from, to := c.slotsAround(now)
 	for i := from; i <= to; i++ {
-		p := &c.places[i%int64(len(c.places))]
-		for j := range p.who {
-			if b := &p.who[j]; p.index == i && b.digest == who && !b.used {
+		p := &c.slots[i%int64(len(c.slots))]
+		for j := range p.bookings {
+			if b := &p.bookings[j]; p.index == i && b.key == key && !b.used {
 				b.used = true
-				p.open -= b.cost
+				p.pending -= b.cost
 				return true
 			}
 		}
@@ -94,93 +97,96 @@
 	return false
 }
 
-// redeemTicket is the same by what the client brought; a place of before this start, of which nothing is known, counts too,
-// each of its appointments once.
-func (c *calendar) redeemTicket(now float64, index int64, serial int, who uint64, born float64) bool {
-	from, to := c.window(now)
-	if index < from || index > to || serial < 0 || serial >= c.per {
+// redeemTicket does the same for the slot and serial number of a ticket. It also accepts, once each, appointments made
+// before the last restart, of which nothing is known.
+func (c *calendar) redeemTicket(now float64, index int64, serial int, key uint64, startedAt float64) bool {
+	from, to := c.slotsAround(now)
+	if index < from || index > to || serial < 0 || serial >= c.maxPerSlot {
 		return false
 	}
-	p := c.at(index)
-	if serial < len(p.who) && p.who[serial].digest == who {
-		b := &p.who[serial]
+	p := c.slotAt(index)
+	if serial < len(p.bookings) && p.bookings[serial].key == key {
+		b := &p.bookings[serial]
 		if b.used {
 			return false
 		}
 		b.used = true
-		p.open -= b.cost
+		p.pending -= b.cost
 		return true
 	}
-	if float64(index)*c.slot > born+c.slot*float64(len(c.places)) || len(p.who) >= c.per {
-		return false // it can't be of a former life
+	if float64(index)*c.slotLength > startedAt+c.slotLength*float64(len(c.slots)) || len(p.bookings) >= c.maxPerSlot {
+		return false // it cannot have been booked before the restart
 	}
-	for _, b := range p.who {
-		if b.digest == who {
+	for _, b := range p.bookings {
+		if b.key == key {
 			return false
 		}
 	}
-	p.who = append(p.who, booking{digest: who, used: true})
+	p.bookings = append(p.bookings, booking{key: key, used: true})
 	return true
 }
 
-// sweep looks back on places whose time is over: who did not come gave his room back, and the more do so, the less room is
-// kept for those who may come yet. Room kept for clients that never heed had a gate serve half of what it could.
+// sweep updates the show rate from slots that are over. The more bookings go unused, the less capacity is held back for
+// those still pending. Capacity held back for clients that never return made a gate serve half of what it could.
 func (c *calendar) sweep(now float64) {
-	from, _ := c.window(now)
-	for c.swept = max(c.swept, from-int64(len(c.places))); c.swept < from; c.swept++ {
-		p := &c.places[c.swept%int64(len(c.places))]
-		if p.index != c.swept {
+	from, _ := c.slotsAround(now)
+	for c.sweptTo = max(c.sweptTo, from-int64(len(c.slots))); c.sweptTo < from; c.sweptTo++ {
+		p := &c.slots[c.sweptTo%int64(len(c.slots))]
+		if p.index != c.sweptTo {
 			continue
 		}
-		for _, b := range p.who {
+		for _, b := range p.bookings {
 			came := 0.0
 			if came = 1; !b.used {
 				came = 0
 				c.missed++
 			}
-			c.show += (came - c.show) / 50
+			c.showRate += (came - c.showRate) / 50
 		}
 	}
 }
 
-// expected is what was booked for about now, has not come, and may yet.
-func (c *calendar) expected(now float64) (open float64) {
-	from, to := c.window(now)
+// expectedCost estimates the cost of the bookings around now that may still be used.
+func (c *calendar) expectedCost(now float64) (cost float64) {
+	from, to := c.slotsAround(now)
 	for i := from; i <= to; i++ {
-		if p := &c.places[i%int64(len(c.places))]; p.index == i {
-			open += p.open
+		if p := &c.slots[i%int64(len(c.slots))]; p.index == i {
+			cost += p.pending
 		}
 	}
-	return open * c.show
+	return cost * c.showRate
 }
 
-// reopen has the next booking look from now on again: the room has changed.
-func (c *calendar) reopen() { c.from = 0 }
+// resetSearch makes the next booking search from the present again, as the capacity has changed.
+func (c *calendar) resetSearch() { c.firstFree = 0 }
 
-// ticket words an appointment: its place, its number there, and a signature over both and whom it is for.
-func ticket(key []byte, index int64, serial int, who uint64) string {
+// formatTicket encodes an appointment: the index of its slot, its serial number there, and a signature over both and
+// its key.
+func formatTicket(secret []byte, index int64, serial int, key uint64) string {
 	text := fmt.Sprintf("%d.%d", index, serial)
-	return text + "." + sign(key, text, who)
+	return text + "." + sign(secret, text, key)
 }
 
-func sign(key []byte, text string, who uint64) string {
-	h := hmac.New(sha256.New, key)
-	fmt.Fprintf(h, "%s.%016x", text, who)
+// sign returns the HMAC of a ticket's text and key, truncated to 16 bytes.
+func sign(secret []byte, text string, key uint64) string {
+	h := hmac.New(sha256.New, secret)
+	fmt.Fprintf(h, "%s.%016x", text, key)
 	return base64.RawURLEncoding.EncodeToString(h.Sum(nil)[:16])
 }
 
-// mostTicket bounds what is read of one.
-const mostTicket = 64
+// maxTicketLength is the longest ticket that is parsed, in bytes.
+const maxTicketLength = 64
 
-func readTicket(key []byte, text string, who uint64) (index int64, serial int, ok bool) {
-	if len(text) > mostTicket || len(key) == 0 {
+// parseTicket verifies a ticket and returns the index of its slot and its serial number there.
+func parseTicket(secret []byte, text string, key uint64) (index int64, serial int, ok bool) {
+	if len(text) > maxTicketLength || len(secret) == 0 {
 		return 0, 0, false
 	}
 	parts := strings.Split(text, ".")
-	if len(parts) != 3 || !hmac.Equal([]byte(parts[2]), []byte(sign(key, parts[0]+"."+parts[1], who))) {
+	if len(parts) != 3 || !hmac.Equal([]byte(parts[2]), []byte(sign(secret, parts[0]+"."+parts[1], key))) {
 		return 0, 0, false
 	}
 	index, err := strconv.ParseInt(parts[0], 10, 64)
-	serial, bad := strconv.Atoi(parts[1])
-	return index, serial, err == nil && bad == nil && index >= 0
+	serial, serialErr := strconv.Atoi(parts[1])
+	return index, serial, err == nil && serialErr == nil && index >= 0
 }
--- a/internal/fair/fair_test.go
+++ b/internal/fair/fair_test.go
@@ -11,58 +11,65 @@
 	"pgregory.net/rapid"
 )
 
-// server stands behind a gate: so many downloads at full pace, all slower by sharing above that.
+// server simulates a gate and the capacity behind it: up to cores downloads run at full speed, beyond that all slow
+// down by sharing.
 type server struct {
-	g        *Gate
+	gate     *Gate
 	now      float64
 	cores    float64
 	open     map[string]*job
 	events   events
-	made     int
-	carried  map[string]float64 // by club
+	seq      int
+	carried  map[string]float64 // cost of finished downloads, by club
 	ends     map[string]End
 	answered func(now float64, a Action)
 }
 
+// job is an open download.
 type job struct {
 	Ask
 	left, since float64
 }
 
+// event is a call scheduled for a time.
 type event struct {
-	at   float64
-	made int
-	do   func()
+	at  float64
+	seq int
+	do  func()
 }
 
+// events is a heap of events by time, then sequence number.
 type events []event
 
 func (h events) Len() int { return len(h) }
 func (h events) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].made < h[j].made
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
 func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *events) Push(x any)   { *h = append(*h, x.(event)) }
 func (h *events) Pop() any     { old := *h; e := old[len(old)-1]; *h = old[:len(old)-1]; return e }
 
 func newServer(s Settings, cores float64) *server {
-	return &server{g: New(s, 1, 0), cores: cores, open: map[string]*job{}, carried: map[string]float64{}, ends: map[string]End{}}
+	return &server{gate: New(s, 1, 0), cores: cores, open: map[string]*job{}, carried: map[string]float64{}, ends: map[string]End{}}
 }
 
-func (s *server) at(t float64, do func()) {
-	s.made++
-	heap.Push(&s.events, event{t, s.made, do})
+func (s *server) schedule(at float64, do func()) {
+	s.seq++
+	heap.Push(&s.events, event{at, s.seq, do})
 }
 
+// asks holds the requests that were not answered yet, by ID.
 var asks = map[string]Ask{}
 
-// ask brings a download; its pace is settled as it begins, by how many are open: a queue behind the gate shows as lateness.
+// ask requests admission for a download.
 func (s *server) ask(a Ask) {
 	a.At = s.now
 	asks[a.ID] = a
-	s.carry(s.g.Ask(a))
+	s.carry(s.gate.Ask(a))
 }
 
+// carry executes actions. The duration of a download is fixed when it starts, by the number of open downloads, so that
+// a queue behind the gate shows as late downloads.
 func (s *server) carry(actions []Action) {
 	for _, action := range actions {
 		if s.answered != nil {
@@ -73,7 +80,7 @@
 			delete(asks, x.ID)
 			s.open[a.ID] = &job{Ask: a}
 			took := a.Cost * max(1, float64(len(s.open))/s.cores)
-			s.at(s.now+took, func() {
+			s.schedule(s.now+took, func() {
 				delete(s.open, a.ID)
 				s.carried[a.Club] += a.Cost
 				end := InTime
@@ -81,7 +88,7 @@
 					end = Late
 				}
 				s.ends[a.ID] = end
-				s.carry(s.g.Ended(s.now, a.ID, end, a.Cost))
+				s.carry(s.gate.Ended(s.now, a.ID, end, a.Cost))
 			})
 		} else if x, ok := action.(Throttle); ok {
 			delete(asks, x.ID)
@@ -89,9 +96,10 @@
 	}
 }
 
+// run processes events and timers up to a time.
 func (s *server) run(until float64) {
 	for {
-		at, due := s.g.Next()
+		at, due := s.gate.Next()
 		switch {
 		case len(s.events) > 0 && s.events[0].at <= until && !(due && at < s.events[0].at):
 			e := heap.Pop(&s.events).(event)
@@ -99,7 +107,7 @@
 			e.do()
 		case due && at <= until:
 			s.now = max(s.now, at)
-			s.carry(s.g.Ring(s.now))
+			s.carry(s.gate.Ring(s.now))
 		default:
 			s.now = until
 			return
@@ -107,7 +115,7 @@
 	}
 }
 
-// load has a club's clients ask for so much cost a ms, each time another client of so many.
+// load generates requests of a club at a rate in cost per ms, with its clients taking turns.
 func (s *server) load(club string, clients int, rate, cost, until float64, ahead bool) {
 	n := 0
 	var next func()
@@ -118,14 +126,14 @@
 		n++
 		s.ask(Ask{ID: fmt.Sprint(club, "-", n), Club: club, Client: fmt.Sprint(n % clients), Object: fmt.Sprint("o", n), Cost: cost,
 			Ahead: ahead, Target: s.now + 600, Expiry: s.now + 2000})
-		s.at(s.now+cost/rate, next)
+		s.schedule(s.now+cost/rate, next)
 	}
-	s.at(s.now+float64(len(club)), next)
+	s.schedule(s.now+float64(len(club)), next)
 }
 
-// ideal is the max-min share of a capacity among demands by weight: each gets its part or what it asks for, what is left
-// over goes round again.
-func ideal(capacity float64, demand, weights map[string]float64) map[string]float64 {
+// maxMinShares computes the weighted max-min fair shares of a capacity: each demand gets its share or all it asks for,
+// and the remainder is distributed again.
+func maxMinShares(capacity float64, demand, weights map[string]float64) map[string]float64 {
 	got := map[string]float64{}
 	for left, open := capacity, len(demand); open > 0 && left > 1e-9; {
 		sum := 0.0
@@ -150,17 +158,17 @@
 	return got
 }
 
-// Clubs get their max-min shares within a few percent of what is carried, whatever the others ask for.
-func TestShares(t *testing.T) {
+// Each club gets its max-min fair share within 4 percent of the throughput, whatever the demand of the others.
+func TestClubsGetMaxMinShares(t *testing.T) {
 	for name, c := range map[string]struct{ demand, weights map[string]float64 }{
 		"one floods":   {map[string]float64{"a": 80, "b": 6, "c": 6}, map[string]float64{"a": 1, "b": 1, "c": 1}},
 		"all flood":    {map[string]float64{"a": 40, "b": 40, "c": 40}, map[string]float64{"a": 1, "b": 1, "c": 1}},
 		"by weight":    {map[string]float64{"a": 40, "b": 40}, map[string]float64{"a": 3, "b": 1}},
 		"idle is lent": {map[string]float64{"a": 40, "b": 2}, map[string]float64{"a": 1, "b": 3}},
 	} {
-		set := Defaults()
-		set.Weights, set.Longest = c.weights, 0
-		s := newServer(set, 20)
+		settings := Defaults()
+		settings.Weights, settings.Longest = c.weights, 0
+		s := newServer(settings, 20)
 		for club, rate := range c.demand {
 			s.load(club, 7, rate, 100+10*float64(len(club)), 40_000, false)
 		}
@@ -174,11 +182,11 @@
 		for club := range c.demand {
 			total += s.carried[club] - before[club]
 		}
-		want := ideal(total/30_000, c.demand, c.weights)
+		want := maxMinShares(total/30_000, c.demand, c.weights)
 		for club := range c.demand {
 			got := (s.carried[club] - before[club]) / 30_000
 			if math.Abs(got-want[club]) > 0.04*total/30_000 {
-				t.Errorf("%s: %s carries %.2f, its share is %.2f of %.2f", name, club, got, want[club], total/30_000)
+				t.Errorf("%s: club %s got %.2f, its share is %.2f of %.2f", name, club, got, want[club], total/30_000)
 			}
 		}
 		if total/30_000 < 0.8*20 {
@@ -187,18 +195,18 @@
 	}
 }
 
-// Within a club one client in a loop gets its part and no more, and what goes ahead is not kept out.
-func TestClients(t *testing.T) {
-	set := Defaults()
-	set.Longest = 0
-	s := newServer(set, 20)
-	s.load("x", 1, 60, 100, 30_000, false)   // one client that floods
-	s.load("x ", 40, 16, 100, 30_000, false) // the same club by another name would be another: so it is told apart below
+// Within a club, a client that floods gets no more than its share, and priority requests are admitted.
+func TestFloodingClientIsContained(t *testing.T) {
+	settings := Defaults()
+	settings.Longest = 0
+	s := newServer(settings, 20)
+	s.load("x", 1, 60, 100, 30_000, false)   // a club with one client that floods
+	s.load("x ", 40, 16, 100, 30_000, false) // a club with many clients; the second run below has both kinds in one club
 	s.run(30_000)
 	if s.carried["x "] < 0.45*(s.carried["x"]+s.carried["x "]) {
 		t.Errorf("%v", s.carried)
 	}
-	s = newServer(set, 20)
+	s = newServer(settings, 20)
 	got := map[string]int{}
 	s.answered = func(_ float64, a Action) {
 		if a, ok := a.(Admit); ok {
@@ -211,12 +219,12 @@
 		n++
 		s.ask(Ask{ID: fmt.Sprint("storm-", n), Club: "c", Client: "kiosk", Cost: 100, Target: s.now + 600, Expiry: s.now + 2000})
 		if s.now < 30_000 {
-			s.at(s.now+2, storm)
+			s.schedule(s.now+2, storm)
 		}
 	}
-	s.at(0, storm)
+	s.schedule(0, storm)
 	for m := range 300 {
-		s.at(float64(m)*100, func() {
+		s.schedule(float64(m)*100, func() {
 			s.ask(Ask{ID: fmt.Sprint("member-", m), Club: "c", Client: fmt.Sprint("m", m), Cost: 100, Target: s.now + 600, Expiry: s.now + 2000})
 			s.ask(Ask{ID: fmt.Sprint("renewal-", m), Club: "c", Client: fmt.Sprint("r", m), Cost: 20, Ahead: true, Target: s.now + 600, Expiry: s.now + 2000})
 		})
@@ -227,8 +235,8 @@
 	}
 }
 
-// Memory is what it was, however many clients appear once.
-func TestMemory(t *testing.T) {
+// Memory does not grow with the number of clients that appear once.
+func TestMemoryIsBounded(t *testing.T) {
 	g := New(Defaults(), 1, 0)
 	size := func() uint64 {
 		var m runtime.MemStats
@@ -238,7 +246,7 @@
 		return m.HeapAlloc
 	}
 	now, n := 0.0, 0
-	many := func(clients int) {
+	askOnce := func(clients int) {
 		for range clients {
 			n++
 			now += 0.5
@@ -250,20 +258,20 @@
 			}
 		}
 	}
-	many(100_000)
+	askOnce(100_000)
 	first := size()
-	many(1_000_000)
+	askOnce(1_000_000)
 	if last := size(); float64(last) > 1.1*float64(first)+1<<18 {
 		t.Errorf("%d bytes after 100,000 clients, %d after a million more", first, last)
 	}
 	runtime.KeepAlive(g)
 }
 
-// What a gate lets in follows a capacity that halves and comes back, within seconds and without swinging on.
-func TestFollows(t *testing.T) {
-	set := Defaults()
-	set.Longest = 0
-	s := newServer(set, 40)
+// The concurrency limit adapts to a capacity that halves and recovers, within seconds and without oscillating.
+func TestAdaptsToCapacity(t *testing.T) {
+	settings := Defaults()
+	settings.Longest = 0
+	s := newServer(settings, 40)
 	s.load("a", 50, 60, 100, 90_000, false)
 	in := func(from, to float64) float64 {
 		s.run(from)
@@ -276,7 +284,7 @@
 	}
 	s.cores = 20
 	if got := in(35_000, 55_000); got < 16 {
-		t.Errorf("%.1f of 20 carried after it halved", got)
+		t.Errorf("%.1f of 20 carried after the capacity halved", got)
 	}
 	late := 0
 	for _, e := range s.ends {
@@ -286,21 +294,22 @@
 	}
 	s.cores = 40
 	if got := in(65_000, 90_000); got < 32 {
-		t.Errorf("%.1f of 40 carried after it came back", got)
+		t.Errorf("%.1f of 40 carried after the capacity recovered", got)
 	}
 	if late > len(s.ends)/10 {
 		t.Errorf("%d of %d late", late, len(s.ends))
 	}
 }
 
-// Who comes back when told is let in and answered in time, at whatever load; the gate never books more than it learnt.
-func TestAppointments(t *testing.T) {
+// Clients that return at their appointment are admitted and finish in time, at any load; the gate never books more than
+// its measured capacity.
+func TestAppointmentsAreHonoured(t *testing.T) {
 	for _, over := range []float64{1.2, 2, 5} {
-		set := Defaults()
-		set.Heeding, set.TicketKey = true, []byte("key")
-		s := newServer(set, 20)
+		settings := Defaults()
+		settings.Heeding, settings.TicketKey = true, []byte("key")
+		s := newServer(settings, 20)
 		kept, good, tickets := 0, 0, map[string]bool{}
-		came := map[string]float64{}
+		returned := map[string]float64{}
 		s.answered = func(now float64, a Action) {
 			x, ok := a.(Throttle)
 			if !ok {
@@ -311,54 +320,55 @@
 				return
 			}
 			if x.Wait > 0 && now > 10_000 {
-				s.at(now+x.Wait, func() {
+				s.schedule(now+x.Wait, func() {
 					kept++
 					again := first
 					again.ID, again.Ticket, again.Target, again.Expiry = "again-"+x.ID, x.Ticket, s.now+600, s.now+2000
 					if tickets[x.Ticket] {
-						t.Errorf("ticket %s was given twice", x.Ticket)
+						t.Errorf("ticket %s was issued twice", x.Ticket)
 					}
 					tickets[x.Ticket] = true
-					came[again.ID] = s.now
+					returned[again.ID] = s.now
 					s.ask(again)
 				})
 			}
 		}
 		s.load("a", 100, 20*over, 100, 60_000, false)
 		s.run(90_000)
-		for id := range came {
+		for id := range returned {
 			if end, ok := s.ends[id]; ok && end == InTime {
 				good++
 			}
 		}
 		if kept < 100 || float64(good) < 0.99*float64(kept) {
-			t.Errorf("load %.1f: %d of %d appointments that were kept succeeded", over, good, kept)
+			t.Errorf("load %.1f: %d of %d used appointments succeeded", over, good, kept)
 		}
 	}
 }
 
-// A ticket is good for whom it was given, at its time, once, also after a restart that remembers nothing.
+// A ticket is valid for the client and object that it was issued for, around its time, once, also after a restart
+// without state.
 func TestTickets(t *testing.T) {
-	set := Defaults()
-	set.Heeding, set.TicketKey = true, []byte("key")
-	s := newServer(set, 2)
-	var given Throttle
-	var who Ask
+	settings := Defaults()
+	settings.Heeding, settings.TicketKey = true, []byte("key")
+	s := newServer(settings, 2)
+	var issued Throttle
+	var asked Ask
 	s.answered = func(now float64, a Action) {
-		if x, ok := a.(Throttle); ok && x.Ticket != "" && given.Ticket == "" && now > 5000 {
-			given, who = x, asks[x.ID]
-			who.At = now
+		if x, ok := a.(Throttle); ok && x.Ticket != "" && issued.Ticket == "" && now > 5000 {
+			issued, asked = x, asks[x.ID]
+			asked.At = now
 		}
 	}
 	s.load("a", 30, 10, 100, 8000, false)
 	s.run(5500)
-	if given.Ticket == "" {
-		t.Fatal("none was given")
+	if issued.Ticket == "" {
+		t.Fatal("no ticket was issued")
 	}
-	at := who.At + given.Wait
+	at := asked.At + issued.Wait
 	come := func(g *Gate, now float64, change func(*Ask)) bool {
-		a := who
-		a.At, a.ID, a.Ticket, a.Target, a.Expiry = now, fmt.Sprint("come", g.Asked), given.Ticket, now+600, now+2000
+		a := asked
+		a.At, a.ID, a.Ticket, a.Target, a.Expiry = now, fmt.Sprint("come", g.Asked), issued.Ticket, now+600, now+2000
 		change(&a)
 		before := g.Kept
 		g.Ask(a)
@@ -369,32 +379,33 @@
 		now    float64
 		change func(*Ask)
 	}{
-		"early": {at - 500, same}, "late": {at + 500, same}, "sold on": {at, func(a *Ask) { a.Client = "other" }},
-		"for another object": {at, func(a *Ask) { a.Object = "other" }}, "forged": {at, func(a *Ask) { a.Ticket = a.Ticket[:len(a.Ticket)-2] + "AA" }},
-		"of another place": {at, func(a *Ask) { a.Ticket = "9" + a.Ticket }}, "no ticket at all": {at, func(a *Ask) { a.Ticket = "x" }},
+		"early": {at - 500, same}, "late": {at + 500, same}, "another client": {at, func(a *Ask) { a.Client = "other" }},
+		"another object": {at, func(a *Ask) { a.Object = "other" }}, "forged": {at, func(a *Ask) { a.Ticket = a.Ticket[:len(a.Ticket)-2] + "AA" }},
+		"another slot": {at, func(a *Ask) { a.Ticket = "9" + a.Ticket }}, "malformed": {at, func(a *Ask) { a.Ticket = "x" }},
 	} {
-		g := New(set, 2, who.At)
+		g := New(settings, 2, asked.At)
 		if come(g, c.now, c.change) {
-			t.Errorf("%s: kept", name)
+			t.Errorf("%s: ticket was accepted", name)
 		}
 	}
-	anew := New(set, 3, who.At)
-	if !come(anew, at, same) || come(anew, at+1, same) {
-		t.Error("after a restart: not once")
+	restarted := New(settings, 3, asked.At)
+	if !come(restarted, at, same) || come(restarted, at+1, same) {
+		t.Error("after a restart: ticket was not accepted exactly once")
 	}
-	if !come(s.g, at, same) || come(s.g, at+1, same) {
-		t.Error("not once")
+	if !come(s.gate, at, same) || come(s.gate, at+1, same) {
+		t.Error("ticket was not accepted exactly once")
 	}
 }
 
-// Whatever comes: each download has one answer, none waits past its time, and the queue keeps its bound.
-func TestAnyOrder(t *testing.T) {
+// For any order of events, each download gets exactly one answer, none is queued past its deadline, and the queue stays
+// within its limit.
+func TestEachDownloadIsAnsweredOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Defaults()
-		set.Queue, set.Clubs, set.Flows, set.Heavy, set.Least, set.Change = 5, 2, 8, 2, 1, 300
-		g := New(set, 1, 0)
+		settings := Defaults()
+		settings.Queue, settings.Clubs, settings.Flows, settings.Heavy, settings.Least, settings.Change = 5, 2, 8, 2, 1, 300
+		g := New(settings, 1, 0)
 		now := 0.0
-		told, latest, open := map[string]int{}, map[string]float64{}, []string{}
+		answers, latest, open := map[string]int{}, map[string]float64{}, []string{}
 		take := func(actions []Action) {
 			for _, a := range actions {
 				id := ""
@@ -404,12 +415,12 @@
 					open = append(open, id)
 				case Throttle:
 					id = a.ID
-					if a.Wait < 0 || a.Wait > set.Longest {
-						t.Fatalf("%s is told to come in %.0f ms", id, a.Wait)
+					if a.Wait < 0 || a.Wait > settings.Longest {
+						t.Fatalf("%s: wait of %.0f ms", id, a.Wait)
 					}
 				}
-				if told[id]++; told[id] > 1 {
-					t.Fatalf("%s has %d answers", id, told[id])
+				if answers[id]++; answers[id] > 1 {
+					t.Fatalf("%s got %d answers", id, answers[id])
 				}
 			}
 		}
@@ -421,7 +432,7 @@
 				a := Ask{At: now, ID: id, Club: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "club"),
 					Client: rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "client"), Cost: float64(rapid.IntRange(1, 200).Draw(t, "cost")),
 					Ahead: rapid.Bool().Draw(t, "ahead"), Target: now + 300, Expiry: now + 900}
-				told[id], latest[id] = 0, a.Target-a.Cost
+				answers[id], latest[id] = 0, a.Target-a.Cost
 				take(g.Ask(a))
 			case 3, 4:
 				if len(open) > 0 {
@@ -433,22 +444,22 @@
 				take(g.Ring(now))
 			}
 			waits := 0
-			for id, n := range told {
+			for id, n := range answers {
 				if n == 0 {
 					if waits++; latest[id] < now {
-						t.Fatalf("%s waits past its time", id)
+						t.Fatalf("%s is queued past its deadline", id)
 					}
 				}
 			}
-			if waits != len(g.waits) || waits > set.Queue || len(g.due) != waits {
-				t.Fatalf("%d wait, %d by the gate, %d in its order", waits, len(g.waits), len(g.due))
+			if waits != len(g.queued) || waits > settings.Queue || len(g.deadlines) != waits {
+				t.Fatalf("%d queued, %d by the gate, %d in its heap", waits, len(g.queued), len(g.deadlines))
 			}
 		}
 		now += 1000
 		take(g.Ring(now))
-		for id, n := range told {
+		for id, n := range answers {
 			if n != 1 {
-				t.Fatalf("%s has %d answers at the end", id, n)
+				t.Fatalf("%s got %d answers in the end", id, n)
 			}
 		}
 	})
--- a/internal/fair/gate.go
+++ b/internal/fair/gate.go
@@ -9,29 +9,30 @@
 	"slices"
 )
 
-// Gate decides who goes on to the router. It belongs to one goroutine.
+// Gate is the admission controller: it decides which downloads pass on to the router. It is used by one goroutine.
 type Gate struct {
 	Counters
-	settings Settings
-	now      float64
-	born     float64
-	seed     uint64
-	changed  float64
-	clubs    map[string]*Club
-	others   []*Club
-	heavy    *heavies
-	virtual  float64
-	backlog  order[*Club]
-	due      order[*waiting]
-	waits    map[string]*waiting
-	open     map[string]admitted
-	limit    limit
-	calendar *calendar
-	recent   []uint64 // digests of what was turned away lately, to know a retry
-	made     int
-	out      []Action
-}
-
+	settings      Settings
+	now           float64
+	startedAt     float64
+	seed          uint64  // of the hashes of clubs and clients
+	reseededAt    float64 // time of the last change of the seed
+	clubs         map[string]*Club
+	others        []*Club // shared by the clubs that are not tracked individually
+	heavyClients  *heavyHitters
+	virtualTime   float64               // of the level of the clubs
+	backlog       indexedHeap[*Club]    // clubs with queued requests, by start tag
+	deadlines     indexedHeap[*request] // queued requests, by deadline
+	queued        map[string]*request   // by ID
+	open          map[string]admitted   // by ID
+	limit         concurrencyLimit
+	calendar      *calendar
+	throttledKeys []uint64 // hashes of recently throttled downloads, to recognise retries
+	lastSeq       int      // last sequence number given to a club or flow
+	actions       []Action // produced by the current call
+}
+
+// admitted is an open download.
 type admitted struct {
 	club *Club
 	flow *flow
@@ -39,37 +40,38 @@
 	at   float64
 }
 
-// New makes a gate. The seed keys its hashes and must be other at each start.
+// New returns a gate. The seed keys its hashes and must differ at each start.
 func New(s Settings, seed uint64, at float64) *Gate {
-	g := &Gate{settings: s, now: at, born: at, changed: at, seed: seed, clubs: map[string]*Club{}, heavy: newHeavies(s.Heavy), waits: map[string]*waiting{},
-		open: map[string]admitted{}, limit: limit{least: s.Least, most: math.Inf(1)}, calendar: newCalendar(s), recent: make([]uint64, 4*s.Flows)}
+	g := &Gate{settings: s, now: at, startedAt: at, reseededAt: at, seed: seed, clubs: map[string]*Club{}, heavyClients: newHeavyHitters(s.Heavy), queued: map[string]*request{},
+		open: map[string]admitted{}, limit: concurrencyLimit{minimum: s.Least, current: math.Inf(1)}, calendar: newCalendar(s), throttledKeys: make([]uint64, 4*s.Flows)}
 	for i := range s.Clubs {
 		g.others = append(g.others, g.newClub(fmt.Sprint("other ", i), 1))
 	}
 	return g
 }
 
-func (g *Gate) index() int { g.made++; return g.made }
+func (g *Gate) nextSeq() int { g.lastSeq++; return g.lastSeq }
 
 func (g *Gate) newClub(name string, weight float64) *Club {
-	c := &Club{Name: name, weight: weight, place: -1, index: g.index()}
-	g.lay(c)
+	c := &Club{Name: name, weight: weight, heapIndex: -1, seq: g.nextSeq()}
+	g.resetFlows(c)
 	return c
 }
 
-// lay makes a club's hashed places anew. What waits in the old ones is served from there.
-func (g *Gate) lay(c *Club) {
+// resetFlows replaces the hashed flows of a club. Requests queued in the old flows are served from there.
+func (g *Gate) resetFlows(c *Club) {
 	c.hashed = make([]*flow, max(4, g.settings.Flows))
 	for i := range c.hashed {
-		c.hashed[i] = &flow{place: -1, index: g.index(), club: c}
+		c.hashed[i] = &flow{heapIndex: -1, seq: g.nextSeq(), club: c}
 	}
 }
 
-// flowOf finds the flow of a client: its own where it is heavy, else one that it shares with those whose hashes meet its.
+// flowOf returns the flow of a client: its own if it is heavy, otherwise one that it shares with clients of the same
+// hash.
 func (g *Gate) flowOf(c *Club, a Ask) *flow {
-	h := g.heavy.add(digest(0, "heavy", a.Club, a.Client), a.Cost, g.index)
-	if h != nil && h.cost > g.share() {
-		if f := h.flow; f.club == c || f.place < 0 && f.line.head() == nil {
+	h := g.heavyClients.add(digest(0, "heavy", a.Club, a.Client), a.Cost, g.nextSeq)
+	if h != nil && h.cost > g.heavyThreshold() {
+		if f := h.flow; f.club == c || f.heapIndex < 0 && f.queue.peek() == nil {
 			f.club = c
 			return f
 		}
@@ -77,35 +79,37 @@
 	return c.hashed[digest(g.seed, "client", a.Club, a.Client)%uint64(len(c.hashed))]
 }
 
-// Weights takes up other weights; what waits or is booked stays.
-func (g *Gate) Weights(w map[string]float64) {
-	g.settings.Weights = w
+// Weights changes the weights of clubs; queued and booked downloads are kept.
+func (g *Gate) Weights(weights map[string]float64) {
+	g.settings.Weights = weights
 	for _, c := range g.clubs {
-		c.weight = weight(w, c.Name)
+		c.weight = weight(weights, c.Name)
 	}
 }
 
-func weight(w map[string]float64, name string) float64 {
-	if x := w[name]; x > 0 {
+// weight returns the weight of a club, 1 by default.
+func weight(weights map[string]float64, name string) float64 {
+	if x := weights[name]; x > 0 {
 		return x
 	}
 	return 1
 }
 
-// clubOf finds a club, or makes it while there is a place; the longest silent one goes for it.
+// clubOf returns a club, and creates it while there is room, replacing the club that was idle longest. Without room the
+// club shares a hashed entry.
 func (g *Gate) clubOf(name string) *Club {
 	c := g.clubs[name]
 	if c == nil {
 		if len(g.clubs) >= g.settings.Clubs {
 			var idle *Club
 			for _, o := range g.clubs {
-				if !o.backlogged() && o.used < g.now-g.settings.Change && (idle == nil || o.used < idle.used || o.used == idle.used && o.index < idle.index) {
+				if !o.backlogged() && o.lastUsed < g.now-g.settings.Change && (idle == nil || o.lastUsed < idle.lastUsed || o.lastUsed == idle.lastUsed && o.seq < idle.seq) {
 					idle = o
 				}
 			}
 			if idle == nil {
 				c = g.others[digest(g.seed, "club", name)%uint64(len(g.others))]
-				c.used = g.now
+				c.lastUsed = g.now
 				return c
 			}
 			delete(g.clubs, idle.Name)
@@ -113,148 +117,153 @@
 		c = g.newClub(name, weight(g.settings.Weights, name))
 		g.clubs[name] = c
 	}
-	c.used = g.now
+	c.lastUsed = g.now
 	return c
 }
 
-// Ask brings a download to the door.
+// Ask requests admission for a download.
 func (g *Gate) Ask(a Ask) []Action {
-	g.begin(a.At)
+	g.advance(a.At)
 	g.Asked++
 	c := g.clubOf(a.Club)
 	c.Asked++
-	who := digest(0, "appointment", a.Club, a.Client, a.Object, fmt.Sprint(a.Part))
-	if r := &g.recent[who%uint64(len(g.recent))]; *r == who {
+	appointmentKey := digest(0, "appointment", a.Club, a.Client, a.Object, fmt.Sprint(a.Part))
+	if r := &g.throttledKeys[appointmentKey%uint64(len(g.throttledKeys))]; *r == appointmentKey {
 		g.Retries++
 		*r = 0
 	}
-	// Twice the mean is left, as sizes differ much: with once it, half of what waited to the last was late after all.
-	w := &waiting{Ask: a, club: c, flow: g.flowOf(c, a), cost: a.Cost, place: -1, gone: min(a.Target-2*a.Cost*g.limit.stretch(g.now), a.Expiry-1)}
+	// The deadline leaves twice the mean cost, as sizes differ much: with the mean itself, half of the downloads
+	// admitted just before their deadline were late.
+	req := &request{Ask: a, club: c, flow: g.flowOf(c, a), cost: a.Cost, heapIndex: -1, deadline: min(a.Target-2*a.Cost*g.limit.stretch(g.now), a.Expiry-1)}
 	switch {
-	case g.kept(w, who):
+	case g.redeemAppointment(req, appointmentKey):
 		g.Kept++
-		g.charge(w)
-		g.admit(w)
-	case len(g.due) == 0 && float64(len(g.open)) < g.room():
-		g.charge(w)
-		g.admit(w)
-	case w.gone <= g.now || g.hopeless(w):
-		g.throttle(w)
+		g.charge(req)
+		g.admit(req)
+	case len(g.deadlines) == 0 && float64(len(g.open)) < g.admissionLimit():
+		g.charge(req)
+		g.admit(req)
+	case req.deadline <= g.now || g.cannotMeetDeadline(req):
+		g.throttle(req)
 	default:
-		g.wait(w)
+		g.enqueue(req)
 	}
-	return g.done()
+	return g.flush()
 }
 
-// share is the cost from which on a client is heavy: its part in as many as are told apart.
-func (g *Gate) share() float64 {
+// heavyThreshold is the cost above which a client counts as heavy: half of the mean of the counters.
+func (g *Gate) heavyThreshold() float64 {
 	sum := 0.0
-	for i := range g.heavy.places {
-		sum += g.heavy.places[i].cost
+	for i := range g.heavyClients.counters {
+		sum += g.heavyClients.counters[i].cost
 	}
-	return sum / float64(max(1, 2*len(g.heavy.places)))
+	return sum / float64(max(1, 2*len(g.heavyClients.counters)))
 }
 
-// hopeless tells whether its own flow has so much waiting that its part of what is carried can't bring it in its time.
-func (g *Gate) hopeless(w *waiting) bool {
+// cannotMeetDeadline reports whether so much is queued ahead in the flow that its share of the throughput cannot serve
+// the request in time.
+func (g *Gate) cannotMeetDeadline(req *request) bool {
 	ahead, flows := 0.0, 1
-	for x := w.flow.line.first; x != nil; x = x.next {
-		if !x.over {
+	for x := req.flow.queue.first; x != nil; x = x.next {
+		if !x.removed {
 			ahead += x.cost
 		}
 	}
 	weights := 0.0
 	for _, c := range g.backlog {
-		if c != w.club {
+		if c != req.club {
 			weights += c.weight
 		}
 	}
-	flows = max(flows, len(w.club.flows))
-	rate := g.limit.rate(g.now) * w.club.weight / (weights + w.club.weight) / float64(flows)
-	return ahead > 0 && rate > 0 && ahead/rate > w.gone-g.now
+	flows = max(flows, len(req.club.flows))
+	rate := g.limit.throughput(g.now) * req.club.weight / (weights + req.club.weight) / float64(flows)
+	return ahead > 0 && rate > 0 && ahead/rate > req.deadline-g.now
 }
 
-// kept tells whether a download comes by an appointment at its time.
-func (g *Gate) kept(w *waiting, who uint64) bool {
-	if w.Ticket != "" {
-		index, serial, ok := readTicket(g.settings.TicketKey, w.Ticket, who)
+// redeemAppointment reports whether a download has an appointment for now, by its ticket or by its hash.
+func (g *Gate) redeemAppointment(req *request, appointmentKey uint64) bool {
+	if req.Ticket != "" {
+		index, serial, ok := parseTicket(g.settings.TicketKey, req.Ticket, appointmentKey)
 		if !ok {
 			g.Forged++
 			return false
 		}
-		return g.calendar.redeemTicket(g.now, index, serial, who, g.born)
+		return g.calendar.redeemTicket(g.now, index, serial, appointmentKey, g.startedAt)
 	}
-	return g.calendar.redeem(g.now, who)
+	return g.calendar.redeem(g.now, appointmentKey)
 }
 
-// room is how many downloads may be open before newcomers have to wait: what is booked for now is kept free.
-func (g *Gate) room() float64 {
-	if math.IsInf(g.limit.most, 1) {
-		return g.limit.most
+// admissionLimit is the number of open downloads at which new ones are queued: capacity for the appointments around now
+// is held back.
+func (g *Gate) admissionLimit() float64 {
+	if math.IsInf(g.limit.current, 1) {
+		return g.limit.current
 	}
 	span := 2*g.settings.Slack + g.settings.Slot
-	return max(g.settings.Least, g.limit.most-min(g.settings.Booked*g.limit.most, g.calendar.expected(g.now)/span))
+	return max(g.settings.Least, g.limit.current-min(g.settings.Booked*g.limit.current, g.calendar.expectedCost(g.now)/span))
 }
 
-// charge sets a download's tags: its flow pays for it from now on.
-func (g *Gate) charge(w *waiting) {
-	w.club.finish = max(g.virtual, w.club.finish) + w.cost/w.club.weight
-	w.flow.finish = max(w.club.virtual, w.flow.finish) + w.cost
+// charge advances the finish tags of a download's club and flow by its cost.
+func (g *Gate) charge(req *request) {
+	req.club.finishTag = max(g.virtualTime, req.club.finishTag) + req.cost/req.club.weight
+	req.flow.finishTag = max(req.club.virtualTime, req.flow.finishTag) + req.cost
 }
 
-// wait queues a download in its flow. Where the door is full, the last of whoever has most waiting for its weight goes.
-func (g *Gate) wait(w *waiting) {
-	if len(g.due) >= g.settings.Queue {
-		if last := g.longest(); last == nil || last.club == w.club && last.flow == w.flow {
-			g.throttle(w)
+// enqueue queues a download in its flow. If the queue is full, it throttles the last request of the longest queue by
+// weight.
+func (g *Gate) enqueue(req *request) {
+	if len(g.deadlines) >= g.settings.Queue {
+		if last := g.longestQueueTail(); last == nil || last.club == req.club && last.flow == req.flow {
+			g.throttle(req)
 			return
 		} else {
 			g.throttle(last)
 		}
 	}
 	g.Waited++
-	g.waits[w.ID] = w
-	heap.Push(&g.due, w)
-	c := w.club
-	if w.Ahead {
-		c.ahead.put(w)
+	g.queued[req.ID] = req
+	heap.Push(&g.deadlines, req)
+	c := req.club
+	if req.Ahead {
+		c.priority.push(req)
 	} else {
-		w.flow.line.put(w)
-		if w.flow.place < 0 {
-			w.flow.start = max(c.virtual, w.flow.finish)
-			heap.Push(&c.flows, w.flow)
+		req.flow.queue.push(req)
+		if req.flow.heapIndex < 0 {
+			req.flow.startTag = max(c.virtualTime, req.flow.finishTag)
+			heap.Push(&c.flows, req.flow)
 		}
 	}
-	if c.place < 0 {
-		c.start = max(g.virtual, c.finish)
+	if c.heapIndex < 0 {
+		c.startTag = max(g.virtualTime, c.finishTag)
 		heap.Push(&g.backlog, c)
 	}
 }
 
-// longest is the last waiting download of the flow that has most waiting, in the club that has most for its weight.
-func (g *Gate) longest() (last *waiting) {
+// longestQueueTail returns the last request of the flow with the highest queued cost, in the club with the highest
+// queued cost by weight.
+func (g *Gate) longestQueueTail() (last *request) {
 	worst := 0.0
 	costs := map[*Club]float64{}
-	for _, w := range g.due {
-		costs[w.club] += w.cost / w.club.weight
+	for _, req := range g.deadlines {
+		costs[req.club] += req.cost / req.club.weight
 	}
-	var at *Club
+	var worstClub *Club
 	for _, c := range g.backlog {
 		if costs[c] > worst {
-			at, worst = c, costs[c]
+			worstClub, worst = c, costs[c]
 		}
 	}
-	if at == nil {
+	if worstClub == nil {
 		return nil
 	}
 	worst = 0
-	for _, f := range at.flows {
+	for _, f := range worstClub.flows {
 		sum := 0.0
-		var end *waiting
-		for w := f.line.first; w != nil; w = w.next {
-			if !w.over {
-				sum += w.cost
-				end = w
+		var end *request
+		for req := f.queue.first; req != nil; req = req.next {
+			if !req.removed {
+				sum += req.cost
+				end = req
 			}
 		}
 		if sum > worst {
@@ -264,255 +273,262 @@
 	return last
 }
 
-// serve lets in as long as there is room: the club with the least start tag, in it what goes ahead, then the flow with the
-// least.
-func (g *Gate) serve() {
-	for len(g.backlog) > 0 && float64(len(g.open)) < g.room() {
+// admitQueued admits queued downloads while there is room: from the club with the least start tag, first its priority
+// requests, then the flow with the least start tag.
+func (g *Gate) admitQueued() {
+	for len(g.backlog) > 0 && float64(len(g.open)) < g.admissionLimit() {
 		c := g.backlog[0]
 		if !c.backlogged() {
 			heap.Pop(&g.backlog)
 			continue
 		}
-		g.virtual = max(g.virtual, c.start)
-		w := c.ahead.head()
-		if w != nil {
-			c.ahead.pop()
-			w.flow.finish = max(c.virtual, w.flow.finish) + w.cost
+		g.virtualTime = max(g.virtualTime, c.startTag)
+		req := c.priority.peek()
+		if req != nil {
+			c.priority.pop()
+			req.flow.finishTag = max(c.virtualTime, req.flow.finishTag) + req.cost
 		} else {
-			f := next(&c.flows)
-			c.virtual = max(c.virtual, f.start)
-			w = f.line.pop()
-			f.finish = f.start + w.cost
-			if f.line.head() != nil {
-				f.start = max(c.virtual, f.finish)
-				heap.Fix(&c.flows, f.place)
+			f := nextFlow(&c.flows)
+			c.virtualTime = max(c.virtualTime, f.startTag)
+			req = f.queue.pop()
+			f.finishTag = f.startTag + req.cost
+			if f.queue.peek() != nil {
+				f.startTag = max(c.virtualTime, f.finishTag)
+				heap.Fix(&c.flows, f.heapIndex)
 			} else {
-				heap.Remove(&c.flows, f.place)
+				heap.Remove(&c.flows, f.heapIndex)
 			}
 		}
-		c.finish = c.start + w.cost/c.weight
+		c.finishTag = c.startTag + req.cost/c.weight
 		if c.backlogged() {
-			c.start = max(g.virtual, c.finish)
-			heap.Fix(&g.backlog, c.place)
+			c.startTag = max(g.virtualTime, c.finishTag)
+			heap.Fix(&g.backlog, c.heapIndex)
 		} else {
-			heap.Remove(&g.backlog, c.place)
+			heap.Remove(&g.backlog, c.heapIndex)
 		}
-		g.leave(w)
-		g.admit(w)
+		g.dequeue(req)
+		g.admit(req)
 	}
 }
 
-// leave takes a download out of what waits.
-func (g *Gate) leave(w *waiting) {
-	w.over = true
-	delete(g.waits, w.ID)
-	if w.place >= 0 {
-		heap.Remove(&g.due, w.place)
+// dequeue removes a download from the queue.
+func (g *Gate) dequeue(req *request) {
+	req.removed = true
+	delete(g.queued, req.ID)
+	if req.heapIndex >= 0 {
+		heap.Remove(&g.deadlines, req.heapIndex)
 	}
 }
 
-func (g *Gate) admit(w *waiting) {
+// admit passes a download on to the router.
+func (g *Gate) admit(req *request) {
 	g.Admitted++
-	w.club.Admitted++
-	w.club.Cost += w.cost
-	g.open[w.ID] = admitted{club: w.club, flow: w.flow, cost: w.cost, at: g.now}
-	g.out = append(g.out, Admit{ID: w.ID})
+	req.club.Admitted++
+	req.club.Cost += req.cost
+	g.open[req.ID] = admitted{club: req.club, flow: req.flow, cost: req.cost, at: g.now}
+	g.actions = append(g.actions, Admit{ID: req.ID})
 }
 
-// throttle turns a download away, with an appointment where there is room for one that its client may still use.
-func (g *Gate) throttle(w *waiting) {
-	if g.waits[w.ID] == w {
-		g.leave(w)
+// throttle rejects a download, with an appointment if the calendar has room for one within the longest wait.
+func (g *Gate) throttle(req *request) {
+	if g.queued[req.ID] == req {
+		g.dequeue(req)
 	}
 	g.Throttled++
-	w.club.Throttled++
-	a := Throttle{ID: w.ID}
-	who := digest(0, "appointment", w.Club, w.Client, w.Object, fmt.Sprint(w.Part))
-	g.recent[who%uint64(len(g.recent))] = who
+	req.club.Throttled++
+	a := Throttle{ID: req.ID}
+	appointmentKey := digest(0, "appointment", req.Club, req.Client, req.Object, fmt.Sprint(req.Part))
+	g.throttledKeys[appointmentKey%uint64(len(g.throttledKeys))] = appointmentKey
 	if g.settings.Longest > 0 {
-		room := g.settings.Booked * g.limit.rate(g.now) * g.settings.Slot
-		if at, serial, ok := g.calendar.book(g.now, w.cost, room, g.settings.Longest, who); ok {
+		room := g.settings.Booked * g.limit.throughput(g.now) * g.settings.Slot
+		if at, serial, ok := g.calendar.book(g.now, req.cost, room, g.settings.Longest, appointmentKey); ok {
 			g.Made++
 			a.Wait = at - g.now
 			if g.settings.Heeding {
-				a.Ticket = ticket(g.settings.TicketKey, int64(math.Round(at/g.settings.Slot)), serial, who)
+				a.Ticket = formatTicket(g.settings.TicketKey, int64(math.Round(at/g.settings.Slot)), serial, appointmentKey)
 			}
 		}
 	}
-	g.out = append(g.out, a)
+	g.actions = append(g.actions, a)
 }
 
-// Ended tells how an admitted download ended, and what it turned out to cost; 0 where that is not known.
+// Ended reports the outcome of an admitted download and its actual cost; 0 if that is not known.
 func (g *Gate) Ended(at float64, id string, end End, cost float64) []Action {
-	g.begin(at)
+	g.advance(at)
 	a, ok := g.open[id]
 	if !ok {
-		return g.done()
+		return g.flush()
 	}
 	delete(g.open, id)
 	if cost > 0 && end != Gone {
-		// The flow has paid for what was expected; it pays the rest, or is given it back.
-		a.club.finish += (cost - a.cost) / a.club.weight
-		a.flow.finish += cost - a.cost
+		// The flow was charged the expected cost: it is charged or credited the difference.
+		a.club.finishTag += (cost - a.cost) / a.club.weight
+		a.flow.finishTag += cost - a.cost
 		a.cost = cost
 	}
-	if g.limit.note(g.now, end, a.cost, g.now-a.at, float64(len(g.open)+1)) {
-		g.calendar.reopen()
+	if g.limit.record(g.now, end, a.cost, g.now-a.at, float64(len(g.open)+1)) {
+		g.calendar.resetSearch()
 	}
-	return g.done()
+	return g.flush()
 }
 
-// Left tells that a client is gone while its download waits.
+// Left reports that a client disconnected while its download was queued.
 func (g *Gate) Left(at float64, id string) []Action {
-	g.begin(at)
-	if w := g.waits[id]; w != nil {
-		g.leave(w)
+	g.advance(at)
+	if req := g.queued[id]; req != nil {
+		g.dequeue(req)
 	}
-	return g.done()
+	return g.flush()
 }
 
-// Ring does what is due at a time.
+// Ring handles the timer: it does what is due at a time.
 func (g *Gate) Ring(at float64) []Action {
-	g.begin(at)
-	return g.done()
+	g.advance(at)
+	return g.flush()
 }
 
-// Next is when something is due next; false where nothing is.
+// Next returns the time for which the timer is to be set; false if nothing is due.
 func (g *Gate) Next() (float64, bool) {
-	if len(g.due) == 0 {
+	if len(g.deadlines) == 0 {
 		return 0, false
 	}
-	return g.due[0].gone, true
+	return g.deadlines[0].deadline, true
 }
 
-// begin moves the time on: what can't be answered in its time any more is turned away when that is known.
-func (g *Gate) begin(at float64) {
-	g.now, g.out = max(g.now, at), nil
-	if g.now >= g.changed+g.settings.Change {
-		g.changed = g.now
+// advance sets the current time, changes the seed of the hashes when that is due, and throttles requests whose deadline
+// has passed.
+func (g *Gate) advance(at float64) {
+	g.now, g.actions = max(g.now, at), nil
+	if g.now >= g.reseededAt+g.settings.Change {
+		g.reseededAt = g.now
 		g.seed = digest(g.seed, "next")
 		for _, c := range g.clubs {
-			g.lay(c)
+			g.resetFlows(c)
 		}
 		for _, c := range g.others {
-			g.lay(c)
+			g.resetFlows(c)
 		}
-		g.heavy.fade()
+		g.heavyClients.decay()
 	}
 	g.calendar.sweep(g.now)
-	for len(g.due) > 0 && g.due[0].gone <= g.now {
-		g.throttle(g.due[0])
+	for len(g.deadlines) > 0 && g.deadlines[0].deadline <= g.now {
+		g.throttle(g.deadlines[0])
 	}
 }
 
-func (g *Gate) done() []Action {
-	g.serve()
+// flush admits what there is room for and returns the actions since advance.
+func (g *Gate) flush() []Action {
+	g.admitQueued()
 	g.Missed = g.calendar.missed
-	return g.out
+	return g.actions
 }
 
-// Heaviest names the clubs that were let in for most, by cost, at most so many.
-func (g *Gate) Heaviest(most int) []*Club {
+// Heaviest returns up to n clubs with the highest admitted cost.
+func (g *Gate) Heaviest(n int) []*Club {
 	all := slices.Collect(maps.Values(g.clubs))
-	slices.SortFunc(all, func(a, b *Club) int { return cmp.Or(cmp.Compare(b.Cost, a.Cost), cmp.Compare(a.index, b.index)) })
-	return all[:min(most, len(all))]
+	slices.SortFunc(all, func(a, b *Club) int { return cmp.Or(cmp.Compare(b.Cost, a.Cost), cmp.Compare(a.seq, b.seq)) })
+	return all[:min(n, len(all))]
 }
 
-// Stands tells how the gate stands: what is open and what waits, the limit, and how much longer than its cost a download
-// takes now and took at the quickest.
-func (g *Gate) Stands() (open, waits int, limit, stretch, quick float64) {
-	return len(g.open), len(g.waits), g.limit.most, g.limit.stretch(g.now), g.limit.quick
+// Stands returns the state of the gate: the numbers of open and queued downloads, the concurrency limit, and the ratio
+// of the latency of downloads to their cost, now and at its lowest.
+func (g *Gate) Stands() (open, queued int, limit, stretch, fastest float64) {
+	return len(g.open), len(g.queued), g.limit.current, g.limit.stretch(g.now), g.limit.fastest
 }
 
-// enough ends to judge by: of fewer the mean is chance, where some are held and others have to be filled.
-const enough = 24
+// minSamples is the number of outcomes needed to adjust the limit: with fewer the mean is random, as some downloads are
+// cache hits and others have to be filled.
+const minSamples = 24
 
-// limit learns how many open downloads end in their time. Over a quarter of half a dozen ends late, and it falls to four
-// fifths of what is open; all taking 1.8 times as long as at the quickest, to nine tenths: what queues behind the door is
-// served first come, first served, and the shares are lost there. At most twice a second; each end in time while it is met
-// and all is quick raises it. It is looser than the
-// router's limiters, which judge by node: what they turn away counts as late here, so the door closes when they do.
-type limit struct {
-	least, most, cut float64
-	late, all, cost  ring
-	quick            float64 // the least that a download took beside its cost
-	took             ring    // ms from the door to the end, beside the cost
+// concurrencyLimit learns how many open downloads finish in time. If over a quarter of the recent outcomes are late, it
+// drops to 0.8 of the open downloads; if latency relative to cost exceeds 2.2 times its lowest value, to 0.9, because
+// whatever queues behind the gate is served in order of arrival, where the shares are lost. It drops at most twice a
+// second, and rises with each download that finishes in time while the limit is nearly used and latency is low. It is
+// looser than the limiters of the router, which judge by node: their rejections count as late here, so the gate closes
+// when they do.
+type concurrencyLimit struct {
+	minimum, current, lastCut float64
+	late, all, cost           slidingSum
+	fastest                   float64    // lowest ratio of latency to cost
+	latency                   slidingSum // ms from admission to the end; compared with cost
 }
 
-func (l *limit) note(now float64, end End, cost, took, open float64) (changed bool) {
+// record takes the outcome of a download, and reports whether the limit was lowered.
+func (l *concurrencyLimit) record(now float64, end End, cost, took, open float64) (changed bool) {
 	if end == Gone {
 		return false
 	}
 	l.all.add(now, 1)
 	if end != TurnedAway {
 		l.cost.add(now, cost)
-		l.took.add(now, took)
+		l.latency.add(now, took)
 	}
 	if end != InTime {
 		l.late.add(now, 1)
-	} else if open > 0.8*l.most && !l.slow(now, 1.6) {
-		l.most += min(0.5, 4/l.most)
+	} else if open > 0.8*l.current && !l.slowerThan(now, 1.6) {
+		l.current += min(0.5, 4/l.current)
 	}
-	if cost := l.cost.sum(now); cost > 0 && l.all.sum(now) >= enough {
-		if s := l.took.sum(now) / cost; l.quick == 0 || s < l.quick {
-			l.quick = s
+	if cost := l.cost.sum(now); cost > 0 && l.all.sum(now) >= minSamples {
+		if s := l.latency.sum(now) / cost; l.fastest == 0 || s < l.fastest {
+			l.fastest = s
 		} else {
-			l.quick += (s - l.quick) / 20_000 // what is quick here may itself change, over many minutes
+			l.fastest += (s - l.fastest) / 20_000 // the lowest ratio may itself change, over many minutes
 		}
 	}
 	late := l.late.sum(now) > 0.25*l.all.sum(now)
-	if now < l.cut+500 || l.all.sum(now) < enough || !late && !l.slow(now, 2.2) {
+	if now < l.lastCut+500 || l.all.sum(now) < minSamples || !late && !l.slowerThan(now, 2.2) {
 		return false
 	}
 	keep := 0.9
 	if late {
 		keep = 0.8
 	}
-	l.most, l.cut = max(l.least, keep*min(l.most, open)), now
-	l.late, l.all, l.cost, l.took = ring{}, ring{}, ring{}, ring{} // what was let in before says nothing of the new bound
+	l.current, l.lastCut = max(l.minimum, keep*min(l.current, open)), now
+	l.late, l.all, l.cost, l.latency = slidingSum{}, slidingSum{}, slidingSum{}, slidingSum{} // earlier admissions say nothing about the new limit
 	return true
 }
 
-// slow tells whether downloads take so many times as long as they did at the quickest.
-func (l *limit) slow(now, times float64) bool {
+// slowerThan reports whether the ratio of latency to cost exceeds its lowest value by this factor.
+func (l *concurrencyLimit) slowerThan(now, times float64) bool {
 	cost := l.cost.sum(now)
-	return l.quick > 0 && cost > 0 && l.all.sum(now) >= enough && l.took.sum(now)/cost > times*l.quick
+	return l.fastest > 0 && cost > 0 && l.all.sum(now) >= minSamples && l.latency.sum(now)/cost > times*l.fastest
 }
 
-// stretch is how much longer than its cost a download takes behind the door now, with a tenth to spare: what waits here must
-// leave that much time.
-func (l *limit) stretch(now float64) float64 {
+// stretch is the current ratio of latency to cost of admitted downloads, plus a tenth and between 1 and 1.5: queued
+// requests must leave that much time.
+func (l *concurrencyLimit) stretch(now float64) float64 {
 	if cost := l.cost.sum(now); cost > 0 {
-		return min(1.5, max(1, 1.1*l.took.sum(now)/cost))
+		return min(1.5, max(1, 1.1*l.latency.sum(now)/cost))
 	}
 	return 1
 }
 
-// rate is the cost a ms that was carried lately.
-func (l *limit) rate(now float64) float64 { return l.cost.sum(now) / ringSpan }
+// throughput is the cost per ms of the downloads that ended recently.
+func (l *concurrencyLimit) throughput(now float64) float64 { return l.cost.sum(now) / slidingSpan }
 
-// ring sums what was noted in the last two seconds, in fixed buckets.
-type ring struct {
-	sums  [8]float64
-	slots [8]int64
+// slidingSum is a sum over the last slidingSpan ms, in fixed buckets.
+type slidingSum struct {
+	sums    [8]float64
+	buckets [8]int64 // number of the time interval that each sum belongs to
 }
 
-const ringSpan = 2000.0
+// slidingSpan is the span of a slidingSum in ms.
+const slidingSpan = 2000.0
 
-func (r *ring) add(now, x float64) {
-	slot := int64(now / (ringSpan / 8))
-	i := slot % 8
-	if r.slots[i] != slot {
-		r.slots[i], r.sums[i] = slot, 0
+func (s *slidingSum) add(now, x float64) {
+	bucket := int64(now / (slidingSpan / 8))
+	i := bucket % 8
+	if s.buckets[i] != bucket {
+		s.buckets[i], s.sums[i] = bucket, 0
 	}
-	r.sums[i] += x
+	s.sums[i] += x
 }
 
-func (r *ring) sum(now float64) (sum float64) {
-	least := int64(now/(ringSpan/8)) - 7
-	for i, slot := range r.slots {
-		if slot >= least {
-			sum += r.sums[i]
+func (s *slidingSum) sum(now float64) (sum float64) {
+	oldest := int64(now/(slidingSpan/8)) - 7
+	for i, bucket := range s.buckets {
+		if bucket >= oldest {
+			sum += s.sums[i]
 		}
 	}
 	return sum
