--- a/internal/purges/bounds.go
+++ b/internal/purges/bounds.go
@@ -7,27 +7,31 @@
 	"slices"
 )
 
-// Shelf holds bounds in bounded memory. What does not fit becomes a bound for all: too much is purged rather than too little.
+// Shelf is a set of bounds with limited memory. Bounds that do not fit are merged into a bound for every object, which
+// purges too much rather than too little.
 type Shelf struct {
-	Most     int              `cbor:"1,keyasint"`
-	Clubs    map[string]*held `cbor:"2,keyasint"` // by club; empty: of all
-	Patterns []pattern        `cbor:"3,keyasint"`
-	Floor    float64          `cbor:"4,keyasint"` // of every object
+	Limit    int                    `cbor:"1,keyasint"`
+	Clubs    map[string]*clubBounds `cbor:"2,keyasint"` // by club; the empty name applies to all clubs
+	Patterns []pattern              `cbor:"3,keyasint"`
+	Floor    float64                `cbor:"4,keyasint"` // bound for every object
 
-	count int
+	count int // bounds of objects and groups
 }
 
-type held struct {
+// clubBounds are the object and group bounds of one club.
+type clubBounds struct {
 	Objects map[string]bound `cbor:"1,keyasint"`
 	Groups  map[int64]bound  `cbor:"2,keyasint"`
 }
 
-// bound says which copies don't count, and which don't where a newer one can be had.
+// bound is a pair of minimum creation times. Copies created before Hard are invalid; copies created before Soft are
+// stale and are served only where no newer one is available.
 type bound struct {
 	Hard float64 `cbor:"1,keyasint"`
 	Soft float64 `cbor:"2,keyasint"`
 }
 
+// pattern is the bound of all objects whose names match a regular expression.
 type pattern struct {
 	Text  string `cbor:"1,keyasint"`
 	Club  string `cbor:"2,keyasint"`
@@ -35,27 +39,29 @@
 	re    *regexp.Regexp
 }
 
-// Bounds of patterns: how many are held, as each costs every download a match, and how long one is.
+// Limits on patterns. Each pattern held costs every download a match.
 const (
-	mostPatterns = 64
-	longPattern  = 256
+	maxPatterns      = 64
+	maxPatternLength = 256
 )
 
-// NewShelf makes an empty one.
-func NewShelf(most int) *Shelf { return &Shelf{Most: most, Clubs: map[string]*held{}} }
+// NewShelf returns an empty set that keeps up to limit bounds of objects and groups individually.
+func NewShelf(limit int) *Shelf { return &Shelf{Limit: limit, Clubs: map[string]*clubBounds{}} }
 
-// compile reads a pattern of whole names. The package regexp matches in time linear in the name, and bounds what a pattern may grow to.
+// compile compiles a pattern that must match whole names. Package regexp matches in time linear in the length of the
+// name, and limits the size of a compiled pattern.
 func compile(text string) (*regexp.Regexp, error) {
-	if len(text) > longPattern {
-		return nil, fmt.Errorf("pattern: %d bytes; %d at most", len(text), longPattern)
+	if len(text) > maxPatternLength {
+		return nil, fmt.Errorf("pattern: %d bytes; %d at most", len(text), maxPatternLength)
 	}
-	if _, err := regexp.Compile(text); err != nil { // as it stands: what is put round it must not mend it
+	if _, err := regexp.Compile(text); err != nil { // without the anchors first: adding them must not make an invalid pattern valid
 		return nil, fmt.Errorf("pattern: %w", err)
 	}
 	return regexp.Compile(`\A(?:` + text + `)\z`)
 }
 
-func (b bound) with(at float64, stale bool) bound {
+// raise returns the bound raised to at least the given time: the soft part for stale, the hard part otherwise.
+func (b bound) raise(at float64, stale bool) bound {
 	if stale {
 		b.Soft = max(b.Soft, at)
 	} else {
@@ -64,7 +70,8 @@
 	return b
 }
 
-// Put takes a bound. Bounds only rise, so that what comes twice, late or again after a start changes nothing.
+// Put adds a mark. Bounds never decrease, so marks that are duplicated, late or replayed after a restart have no
+// effect.
 func (s *Shelf) Put(m Mark) {
 	switch {
 	case m.All:
@@ -76,75 +83,77 @@
 	}
 	h := s.Clubs[m.Club]
 	if h == nil {
-		h = &held{Objects: map[string]bound{}, Groups: map[int64]bound{}}
+		h = &clubBounds{Objects: map[string]bound{}, Groups: map[int64]bound{}}
 		s.Clubs[m.Club] = h
 	}
 	if m.Grouped {
 		old, known := h.Groups[m.Group]
-		if h.Groups[m.Group] = old.with(m.At, m.Stale); !known {
+		if h.Groups[m.Group] = old.raise(m.At, m.Stale); !known {
 			s.count++
 		}
 	} else {
 		old, known := h.Objects[m.Object]
-		if h.Objects[m.Object] = old.with(m.At, m.Stale); !known {
+		if h.Objects[m.Object] = old.raise(m.At, m.Stale); !known {
 			s.count++
 		}
 	}
-	if s.count > s.Most {
-		s.forget()
+	if s.count > s.Limit {
+		s.evictOldest()
 	}
 }
 
+// putPattern adds a mark with a pattern. Past maxPatterns the pattern with the oldest bound is merged into the floor.
 func (s *Shelf) putPattern(m Mark) {
 	for i := range s.Patterns {
 		if p := &s.Patterns[i]; p.Text == m.Pattern && p.Club == m.Club {
-			p.Bound = p.Bound.with(m.At, m.Stale)
+			p.Bound = p.Bound.raise(m.At, m.Stale)
 			return
 		}
 	}
 	re, err := compile(m.Pattern)
 	if err != nil {
-		s.Floor = max(s.Floor, m.At) // it was checked before it was accepted: another program's, then
+		s.Floor = max(s.Floor, m.At) // patterns are validated on acceptance, so another version of the program accepted this one
 		return
 	}
-	s.Patterns = append(s.Patterns, pattern{Text: m.Pattern, Club: m.Club, Bound: bound{}.with(m.At, m.Stale), re: re})
-	if len(s.Patterns) > mostPatterns {
+	s.Patterns = append(s.Patterns, pattern{Text: m.Pattern, Club: m.Club, Bound: bound{}.raise(m.At, m.Stale), re: re})
+	if len(s.Patterns) > maxPatterns {
 		old := 0
 		for i, p := range s.Patterns {
-			if newest(p.Bound) < newest(s.Patterns[old].Bound) {
+			if latest(p.Bound) < latest(s.Patterns[old].Bound) {
 				old = i
 			}
 		}
-		s.Floor = max(s.Floor, newest(s.Patterns[old].Bound))
+		s.Floor = max(s.Floor, latest(s.Patterns[old].Bound))
 		s.Patterns = slices.Delete(s.Patterns, old, old+1)
 	}
 }
 
-func newest(b bound) float64 { return max(b.Hard, b.Soft) }
+// latest returns the later of the two times of a bound.
+func latest(b bound) float64 { return max(b.Hard, b.Soft) }
 
-// forget makes the oldest quarter a bound for all.
-func (s *Shelf) forget() {
-	type one struct {
-		at     float64
-		club   string
-		object string
-		group  int64
-		is     bool // a group
+// evictOldest merges the oldest quarter of the object and group bounds into the floor.
+func (s *Shelf) evictOldest() {
+	type entry struct {
+		at      float64
+		club    string
+		object  string
+		group   int64
+		grouped bool
 	}
-	var all []one
+	var all []entry
 	for club, h := range s.Clubs {
 		for name, b := range h.Objects {
-			all = append(all, one{at: newest(b), club: club, object: name})
+			all = append(all, entry{at: latest(b), club: club, object: name})
 		}
 		for g, b := range h.Groups {
-			all = append(all, one{at: newest(b), club: club, group: g, is: true})
+			all = append(all, entry{at: latest(b), club: club, group: g, grouped: true})
 		}
 	}
-	slices.SortFunc(all, func(x, y one) int {
+	slices.SortFunc(all, func(x, y entry) int {
 		return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.club, y.club), cmp.Compare(x.object, y.object), cmp.Compare(x.group, y.group))
 	})
 	for _, x := range all[:max(1, len(all)/4)] {
-		if s.Floor = max(s.Floor, x.at); x.is {
+		if s.Floor = max(s.Floor, x.at); x.grouped {
 			delete(s.Clubs[x.club].Groups, x.group)
 		} else {
 			delete(s.Clubs[x.club].Objects, x.object)
@@ -153,7 +162,8 @@
 	}
 }
 
-// Bound tells from which birth on copies count for a download at a club, and from which on where a newer one can be had; 0: any does.
+// Bound returns the minimum creation times of copies for a download of a club: hard for any copy, soft where a newer
+// copy is available; 0 accepts any copy.
 func (s *Shelf) Bound(club, object string, group int64) (hard, soft float64) {
 	hard = s.Floor
 	take := func(b bound) { hard, soft = max(hard, b.Hard), max(soft, b.Soft) }
@@ -174,10 +184,10 @@
 	return hard, soft
 }
 
-// Len counts what is held one by one.
+// Len returns the number of bounds held individually, patterns included.
 func (s *Shelf) Len() int { return s.count + len(s.Patterns) }
 
-// Marks are all of it, for one that begins anew.
+// Marks returns the whole set as marks, for a core that starts with an empty set.
 func (s *Shelf) Marks() (all []Mark) {
 	add := func(m Mark, b bound) {
 		if m.At = b.Hard; b.Hard > 0 {
@@ -204,8 +214,8 @@
 	return all
 }
 
-// mend makes what is not written down, after it was read.
-func (s *Shelf) mend() error {
+// rebuild restores the fields that are not stored, after decoding.
+func (s *Shelf) rebuild() error {
 	if s.Clubs == nil {
 		return ErrBad
 	}
--- a/internal/purges/drive/block.go
+++ b/internal/purges/drive/block.go
@@ -7,13 +7,15 @@
 	"poppymill/internal/purges"
 )
 
-// Block is what an operator says of purges by the gateways themselves; off unless it stands in the file. It needs the blocks quorum and jobs.
+// Block is the block purges of the operator's file, for purges agreed between the gateways. It is off unless the file
+// has it, and needs the blocks quorum and jobs.
 type Block struct {
 	On     bool
 	Limits purges.Limits
 }
 
-// Held are its limits, or where it is off those by which what others do is held.
+// Held returns the limits of the block; where it is off, the defaults, which bound the purges followed from other
+// gateways.
 func (b Block) Held() purges.Limits {
 	if b.On {
 		return b.Limits
@@ -21,7 +23,7 @@
 	return purges.DefaultLimits()
 }
 
-// Fields are those of the block purges.
+// Fields returns the attributes of the block purges. It turns the block on and sets the defaults.
 func (b *Block) Fields() []operator.Field {
 	b.On, b.Limits = true, purges.DefaultLimits()
 	l := &b.Limits
--- a/internal/purges/drive/service.go
+++ b/internal/purges/drive/service.go
@@ -1,5 +1,5 @@
-// Package drive joins purges (package purges) to the agreement of the gateways: the book to the log, bounds to this gateway's core, batches to
-// whoever owns them. It decides nothing.
+// Package drive connects package purges to the quorum of gateways: the state machine to the replicated log, published
+// bounds to this gateway's core, and batches to the owner of the batch job. It makes no decisions of its own.
 package drive
 
 import (
@@ -20,191 +20,204 @@
 	agreement "poppymill/internal/quorum/drive"
 )
 
-// Book is the name under which purges stand in the log; Sender that of the job whose owner sends batches.
+// Book is the name of the state machine in the log; Sender is the name of the job whose owner sends batches.
 const (
 	Book   = "purges"
 	Sender = "purges"
 )
 
-// How often, in ms, the owner looks whether a batch is due, and the leader has time pass in the log while a purge is open.
+// Intervals in ms while a purge is open.
 const (
-	lookEvery = 50.0
-	tickEvery = 500.0
-	tellEvery = 1000.0 // what this gateway misses
+	batchCheckInterval = 50.0   // at which the owner checks whether a batch is due
+	tickInterval       = 500.0  // at which the leader advances the time of the log
+	missesInterval     = 1000.0 // at which this gateway reports its misses
 )
 
-// Core is what a gateway's core does for its part: Void has it go by marks from now on; done is called, once, from its loop, when it does.
+// Core is the interface to a gateway's core.
 type Core interface {
+	// Void makes the core apply marks; done is called once, from the loop of the core, when it does.
 	Void(marks []purges.Mark, index uint64, done func(index uint64))
-	// Known tells until when all is known that was agreed, as so many ms ago; under 0: it is not.
+	// Known reports that all entries committed up to ago ms before now are known; a negative value means that this is
+	// not known.
 	Known(ago float64)
 }
 
-// Misses is word of the core how many fills a second it asked for, as edge caches did not hold what was wanted.
+// Misses is an event from the core: the fills per second that it requested on edge cache misses.
 type Misses struct{ Rate float64 }
 
-// gone is word of the core that it goes by all marks up to a place.
-type gone struct{ index uint64 }
+// marksApplied is an event from the core: it applies all marks up to a log index.
+type marksApplied struct{ index uint64 }
 
-// Sweep is one gateway's part. It belongs to the council's loop.
+// Sweep is the purge service of one gateway. It runs in the loop of the council.
 type Sweep struct {
-	block   Block
-	book    *purges.Book
-	crew    *owned.Crew
-	core    Core
-	council *agreement.Council
-	log     logrus.FieldLogger
-	stand   agreement.Followed
-	now     float64
-	next    float64
-	ticked  float64
-	open    map[string]float64 // commands that are on their way, until they may go out again
-	handed  uint64             // the last place whose marks the core was handed
-	goes    uint64             // and by which it goes
-	told    map[string]purges.Stage
-	changes uint64 // of the book, when it last told
-	misses  float64
-	missAt  float64 // when the log may be told of them again
+	block          Block
+	book           *purges.Book
+	crew           *owned.Crew
+	core           Core
+	council        *agreement.Council
+	log            logrus.FieldLogger
+	followed       agreement.Followed
+	now            float64
+	nextCheck      float64
+	tickedAt       float64
+	pending        map[string]float64 // commands in flight, with the time at which they may be proposed again
+	publishedIndex uint64             // log index up to which marks were passed to the core
+	appliedIndex   uint64             // log index up to which the core applies them
+	loggedStages   map[string]purges.Stage
+	loggedChanges  uint64 // change counter of the state machine when stages were last logged
+	misses         float64
+	nextMissesAt   float64 // when misses may be reported again
 }
 
-// book words the log's commands for purges.Book.
-type book struct{ *purges.Book }
+// logAdapter adapts purges.Book to the commands and members of the log.
+type logAdapter struct{ *purges.Book }
 
-func (b book) Apply(index uint64, c quorum.Command) any { return b.Book.Apply(index, c.Kind, c.Data) }
-func (b book) Member(_ uint64, m quorum.Member) {
+// Apply applies a command of the log.
+func (b logAdapter) Apply(index uint64, c quorum.Command) any {
+	return b.Book.Apply(index, c.Kind, c.Data)
+}
+
+// Member applies a membership change of the log.
+func (b logAdapter) Member(_ uint64, m quorum.Member) {
 	b.Book.Member(m.Name, m.Incarnation, m.Standing == quorum.Joined)
 }
 
-// Books is a gateway's book of purges alone, to read a store with.
-func Books() map[string]quorum.Book { return map[string]quorum.Book{Book: book{purges.New()}} }
+// Books returns the state machine of purges alone, for reading a store.
+func Books() map[string]quorum.Book { return map[string]quorum.Book{Book: logAdapter{purges.New()}} }
 
-// Open makes the part of a gateway. Without the block it follows what others do, and goes by it, but takes no purge and is not blind where it
-// can't hear.
+// Open returns the purge service of a gateway. Where the block is off, it applies the purges of other gateways, but
+// accepts none itself and keeps trusting older copies while it cannot reach the log.
 func Open(b Block, crew *owned.Crew, core Core, log logrus.FieldLogger) *Sweep {
-	return &Sweep{block: b, book: purges.New(), crew: crew, core: core, log: log, open: map[string]float64{}, told: map[string]purges.Stage{}}
+	return &Sweep{block: b, book: purges.New(), crew: crew, core: core, log: log, pending: map[string]float64{}, loggedStages: map[string]purges.Stage{}}
 }
 
-// Books are what it keeps in the log.
-func (s *Sweep) Books() map[string]quorum.Book { return map[string]quorum.Book{Book: book{s.book}} }
+// Books returns the state machines that the service replicates.
+func (s *Sweep) Books() map[string]quorum.Book {
+	return map[string]quorum.Book{Book: logAdapter{s.book}}
+}
 
-// Begin takes the council.
+// Begin sets the council through which commands are proposed.
 func (s *Sweep) Begin(c *agreement.Council) { s.council = c }
 
-// Next is when it looks again.
+// Next returns the time of the next check; +Inf if no purge is open.
 func (s *Sweep) Next() float64 {
-	if s.stand.Incarnation == 0 || !s.book.Open() {
+	if s.followed.Incarnation == 0 || !s.book.AnyOpen() {
 		return math.Inf(1)
 	}
-	return s.next
+	return s.nextCheck
 }
 
-// Idle and Close: nothing of it has to be waited for.
-func (s *Sweep) Idle() bool   { return true }
+// Idle reports that shutdown never has to wait for the service.
+func (s *Sweep) Idle() bool { return true }
+
+// Close does nothing, as the service holds no resources.
 func (s *Sweep) Close() error { return nil }
 
-func unix() float64 { return float64(time.Now().UnixMilli()) }
+func unixMillis() float64 { return float64(time.Now().UnixMilli()) }
 
-// Handle takes an event of the council's or of the core's.
+// Handle processes an event of the council or of the core.
 func (s *Sweep) Handle(now float64, e any) {
 	s.now = now
 	if s.block.On {
 		s.core.Known(s.council.Sight())
 	}
-	switch e := e.(type) {
+	switch event := e.(type) {
 	case agreement.Followed:
-		s.stand = e
-		s.hand(e.Restored)
-		s.tell()
+		s.followed = event
+		s.publishMarks(event.Restored)
+		s.logStages()
 	case Misses:
-		s.misses = e.Rate
-	case gone:
-		s.goes = max(s.goes, e.index)
-	default: // time, or what is another part's
-		if now < s.next {
+		s.misses = event.Rate
+	case marksApplied:
+		s.appliedIndex = max(s.appliedIndex, event.index)
+	default: // a timer, or an event for another service
+		if now < s.nextCheck {
 			return
 		}
 	}
-	s.next = now + lookEvery
-	if s.stand.Incarnation != 0 {
-		s.look()
+	s.nextCheck = now + batchCheckInterval
+	if s.followed.Incarnation != 0 {
+		s.proposeDue()
 	}
 }
 
-// hand has the core go by what went out. After a whole state came it is handed all of it: bounds only rise, so what it had before is not lost.
-func (s *Sweep) hand(restored bool) {
-	marks := s.book.News()
+// publishMarks passes newly published marks to the core. After a snapshot was restored it passes all marks: bounds
+// never decrease, so those that the core has already are not lost.
+func (s *Sweep) publishMarks(restored bool) {
+	marks := s.book.TakeMarks()
 	if restored {
 		marks = s.book.Shelf.Marks()
 	}
-	if len(marks) == 0 && s.book.Last <= s.handed {
+	if len(marks) == 0 && s.book.LastIndex <= s.publishedIndex {
 		return
 	}
-	s.handed = max(s.handed, s.book.Last)
-	s.core.Void(marks, s.handed, func(index uint64) { s.council.Post(gone{index}) })
+	s.publishedIndex = max(s.publishedIndex, s.book.LastIndex)
+	s.core.Void(marks, s.publishedIndex, func(index uint64) { s.council.Post(marksApplied{index}) })
 }
 
-// look says what is this gateway's to say.
-func (s *Sweep) look() {
-	if g := s.book.Gateways[s.stand.Name]; g.Seen < min(s.goes, s.book.Last) && g.Incarnation == s.stand.Incarnation {
-		s.propose(purges.Seen, "", purges.Order{At: unix(), From: s.stand.Name, Index: s.goes})
+// proposeDue proposes the commands that are due from this gateway: confirmations, misses, ticks and batches.
+func (s *Sweep) proposeDue() {
+	if g := s.book.Gateways[s.followed.Name]; g.Confirmed < min(s.appliedIndex, s.book.LastIndex) && g.Incarnation == s.followed.Incarnation {
+		s.propose(purges.Seen, "", purges.Order{At: unixMillis(), From: s.followed.Name, Index: s.appliedIndex})
 	}
-	if !s.block.On || !s.book.Open() {
+	if !s.block.On || !s.book.AnyOpen() {
 		return
 	}
-	if s.book.Paces() && s.now >= s.missAt {
-		s.missAt = s.now + tellEvery
-		s.propose(purges.Misses, "", purges.Order{At: unix(), From: s.stand.Name, Rate: s.misses})
+	if s.book.AwaitsMisses() && s.now >= s.nextMissesAt {
+		s.nextMissesAt = s.now + missesInterval
+		s.propose(purges.Misses, "", purges.Order{At: unixMillis(), From: s.followed.Name, Rate: s.misses})
 	}
-	if s.stand.Leads {
+	if s.followed.Leads {
 		if !s.crew.Has(Sender) && s.block.Limits.Rate > 0 {
-			s.order(owned.Book, owner.Start, "", owner.Job{Name: Sender, Kind: owned.Hold, Steps: 1, Window: 1})
+			s.proposeTo(owned.Book, owner.Start, "", owner.Job{Name: Sender, Kind: owned.Hold, Steps: 1, Window: 1})
 		}
-		if s.now >= s.ticked+tickEvery {
-			s.ticked = s.now
-			s.propose(purges.Tick, "", purges.Order{At: unix()})
+		if s.now >= s.tickedAt+tickInterval {
+			s.tickedAt = s.now
+			s.propose(purges.Tick, "", purges.Order{At: unixMillis()})
 		}
 	}
 	token, owns := s.crew.Owns(Sender)
-	if o, is := s.book.Sends(unix(), token, owns, s.stand.Leads); is {
+	if o, ok := s.book.BatchToSend(unixMillis(), token, owns, s.followed.Leads); ok {
 		s.propose(purges.Batch, fmt.Sprint(o.ID, o.First), o)
 	}
 }
 
-func (s *Sweep) propose(kind, key string, o purges.Order) { s.order(Book, kind, key, o) }
+// propose proposes a command of the purge log.
+func (s *Sweep) propose(kind, key string, o purges.Order) { s.proposeTo(Book, kind, key, o) }
 
-// order has a command agreed, and not again before it had its time.
-func (s *Sweep) order(book, kind, key string, content any) {
+// proposeTo proposes a command, and not again within a second while the first is in flight.
+func (s *Sweep) proposeTo(book, kind, key string, content any) {
 	key = kind + " " + key
-	if s.now < s.open[key] {
+	if s.now < s.pending[key] {
 		return
 	}
-	if len(s.open) > 1024 {
-		clear(s.open)
+	if len(s.pending) > 1024 {
+		clear(s.pending)
 	}
-	s.open[key] = s.now + 1000
-	s.council.Propose(quorum.Command{Book: book, Kind: kind, Data: canon.Encode(content)}, func(quorum.Outcome) { delete(s.open, key) })
+	s.pending[key] = s.now + 1000
+	s.council.Propose(quorum.Command{Book: book, Kind: kind, Data: canon.Encode(content)}, func(quorum.Outcome) { delete(s.pending, key) })
 }
 
-// tell writes a line for each purge that came to another stage.
-func (s *Sweep) tell() {
-	if s.changes == s.book.Changes() {
+// logStages logs each purge whose stage has changed.
+func (s *Sweep) logStages() {
+	if s.loggedChanges == s.book.Changes() {
 		return
 	}
-	s.changes = s.book.Changes()
+	s.loggedChanges = s.book.Changes()
 	for id, x := range s.book.Purges {
-		if was, known := s.told[id]; !known || was != x.Stage {
-			s.told[id] = x.Stage
+		if was, known := s.loggedStages[id]; !known || was != x.Stage {
+			s.loggedStages[id] = x.Stage
 			s.log.WithFields(logrus.Fields{"purge": id, "is": x.Stage.String(), "sent": x.Next, "of": len(x.Purge.Objects), "without": x.Without}).Info("purges: stage")
 		}
 	}
-	for id := range s.told {
+	for id := range s.loggedStages {
 		if s.book.Purges[id] == nil {
-			delete(s.told, id)
+			delete(s.loggedStages, id)
 		}
 	}
 }
 
-// Allow tells whether people may have a command agreed. The limits of a purge are this gateway's.
+// Allow checks whether an operator may propose a command. The limits of a purge must be those of this gateway.
 func (s *Sweep) Allow(c quorum.Command) error {
 	var o purges.Order
 	if err := canon.Decode(c.Data, &o); err != nil {
@@ -223,33 +236,34 @@
 	return o.Purge.Check()
 }
 
-// Purge is one for people.
+// Purge is the report of a purge to operators.
 type Purge struct {
 	purges.State
 	Stage     string   `json:"stage"`
-	Effective float64  `json:"effective"`       // no answer from an older copy after that, Unix ms
-	Waits     []string `json:"waits,omitempty"` // gateways that have not said that they go by it
+	Effective float64  `json:"effective"`       // time after which no older copy is served, Unix ms
+	Waits     []string `json:"waits,omitempty"` // gateways that have not confirmed it
 }
 
-func (s *Sweep) purge(x *purges.State) Purge {
+// describe returns the report of a purge.
+func (s *Sweep) describe(x *purges.State) Purge {
 	p := Purge{State: *x, Stage: x.Stage.String(), Effective: x.Effective()}
 	if x.Stage <= purges.Sent {
-		p.Waits = s.book.Waits(x)
+		p.Waits = s.book.Unconfirmed(x)
 	}
 	return p
 }
 
-// Follower is a gateway for people: how far it goes by what went out.
+// Follower is the report of a gateway to operators: how far it has confirmed published marks.
 type Follower struct {
 	Name    string  `json:"name"`
-	There   bool    `json:"there"`
-	Since   float64 `json:"since"` // when the log last said so, Unix ms
-	Seen    uint64  `json:"seen"`  // it goes by all up to there
-	Follows bool    `json:"follows"`
-	Misses  float64 `json:"misses"` // fills a second that it last said to ask for
+	There   bool    `json:"there"`   // it is joined
+	Since   float64 `json:"since"`   // time of the last membership change, Unix ms
+	Seen    uint64  `json:"seen"`    // log index up to which it has confirmed all marks
+	Follows bool    `json:"follows"` // it has confirmed everything published
+	Misses  float64 `json:"misses"`  // fills per second that it last reported
 }
 
-// Tell answers a person.
+// Tell answers an operator's question.
 func (s *Sweep) Tell(about, name string) (any, error) {
 	switch about {
 	case "purge limits":
@@ -259,21 +273,21 @@
 		return s.block.Limits, nil
 	case "purge":
 		if x := s.book.Purges[name]; x != nil {
-			return s.purge(x), nil
+			return s.describe(x), nil
 		}
 		return nil, fmt.Errorf("purge %q: %w", name, purges.ErrUnknown)
 	case "purge followers":
 		all := []Follower{}
 		for _, name := range slices.Sorted(maps.Keys(s.book.Gateways)) {
 			g := s.book.Gateways[name]
-			all = append(all, Follower{Name: name, There: g.There, Since: g.Since, Seen: g.Seen, Follows: g.Seen >= s.book.Last, Misses: g.Misses})
+			all = append(all, Follower{Name: name, There: g.Joined, Since: g.Since, Seen: g.Confirmed, Follows: g.Confirmed >= s.book.LastIndex, Misses: g.Misses})
 		}
-		return map[string]any{"last": s.book.Last, "gateways": all}, nil
+		return map[string]any{"last": s.book.LastIndex, "gateways": all}, nil
 	case "purges":
 		all := []Purge{}
 		for _, x := range s.book.All() {
-			p := s.purge(x)
-			p.Purge.Objects = nil // a list of them has to fit a frame
+			p := s.describe(x)
+			p.Purge.Objects = nil // the whole list has to fit one frame
 			all = append(all, p)
 		}
 		return map[string]any{"held": s.book.Shelf.Len(), "floor": s.book.Shelf.Floor, "purges": all[max(0, len(all)-500):]}, nil
--- a/internal/purges/purges.go
+++ b/internal/purges/purges.go
@@ -1,86 +1,91 @@
-// Package purges has copies of what is withdrawn end everywhere, in one order, and by a stated delay even where a gateway can't hear of it. It
-// is pure: the agreed log hands it commands in their order, and every gateway works out the same purges, batches and bounds from them.
+// Package purges implements purging of cached copies across all gateways through a replicated log. Purges are applied
+// in log order and take effect everywhere within a stated delay, even at a gateway that cannot reach the log. The
+// package does no I/O: it applies log entries in order, and every gateway derives the same purges, batches and bounds
+// from them.
 //
-// This file is its interface. What is purged is told by a bound: copies born before it don't count. Births and bounds are Unix milliseconds;
-// the order of purges is their place in the log, never a clock. A bound is the time of the acceptance and Skew more, so that clocks that are
-// apart have too much purged rather than too little.
+// This file holds the data types, command kinds and errors. A purge is expressed as a lower bound on the creation time
+// of copies: copies created before the bound are invalid. Creation times and bounds are Unix milliseconds; purges are
+// ordered by their log index, never by a clock. A bound is the acceptance time plus Limits.Skew, so that clock
+// differences purge too much rather than too little.
 package purges
 
 import "errors"
 
-// Purge is an operator's. The same id with the same words does nothing; with others it is refused.
+// Purge is an operator's request to purge objects, groups or a name pattern. Repeating a request with the same ID and
+// content has no effect; the same ID with other content is refused.
 type Purge struct {
 	ID      string   `cbor:"1,keyasint" json:"id"`
 	Objects []string `cbor:"2,keyasint,omitempty" json:"objects,omitempty"`
-	Groups  []int64  `cbor:"3,keyasint,omitempty" json:"groups,omitempty"`  // tags: numbers of groups, as downloads carry them
-	Pattern string   `cbor:"4,keyasint,omitempty" json:"pattern,omitempty"` // of whole names of objects, matched in linear time
-	Club    string   `cbor:"5,keyasint,omitempty" json:"club,omitempty"`    // empty: all
-	Stale   bool     `cbor:"6,keyasint,omitempty" json:"stale,omitempty"`   // an older copy may still answer where no newer one is to be had
+	Groups  []int64  `cbor:"3,keyasint,omitempty" json:"groups,omitempty"`  // group numbers, used as tags; each download carries one
+	Pattern string   `cbor:"4,keyasint,omitempty" json:"pattern,omitempty"` // regular expression for whole names, matched in linear time
+	Club    string   `cbor:"5,keyasint,omitempty" json:"club,omitempty"`    // empty: all clubs
+	Stale   bool     `cbor:"6,keyasint,omitempty" json:"stale,omitempty"`   // an older copy may be served where no newer one is available
 }
 
-// Limits of a purge, the same at all gateways as they come with its acceptance; ms where they are times.
+// Limits are the timing and size limits of a purge. They are part of its Accept command and so the same at all
+// gateways. Times are in ms.
 type Limits struct {
-	Delay float64 `cbor:"1,keyasint" json:"delay_ms"` // after which no answer anywhere comes from an older copy, counted from when a batch goes out
-	Skew  float64 `cbor:"2,keyasint" json:"skew_ms"`  // by which clocks may be apart
-	Rate  float64 `cbor:"3,keyasint" json:"rate"`     // objects a second that go out; 0: all at once
-	Batch int     `cbor:"4,keyasint" json:"batch"`    // objects that go out together
-	Held  int     `cbor:"5,keyasint" json:"held"`     // bounds of objects and groups that are remembered one by one; past them the oldest become a bound for all
-	Fills float64 `cbor:"6,keyasint" json:"fills"`    // a second, of all gateways together, past which the next batch waits; 0: never
+	Delay float64 `cbor:"1,keyasint" json:"delay_ms"` // time after the publication of a batch from which no gateway serves an older copy
+	Skew  float64 `cbor:"2,keyasint" json:"skew_ms"`  // largest difference between the clocks of two machines
+	Rate  float64 `cbor:"3,keyasint" json:"rate"`     // objects published per second; 0: all at once
+	Batch int     `cbor:"4,keyasint" json:"batch"`    // objects per batch
+	Held  int     `cbor:"5,keyasint" json:"held"`     // object and group bounds kept individually; past that the oldest merge into a bound for all
+	Fills float64 `cbor:"6,keyasint" json:"fills"`    // fills per second of all gateways together above which the next batch waits; 0: no limit
 }
 
-// DefaultLimits are limits for a site on a local network.
+// DefaultLimits returns limits suited to a site on a local network.
 func DefaultLimits() Limits { return Limits{Delay: 30_000, Skew: 500, Batch: 200, Held: 20_000} }
 
-// Stage is how far a purge has come.
+// Stage is the progress of a purge.
 type Stage int
 
-// The stages.
+// Stages of a purge.
 const (
-	Going     Stage = iota // accepted; some of its objects have not gone out
-	Sent                   // all have; some gateway has not said that it goes by it
-	Done                   // all that are there have, and the lost ones are blind by now
-	Cancelled              // what had gone out holds
+	Going     Stage = iota // accepted; some objects are not published yet
+	Sent                   // all objects are published; some gateway has not confirmed them
+	Done                   // every joined gateway has confirmed; lost gateways no longer trust older copies
+	Cancelled              // bounds already published stay in force
 )
 
 func (s Stage) String() string { return [...]string{"going", "sent", "done", "cancelled"}[s] }
 
-// Kinds of commands, each with an Order.
+// Kinds of log commands. Each carries an Order; the fields that the kind uses are listed.
 const (
 	Accept = "accept" // purge, limits
-	Batch  = "batch"  // id, first, next, owned: those of its objects go out
+	Batch  = "batch"  // id, first, next, token: publishes the objects first to next-1 of a purge
 	Cancel = "cancel" // id
-	Misses = "misses" // from, rate: fills a second that it asked for, as edge caches did not hold what was wanted
-	Seen   = "seen"   // from, index: that gateway goes by all that went out up to there
-	Tick   = "tick"   // at
+	Misses = "misses" // from, rate: fills per second that a gateway requested on edge cache misses
+	Seen   = "seen"   // from, index: a gateway confirms that it applies all marks up to a log index
+	Tick   = "tick"   // at: advances the time of the log
 )
 
-// Order is the content of all commands.
+// Order is the payload of every command.
 type Order struct {
-	At     float64 `cbor:"1,keyasint"` // when it was given
+	At     float64 `cbor:"1,keyasint"` // when the command was issued, by the clock of its sender
 	Purge  *Purge  `cbor:"2,keyasint,omitempty"`
 	Limits *Limits `cbor:"3,keyasint,omitempty"`
 	ID     string  `cbor:"4,keyasint,omitempty"`
 	First  int     `cbor:"5,keyasint,omitempty"`
 	Next   int     `cbor:"6,keyasint,omitempty"`
-	Owned  uint64  `cbor:"7,keyasint,omitempty"` // the token under which its sender owns the sending of batches
+	Token  uint64  `cbor:"7,keyasint,omitempty"` // fencing token of the sender's ownership of the batch job
 	From   string  `cbor:"8,keyasint,omitempty"`
 	Index  uint64  `cbor:"9,keyasint,omitempty"`
 	Rate   float64 `cbor:"10,keyasint,omitempty"`
 }
 
-// Mark is one bound, as the gateways' cores take it.
+// Mark is one published bound, as passed to a gateway's core.
 type Mark struct {
 	Object  string
-	Group   int64 // where Grouped says so
+	Group   int64 // valid if Grouped is set
 	Grouped bool
 	Pattern string
-	All     bool // of every object: what was forgotten one by one
+	All     bool // applies to every object; replaces bounds that were evicted
 	Club    string
-	At      float64
+	At      float64 // the bound: copies created before it are invalid
 	Stale   bool
 }
 
-// Results of commands that were agreed and change nothing.
+// Errors returned by commands that were committed but rejected; they change no purge.
 var (
 	ErrBad     = errors.New("the command can't be read")
 	ErrOther   = errors.New("a purge of that id says something else")
--- a/internal/purges/purges_test.go
+++ b/internal/purges/purges_test.go
@@ -14,51 +14,54 @@
 	"poppymill/internal/canon"
 )
 
-func (b *Book) give(index uint64, kind string, o Order) any {
+// applyOrder encodes an order and applies it as a command.
+func (b *Book) applyOrder(index uint64, kind string, o Order) any {
 	return b.Apply(index, kind, canon.Encode(o))
 }
 
-// plain is what must hold, written down without any structure: all that went out, one after another.
-type plain []struct {
+// model is the reference for the bounds: the plain list of all marks published so far.
+type model []struct {
 	Mark
 	bound float64
 }
 
-func (p plain) bound(club, object string, group int64) (hard, soft float64) {
-	for _, m := range p {
-		if m.Club != "" && m.Club != club {
+// bound computes the bounds of a download from all marks that match it.
+func (m model) bound(club, object string, group int64) (hard, soft float64) {
+	for _, mark := range m {
+		if mark.Club != "" && mark.Club != club {
 			continue
 		}
-		hit := m.Object == object && !m.Grouped && m.Pattern == "" || m.Grouped && m.Group == group
-		if m.Pattern != "" {
-			hit, _ = regexp.MatchString("^(?:"+m.Pattern+")$", object)
+		match := mark.Object == object && !mark.Grouped && mark.Pattern == "" || mark.Grouped && mark.Group == group
+		if mark.Pattern != "" {
+			match, _ = regexp.MatchString("^(?:"+mark.Pattern+")$", object)
 		}
-		if hit && m.Stale {
-			soft = max(soft, m.bound)
-		} else if hit {
-			hard = max(hard, m.bound)
+		if match && mark.Stale {
+			soft = max(soft, mark.bound)
+		} else if match {
+			hard = max(hard, mark.bound)
 		}
 	}
 	return hard, soft
 }
 
-// Whatever is purged, cancelled, sent twice, out of turn, by an old owner or again after a restart: what went out holds for exactly what was
-// named, by the newest purge of it; nothing is skipped or goes out twice; and the state is read back alike.
-func TestHolds(t *testing.T) {
+// Compares the bounds with a model after random sequences of purges, cancellations, batches that are duplicated, out of
+// order or from a replaced owner, and restarts: published bounds apply to exactly the objects named, by their newest
+// purge; no object is skipped or published twice; and a snapshot restores the same state.
+func TestBoundsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, core := New(), NewShelf(1<<20)
 		objects := []string{"a", "b", "ab", "ba", "abc"}
-		var all plain
-		inc, now, index := uint64(1), 1e6, uint64(0)
+		var published model
+		incarnation, now, index := uint64(1), 1e6, uint64(0)
 		l := Limits{Delay: 4000, Skew: float64(rapid.SampledFrom([]int{0, 100}).Draw(t, "skew")), Rate: rapid.SampledFrom([]float64{0, 10}).Draw(t, "rate"),
 			Batch: rapid.IntRange(1, 3).Draw(t, "batch"), Held: 1000}
-		sent := map[string][]int{} // of each purge, how often each object went out
-		for n := range rapid.IntRange(1, 60).Draw(t, "deeds") {
+		sent := map[string][]int{} // indexes of the objects published, in order, by purge
+		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += float64(rapid.IntRange(0, 900).Draw(t, "ms"))
 			index++
 			id := fmt.Sprint("p", rapid.IntRange(0, n/3).Draw(t, "id"))
 			o := Order{At: now, ID: id, Limits: &l}
-			kind := rapid.SampledFrom([]string{Accept, Accept, Accept, Batch, Batch, Batch, Cancel, Seen, Tick, "member", "restart"}).Draw(t, "deed")
+			kind := rapid.SampledFrom([]string{Accept, Accept, Accept, Batch, Batch, Batch, Cancel, Seen, Tick, "member", "restart"}).Draw(t, "kind")
 			switch kind {
 			case Accept:
 				p := &Purge{ID: id, Club: rapid.SampledFrom([]string{"", "", "amber", "birch"}).Draw(t, "club"), Stale: rapid.IntRange(0, 3).Draw(t, "stale") == 0}
@@ -72,45 +75,45 @@
 				}
 				o.Purge = p
 			case Batch:
-				if next, is, _ := b.NextBatch(now + 1e9); is && rapid.IntRange(0, 3).Draw(t, "wrong") > 0 {
+				if next, due, _ := b.NextBatch(now + 1e9); due && rapid.IntRange(0, 3).Draw(t, "wrong") > 0 {
 					o = next
 				} else {
 					o.First = rapid.IntRange(0, 4).Draw(t, "first")
 					o.Next = o.First + rapid.IntRange(-1, 3).Draw(t, "n")
 				}
-				o.At, o.Owned = now, uint64(rapid.IntRange(1, 3).Draw(t, "token"))
+				o.At, o.Token = now, uint64(rapid.IntRange(1, 3).Draw(t, "token"))
 			case Seen:
 				o.From, o.Index = rapid.SampledFrom([]string{"g1", "g2"}).Draw(t, "from"), uint64(rapid.IntRange(0, int(index)+3).Draw(t, "seen"))
 			}
-			owned, was := b.Owned, map[string]State{}
+			highestToken, before := b.HighestToken, map[string]State{}
 			for id, s := range b.Purges {
-				was[id] = *s
+				before[id] = *s
 			}
 			switch kind {
 			case "member":
-				inc++
-				b.Member(rapid.SampledFrom([]string{"g1", "g2"}).Draw(t, "gateway"), inc, rapid.Bool().Draw(t, "there"))
+				incarnation++
+				b.Member(rapid.SampledFrom([]string{"g1", "g2"}).Draw(t, "gateway"), incarnation, rapid.Bool().Draw(t, "there"))
 			case "restart":
-				again := New()
-				if err := again.Load(b.Save()); err != nil || !bytes.Equal(again.Save(), b.Save()) {
-					t.Fatalf("read back: %v", err)
+				restored := New()
+				if err := restored.Load(b.Save()); err != nil || !bytes.Equal(restored.Save(), b.Save()) {
+					t.Fatalf("snapshot restored differently: %v", err)
 				}
-				for _, m := range again.Shelf.Marks() { // a core that begins anew is told all of it
+				for _, m := range restored.Shelf.Marks() { // a restarted core receives all marks
 					core.Put(m)
 				}
-				b = again
+				b = restored
 			default:
-				before := len(b.Purges)
-				r := b.give(index, kind, o)
-				if err, _ := r.(error); err != nil && len(b.Purges) != before {
-					t.Fatalf("%d: %s: %v, and something came of it", n, kind, err)
+				count := len(b.Purges)
+				r := b.applyOrder(index, kind, o)
+				if err, _ := r.(error); err != nil && len(b.Purges) != count {
+					t.Fatalf("%d: %s: %v, but the number of purges changed", n, kind, err)
 				}
-				if s, is := r.(State); is && kind == Batch && o.Owned < owned && now < s.due(o.First)+l.Delay/4 {
-					t.Fatalf("%d: an old owner sent %+v", n, s)
+				if s, ok := r.(State); ok && kind == Batch && o.Token < highestToken && now < s.dueAt(o.First)+l.Delay/4 {
+					t.Fatalf("%d: batch of a replaced owner was accepted: %+v", n, s)
 				}
 			}
 			for id, s := range b.Purges {
-				old := was[id]
+				old := before[id]
 				if s.Next < old.Next || old.Stage == Cancelled && s.Next != old.Next || s.Next > old.Next && s.Limits.Rate > 0 && s.Next > old.Next+s.Limits.Batch {
 					t.Fatalf("%d: %s of %s: from %d to %d", n, kind, id, old.Next, s.Next)
 				}
@@ -120,7 +123,7 @@
 				m := Mark{Club: s.Purge.Club, Stale: s.Purge.Stale}
 				for i := old.Next; i < s.Next; i++ {
 					m.Object = s.Purge.Objects[i]
-					all = append(all, struct {
+					published = append(published, struct {
 						Mark
 						bound float64
 					}{m, s.Accepted + s.Limits.Skew})
@@ -131,24 +134,24 @@
 						m.Grouped, m.Group = true, s.Purge.Groups[0]
 					}
 					if m.Grouped || m.Pattern != "" {
-						all = append(all, struct {
+						published = append(published, struct {
 							Mark
 							bound float64
 						}{m, s.Accepted + s.Limits.Skew})
 					}
 				}
 			}
-			for _, m := range b.News() {
+			for _, m := range b.TakeMarks() {
 				core.Put(m)
 			}
 			for _, club := range []string{"amber", "birch", ""} {
 				for _, object := range append([]string{"c", "zz"}, objects...) {
 					for group := range int64(3) {
-						hard, soft := all.bound(club, object, group)
-						for who, shelf := range map[string]*Shelf{"the log": b.Shelf, "a core": core} {
-							// A soft bound that a hard one covers may be left out: it says nothing.
+						hard, soft := published.bound(club, object, group)
+						for holder, shelf := range map[string]*Shelf{"the log": b.Shelf, "a core": core} {
+							// A soft bound below the hard bound may be left out, as it has no effect.
 							if h, s := shelf.Bound(club, object, group); h != hard || max(h, s) != max(hard, soft) {
-								t.Fatalf("%d: %s: at %s %s of %d: %v and %v by %s, want %v and %v", n, kind, club, object, group, h, s, who, hard, soft)
+								t.Fatalf("%d: %s: club %q, object %s, group %d: bounds %v and %v in %s, want %v and %v", n, kind, club, object, group, h, s, holder, hard, soft)
 							}
 						}
 					}
@@ -158,35 +161,36 @@
 		for id, s := range b.Purges {
 			for i, x := range sent[id] {
 				if i != x {
-					t.Fatalf("%s: sent %v of %+v", id, sent[id], s)
+					t.Fatalf("%s: objects published in order %v: %+v", id, sent[id], s)
 				}
 			}
 		}
 	})
 }
 
-// What is not remembered one by one is a bound for all: for every download it is as high as it must be, whatever is forgotten.
-func TestForgetsTooMuchRatherThanTooLittle(t *testing.T) {
+// Evicted bounds are merged into a bound for every object, so that no download ever gets a lower bound than was
+// published for it.
+func TestEvictionNeverLowersBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewShelf(rapid.IntRange(16, 40).Draw(t, "most"))
-		var all plain
+		var published model
 		for range rapid.IntRange(1, 300).Draw(t, "marks") {
 			m := Mark{Object: fmt.Sprint("o", rapid.IntRange(0, 100).Draw(t, "object")), At: float64(rapid.IntRange(1, 1000).Draw(t, "at")), Stale: rapid.Bool().Draw(t, "stale")}
 			if rapid.IntRange(0, 3).Draw(t, "kind") == 0 {
 				m.Object, m.Pattern = "", "o"+fmt.Sprint(rapid.IntRange(0, 100).Draw(t, "pattern"))
 			}
 			s.Put(m)
-			all = append(all, struct {
+			published = append(published, struct {
 				Mark
 				bound float64
 			}{m, m.At})
-			if s.Len() > s.Most+mostPatterns {
+			if s.Len() > s.Limit+maxPatterns {
 				t.Fatalf("%d held", s.Len())
 			}
 		}
 		for i := range 101 {
 			object := fmt.Sprint("o", i)
-			hard, soft := all.bound("", object, -1)
+			hard, soft := published.bound("", object, -1)
 			if h, x := s.Bound("", object, -1); h < hard || max(h, x) < soft {
 				t.Fatalf("%s: %v and %v, want %v and %v at least", object, h, x, hard, soft)
 			}
@@ -194,121 +198,121 @@
 	})
 }
 
-// Accepted, sent, done and effective are four things; one that says nothing is named, and one that is lost holds up no longer than it may
-// answer blindly.
-func TestWhoHasFollowed(t *testing.T) {
+// Checks the stages of a purge: accepted, sent, done and effective are distinct. Gateways that have not confirmed are
+// listed, and a lost gateway delays completion only while it may still serve older copies.
+func TestStagesAndConfirmations(t *testing.T) {
 	b := New()
 	for i, g := range []string{"g1", "g2", "g3"} {
 		b.Member(g, uint64(i+1), true)
 	}
 	l := Limits{Delay: 5000, Skew: 100, Rate: 2, Batch: 2, Held: 100}
 	p := &Purge{ID: "p", Objects: []string{"a", "b", "c"}}
-	s := b.give(10, Accept, Order{At: 1000, Purge: p, Limits: &l}).(State)
+	s := b.applyOrder(10, Accept, Order{At: 1000, Purge: p, Limits: &l}).(State)
 	if s.Stage != Going || s.Effective() != 1000+5000+1500 {
 		t.Fatalf("accepted: %+v, effective at %v", s, s.Effective())
 	}
-	if r := b.give(11, Accept, Order{At: 1000, Purge: &Purge{ID: "p", Objects: []string{"a"}}, Limits: &l}); r != ErrOther {
-		t.Errorf("the id with other words: %v", r)
+	if r := b.applyOrder(11, Accept, Order{At: 1000, Purge: &Purge{ID: "p", Objects: []string{"a"}}, Limits: &l}); r != ErrOther {
+		t.Errorf("same id with other content: %v", r)
 	}
-	o, is, _ := b.NextBatch(1000)
-	if !is || o.First != 0 || o.Next != 2 {
+	o, ok, _ := b.NextBatch(1000)
+	if !ok || o.First != 0 || o.Next != 2 {
 		t.Fatalf("first batch: %+v", o)
 	}
-	o.Owned = 4
-	b.give(12, Batch, o)
-	if r := b.give(13, Batch, o); r != ErrTurn {
-		t.Errorf("the same batch again: %v", r)
+	o.Token = 4
+	b.applyOrder(12, Batch, o)
+	if r := b.applyOrder(13, Batch, o); r != ErrTurn {
+		t.Errorf("duplicate batch: %v", r)
 	}
-	if _, is, _ := b.NextBatch(1500); is {
-		t.Error("sooner than the pace allows")
+	if _, ok, _ := b.NextBatch(1500); ok {
+		t.Error("batch due earlier than the rate allows")
 	}
-	o, is, late := b.NextBatch(2000)
-	if o.Owned = 3; !is || late || o.First != 2 || o.Next != 3 {
+	o, ok, late := b.NextBatch(2000)
+	if o.Token = 3; !ok || late || o.First != 2 || o.Next != 3 {
 		t.Fatalf("second batch: %+v", o)
 	}
-	if r := b.give(14, Batch, o); r != ErrOld {
-		t.Errorf("by an owner that was replaced: %v", r)
+	if r := b.applyOrder(14, Batch, o); r != ErrOld {
+		t.Errorf("batch of a replaced owner: %v", r)
 	}
 	if _, _, late := b.NextBatch(3300); !late {
-		t.Error("its owner did not send it, and nobody else may")
+		t.Error("overdue batch may not be sent by the leader")
 	}
-	o.Owned = 5
-	if s := b.give(15, Batch, o).(State); s.Stage != Sent || !slices.Equal(b.Waits(&s), []string{"g1", "g2", "g3"}) {
-		t.Errorf("sent: %+v, waits for %v", s, b.Waits(&s))
+	o.Token = 5
+	if s := b.applyOrder(15, Batch, o).(State); s.Stage != Sent || !slices.Equal(b.Unconfirmed(&s), []string{"g1", "g2", "g3"}) {
+		t.Errorf("sent: %+v, unconfirmed %v", s, b.Unconfirmed(&s))
 	}
-	b.give(16, Seen, Order{At: 2100, From: "g1", Index: 14})
-	b.give(17, Seen, Order{At: 2100, From: "g1", Index: 15})
-	b.give(18, Seen, Order{At: 2100, From: "g2", Index: 99}) // beyond what it can know
-	b.Member("g2", 7, true)                                  // and starts anew: it goes by nothing yet
-	if x := b.Purges["p"]; !slices.Equal(b.Waits(x), []string{"g2", "g3"}) {
-		t.Errorf("waits for %v", b.Waits(x))
+	b.applyOrder(16, Seen, Order{At: 2100, From: "g1", Index: 14})
+	b.applyOrder(17, Seen, Order{At: 2100, From: "g1", Index: 15})
+	b.applyOrder(18, Seen, Order{At: 2100, From: "g2", Index: 99}) // beyond the end of the log
+	b.Member("g2", 7, true)                                        // restarted: nothing confirmed yet
+	if x := b.Purges["p"]; !slices.Equal(b.Unconfirmed(x), []string{"g2", "g3"}) {
+		t.Errorf("unconfirmed: %v", b.Unconfirmed(x))
 	}
-	b.give(18, Tick, Order{At: 9000})
-	if x := b.Purges["p"]; !slices.Equal(b.Waits(x), []string{"g2", "g3"}) {
-		t.Errorf("past the delay those that are there are not waited for: %v", b.Waits(x))
+	b.applyOrder(18, Tick, Order{At: 9000})
+	if x := b.Purges["p"]; !slices.Equal(b.Unconfirmed(x), []string{"g2", "g3"}) {
+		t.Errorf("joined gateways are not waited for past the delay: %v", b.Unconfirmed(x))
 	}
-	b.give(19, Seen, Order{At: 9100, From: "g2", Index: 15})
+	b.applyOrder(19, Seen, Order{At: 9100, From: "g2", Index: 15})
 	b.Member("g3", 3, false)
-	b.give(20, Tick, Order{At: 14_000})
+	b.applyOrder(20, Tick, Order{At: 14_000})
 	if x := b.Purges["p"]; x.Stage != Sent {
-		t.Errorf("done while one that was lost may not be blind: %+v", x)
+		t.Errorf("done while a lost gateway may still serve older copies: %+v", x)
 	}
-	b.give(21, Tick, Order{At: 14_200})
+	b.applyOrder(21, Tick, Order{At: 14_200})
 	if x := b.Purges["p"]; x.Stage != Done || !slices.Equal(x.Without, []string{"g3"}) {
-		t.Errorf("not done without the lost one: %+v", x)
+		t.Errorf("not done without the lost gateway: %+v", x)
 	}
-	if r := b.give(22, Cancel, Order{ID: "p"}); r != ErrOver {
-		t.Errorf("cancelled after its end: %v", r)
+	if r := b.applyOrder(22, Cancel, Order{ID: "p"}); r != ErrOver {
+		t.Errorf("cancelled after completion: %v", r)
 	}
-	b.give(23, Accept, Order{At: 15_000, Purge: &Purge{ID: "q", Objects: []string{"x", "y", "z"}}, Limits: &l})
+	b.applyOrder(23, Accept, Order{At: 15_000, Purge: &Purge{ID: "q", Objects: []string{"x", "y", "z"}}, Limits: &l})
 	o, _, _ = b.NextBatch(1e9)
-	o.Owned = 5
-	b.give(24, Batch, o)
-	if s := b.give(25, Cancel, Order{ID: "q"}).(State); s.Stage != Cancelled || s.Next != 2 {
-		t.Errorf("cancelled half way: %+v", s)
+	o.Token = 5
+	b.applyOrder(24, Batch, o)
+	if s := b.applyOrder(25, Cancel, Order{ID: "q"}).(State); s.Stage != Cancelled || s.Next != 2 {
+		t.Errorf("cancelled in progress: %+v", s)
 	}
 }
 
-// A batch waits while the gateways that are there miss more than may be, by what they said lately, and goes out all the same once the delay
-// would else not hold.
+// A batch waits while the recently reported misses of the joined gateways exceed the limit on fills, and is published
+// nevertheless once waiting longer would exceed the delay.
 func TestBatchesWaitForFills(t *testing.T) {
 	b := New()
 	for i, g := range []string{"g1", "g2", "g3"} {
 		b.Member(g, uint64(i+1), true)
 	}
 	l := Limits{Delay: 8000, Skew: 100, Rate: 10, Batch: 2, Held: 100, Fills: 50}
-	b.give(10, Accept, Order{At: 1000, Purge: &Purge{ID: "p", Objects: []string{"a", "b", "c", "d", "e"}}, Limits: &l})
-	due := func(now float64) bool { _, is, _ := b.NextBatch(now); return is }
-	if !b.Paces() || !due(1000) {
-		t.Error("nobody misses anything, and nothing is due")
+	b.applyOrder(10, Accept, Order{At: 1000, Purge: &Purge{ID: "p", Objects: []string{"a", "b", "c", "d", "e"}}, Limits: &l})
+	due := func(now float64) bool { _, ok, _ := b.NextBatch(now); return ok }
+	if !b.AwaitsMisses() || !due(1000) {
+		t.Error("no batch due although there are no misses")
 	}
-	b.give(11, Misses, Order{At: 1000, From: "g1", Rate: 30})
-	b.give(12, Misses, Order{At: 1000, From: "g2", Rate: 20})
+	b.applyOrder(11, Misses, Order{At: 1000, From: "g1", Rate: 30})
+	b.applyOrder(12, Misses, Order{At: 1000, From: "g2", Rate: 20})
 	if !due(1000) {
-		t.Error("waits at what may be")
+		t.Error("waits although misses equal the limit")
 	}
-	b.give(13, Misses, Order{At: 1000, From: "g3", Rate: 1})
+	b.applyOrder(13, Misses, Order{At: 1000, From: "g3", Rate: 1})
 	if due(1000) || due(2999) {
-		t.Error("due past what may be missed")
+		t.Error("due although misses exceed the limit")
 	}
 	if !due(3000) {
-		t.Error("the delay does not hold any more, and it waits")
+		t.Error("waits past the delay")
 	}
 	b.Member("g1", 1, false)
 	if !due(1000) {
-		t.Error("waits for what a lost one missed")
+		t.Error("counts the misses of a lost gateway")
 	}
 	b.Member("g1", 1, true)
-	b.give(14, Tick, Order{At: 6001})
+	b.applyOrder(14, Tick, Order{At: 6001})
 	if !due(1000) {
-		t.Error("waits for what was missed long ago")
+		t.Error("counts an outdated report of misses")
 	}
-	if r := b.give(15, Misses, Order{From: "nobody", Rate: 1e6}); r != nil || b.misses() > 0 {
-		t.Errorf("of nobody: %v, %v", r, b.misses())
+	if r := b.applyOrder(15, Misses, Order{From: "nobody", Rate: 1e6}); r != nil || b.totalMisses() > 0 {
+		t.Errorf("report of an unknown gateway: %v, %v", r, b.totalMisses())
 	}
 }
 
-// What is wrong is told by its field.
+// Errors name the invalid field, and invalid or excess commands are rejected.
 func TestRefusals(t *testing.T) {
 	for want, p := range map[string]Purge{
 		"id:": {Objects: []string{"a"}}, "one of them": {ID: "a"}, "one of": {ID: "a", Objects: []string{"a"}, Groups: []int64{1}},
@@ -325,28 +329,28 @@
 			t.Errorf("%s: %v", want, err)
 		}
 	}
-	full, l := New(), DefaultLimits()
+	book, l := New(), DefaultLimits()
 	l.Rate = 1
-	for i := range mostNamed/mostObjects + 2 {
-		objects := make([]string, mostObjects)
+	for i := range maxNamed/maxObjects + 2 {
+		objects := make([]string, maxObjects)
 		for k := range objects {
 			objects[k] = fmt.Sprint(i, "-", k)
 		}
-		r := full.give(uint64(i+1), Accept, Order{Purge: &Purge{ID: fmt.Sprint(i), Objects: objects}, Limits: &l})
-		if full := i >= mostNamed/mostObjects; (r == ErrFull) != full {
-			t.Errorf("%d purges of %d objects wait, and another: %v", i, mostObjects, r)
+		r := book.applyOrder(uint64(i+1), Accept, Order{Purge: &Purge{ID: fmt.Sprint(i), Objects: objects}, Limits: &l})
+		if full := i >= maxNamed/maxObjects; (r == ErrFull) != full {
+			t.Errorf("%d open purges of %d objects, then another: %v", i, maxObjects, r)
 		}
 	}
 	b := New()
 	if r := b.Apply(1, Accept, []byte("x")); r != ErrBad {
-		t.Errorf("unreadable: %v", r)
+		t.Errorf("malformed command: %v", r)
 	}
-	if r := b.give(1, Cancel, Order{ID: "none"}); r != ErrUnknown {
-		t.Errorf("unknown: %v", r)
+	if r := b.applyOrder(1, Cancel, Order{ID: "none"}); r != ErrUnknown {
+		t.Errorf("unknown purge: %v", r)
 	}
 }
 
-// Patterns of people: refused or matched, whole names alone, in time and memory that are bounded.
+// Arbitrary patterns are either refused, or match whole names only, with bounded time and memory.
 func FuzzPattern(f *testing.F) {
 	for _, p := range []string{"a.*", "(a|b)*c", "((((a{9}){9}){9}){9})", `\`, "a)|(b", "(?i)A", "$^", "[", `\z.*\A`} {
 		f.Add(p, "aab")
@@ -361,16 +365,16 @@
 		hard, _ := s.Bound("", name, 0)
 		re, err := regexp.Compile(pattern)
 		if err != nil {
-			t.Fatalf("%q was taken: %v", pattern, err)
+			t.Fatalf("invalid pattern %q was accepted: %v", pattern, err)
 		}
 		re.Longest()
 		if whole := re.FindString(name) == name; hard == 5 && !re.MatchString(name) || hard != 5 && whole && name != "" {
-			t.Fatalf("%q of %q: %v, whole %t", pattern, name, hard, whole)
+			t.Fatalf("pattern %q, name %q: bound %v, whole match %t", pattern, name, hard, whole)
 		}
-		again := New()
+		restored := New()
 		b := New()
 		b.Shelf = s
-		if err := again.Load(b.Save()); err != nil {
+		if err := restored.Load(b.Save()); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -390,7 +394,7 @@
 		})
 	}
 	s := NewShelf(1000)
-	for i := range mostPatterns {
+	for i := range maxPatterns {
 		s.Put(Mark{Pattern: fmt.Sprintf("[0-9a-f]{8}%08x", i), At: 1})
 	}
 	bench.Run("64 patterns", func(bench *testing.B) {
--- a/internal/purges/statemachine.go
+++ b/internal/purges/statemachine.go
@@ -11,84 +11,84 @@
 	"poppymill/internal/canon"
 )
 
-// Book is the state that the log's commands bring about.
+// Book is the replicated state machine: the state that results from applying the log's commands.
 type Book struct {
-	Purges   map[string]*State  `cbor:"2,keyasint"`
-	Shelf    *Shelf             `cbor:"3,keyasint"`
-	Gateways map[string]Gateway `cbor:"4,keyasint"`
-	Now      float64            `cbor:"5,keyasint"` // the newest time that a command told
-	Owned    uint64             `cbor:"6,keyasint"` // the highest token under which batches were sent
-	Last     uint64             `cbor:"7,keyasint"` // the place in the log at which something went out last
-
-	news    []Mark // what went out since it was last taken
-	changes uint64 // how often something may have changed, so that nobody has to look through all for each entry of the log
+	Purges       map[string]*State  `cbor:"2,keyasint"`
+	Shelf        *Shelf             `cbor:"3,keyasint"`
+	Gateways     map[string]Gateway `cbor:"4,keyasint"`
+	Now          float64            `cbor:"5,keyasint"` // the latest time carried by a command
+	HighestToken uint64             `cbor:"6,keyasint"` // highest fencing token under which a batch was published
+	LastIndex    uint64             `cbor:"7,keyasint"` // log index of the last published mark
+
+	newMarks []Mark // marks published since the last TakeMarks
+	changes  uint64 // incremented on every possible change, so that callers need not scan the state for each log entry
 }
 
-// State is one purge.
+// State is the state of one purge.
 type State struct {
 	Purge    Purge    `cbor:"1,keyasint" json:"purge"`
 	Limits   Limits   `cbor:"2,keyasint" json:"limits"`
-	Place    uint64   `cbor:"3,keyasint" json:"place"` // in the log: its order
+	Place    uint64   `cbor:"3,keyasint" json:"place"` // log index of its acceptance, which orders purges
 	Accepted float64  `cbor:"4,keyasint" json:"accepted"`
 	Stage    Stage    `cbor:"5,keyasint" json:"stage"`
-	Next     int      `cbor:"6,keyasint" json:"next"`               // objects that have gone out
-	Newer    int      `cbor:"7,keyasint" json:"newer"`              // of those, the ones that a newer purge had covered
-	Last     uint64   `cbor:"8,keyasint" json:"last"`               // the place at which some of it went out last
-	Sent     float64  `cbor:"9,keyasint" json:"sent"`               // when
-	Without  []string `cbor:"10,keyasint" json:"without,omitempty"` // lost gateways that did not say so; they are blind
+	Next     int      `cbor:"6,keyasint" json:"next"`               // number of objects published, and the index of the next one
+	Newer    int      `cbor:"7,keyasint" json:"newer"`              // of those, the ones already covered by a newer purge
+	Last     uint64   `cbor:"8,keyasint" json:"last"`               // log index of its last mark or batch
+	Sent     float64  `cbor:"9,keyasint" json:"sent"`               // time of its last mark or batch
+	Without  []string `cbor:"10,keyasint" json:"without,omitempty"` // lost gateways that never confirmed it
 	Ended    float64  `cbor:"11,keyasint" json:"ended,omitempty"`
-	Start    float64  `cbor:"12,keyasint" json:"start"` // when the first of its objects may go out: one pace for all purges
+	Start    float64  `cbor:"12,keyasint" json:"start"` // earliest time to publish its first object; all purges share one rate
 }
 
-// Gateway is a member.
+// Gateway is the state of one gateway as a member of the quorum.
 type Gateway struct {
 	Incarnation uint64  `cbor:"1,keyasint"`
-	There       bool    `cbor:"2,keyasint"`
-	Since       float64 `cbor:"3,keyasint"` // when the log last said so, by its own time
-	Seen        uint64  `cbor:"4,keyasint"` // it goes by all that went out up to there
-	Misses      float64 `cbor:"5,keyasint"` // fills a second that it asked for
-	Told        float64 `cbor:"6,keyasint"` // when it said so
+	Joined      bool    `cbor:"2,keyasint"`
+	Since       float64 `cbor:"3,keyasint"` // log time of the last membership change
+	Confirmed   uint64  `cbor:"4,keyasint"` // log index up to which it has confirmed applying all marks
+	Misses      float64 `cbor:"5,keyasint"` // fills per second that it requested on edge cache misses
+	MissesAt    float64 `cbor:"6,keyasint"` // log time of that report
 }
 
-// Bounds.
+// Limits on the size of the state.
 const (
-	mostOpen     = 1024    // purges that are not over
-	mostPurges   = 4096    // that are remembered
-	mostObjects  = 8192    // of one purge
-	mostNamed    = 200_000 // objects and groups of all that are remembered: a state has to fit the pieces of one frame
-	mostHeld     = 200_000
-	mostID       = 128
-	mostName     = 512
-	mostGateways = 8192
+	maxOpenPurges = 1024    // purges not yet done or cancelled
+	maxPurges     = 4096    // purges kept, finished ones included
+	maxObjects    = 8192    // objects or groups of one purge
+	maxNamed      = 200_000 // objects and groups of all purges kept: a snapshot has to fit the chunks of one frame
+	maxHeld       = 200_000 // bounds of objects and groups
+	maxIDLength   = 128     // bytes
+	maxNameLength = 512     // bytes
+	maxGateways   = 8192
 )
 
-// New makes an empty book.
+// New returns an empty state machine.
 func New() *Book {
 	l := DefaultLimits()
 	return &Book{Purges: map[string]*State{}, Shelf: NewShelf(l.Held), Gateways: map[string]Gateway{}}
 }
 
-// Check tells what is wrong with a purge, by field.
+// Check validates a purge; the error begins with the name of the invalid field.
 func (p *Purge) Check() error {
 	named := 0
-	for _, is := range []bool{len(p.Objects) > 0, len(p.Groups) > 0, p.Pattern != ""} {
-		if is {
+	for _, present := range []bool{len(p.Objects) > 0, len(p.Groups) > 0, p.Pattern != ""} {
+		if present {
 			named++
 		}
 	}
 	switch {
-	case p.ID == "" || len(p.ID) > mostID:
-		return fmt.Errorf("id: %d bytes; 1 to %d", len(p.ID), mostID)
+	case p.ID == "" || len(p.ID) > maxIDLength:
+		return fmt.Errorf("id: %d bytes; 1 to %d", len(p.ID), maxIDLength)
 	case named != 1:
 		return errors.New("objects, groups or a pattern: one of them is to be named")
-	case len(p.Objects) > mostObjects || len(p.Groups) > mostObjects:
-		return fmt.Errorf("objects: %d of them; %d at most", max(len(p.Objects), len(p.Groups)), mostObjects)
-	case len(p.Club) > mostName:
+	case len(p.Objects) > maxObjects || len(p.Groups) > maxObjects:
+		return fmt.Errorf("objects: %d of them; %d at most", max(len(p.Objects), len(p.Groups)), maxObjects)
+	case len(p.Club) > maxNameLength:
 		return errors.New("club: too long")
 	}
 	for i, o := range p.Objects {
-		if o == "" || len(o) > mostName {
-			return fmt.Errorf("objects: %d: %d bytes; 1 to %d", i, len(o), mostName)
+		if o == "" || len(o) > maxNameLength {
+			return fmt.Errorf("objects: %d: %d bytes; 1 to %d", i, len(o), maxNameLength)
 		}
 	}
 	if p.Pattern != "" {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// Check tells what is wrong with limits, by field.
+// Check validates limits; the error begins with the name of the invalid field.
 func (l *Limits) Check() error {
 	finite := func(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
 	switch {
@@ -110,31 +110,33 @@
 		return errors.New("rate: not a number")
 	case !finite(l.Fills) || l.Fills > 0 && l.Rate == 0:
 		return errors.New("fills: needs a rate, as nothing waits where all goes out at once")
-	case l.Batch < 1 || l.Batch > mostObjects:
-		return fmt.Errorf("batch: 1 to %d", mostObjects)
-	case l.Held < 16 || l.Held > mostHeld:
-		return fmt.Errorf("held: 16 to %d", mostHeld)
+	case l.Batch < 1 || l.Batch > maxObjects:
+		return fmt.Errorf("batch: 1 to %d", maxObjects)
+	case l.Held < 16 || l.Held > maxHeld:
+		return fmt.Errorf("held: 16 to %d", maxHeld)
 	}
 	return nil
 }
 
-// Member is word of a gateway in its place in the log. A new process goes by what it has read of the log, and says so itself.
-func (b *Book) Member(name string, incarnation uint64, there bool) {
+// Member applies a membership change of a gateway in log order. A new incarnation starts with no confirmed index: it
+// confirms what it has read of the log itself.
+func (b *Book) Member(name string, incarnation uint64, joined bool) {
 	old := b.Gateways[name]
 	b.changes++
 	switch {
-	case incarnation == 0 && !there:
+	case incarnation == 0 && !joined:
 		delete(b.Gateways, name)
-	case len(b.Gateways) < mostGateways || old.Incarnation != 0:
+	case len(b.Gateways) < maxGateways || old.Incarnation != 0:
 		if old.Incarnation != incarnation {
-			old.Seen = 0
+			old.Confirmed = 0
 		}
-		b.Gateways[name] = Gateway{Incarnation: incarnation, There: there, Since: b.Now, Seen: old.Seen, Misses: old.Misses, Told: old.Told}
+		b.Gateways[name] = Gateway{Incarnation: incarnation, Joined: joined, Since: b.Now, Confirmed: old.Confirmed, Misses: old.Misses, MissesAt: old.MissesAt}
 	}
-	b.settle()
+	b.advanceStages()
 }
 
-// Apply takes a command in its place in the log. Its result is a copy of the purge as it is then, nil where it is about none, or an error.
+// Apply applies a command in log order. It returns a copy of the resulting purge state, nil if the command is about no
+// purge, or an error.
 func (b *Book) Apply(index uint64, kind string, data []byte) any {
 	var o Order
 	if canon.Decode(data, &o) != nil || !(o.At >= 0) || o.At > 1e15 {
@@ -146,19 +148,19 @@
 	var err error
 	switch kind {
 	case Accept:
-		s, err = b.accept(index, o)
+		s, err = b.applyAccept(index, o)
 	case Batch:
-		s, err = b.batch(index, o)
+		s, err = b.applyBatch(index, o)
 	case Cancel:
-		s, err = b.cancel(o)
+		s, err = b.applyCancel(o)
 	case Seen:
 		if g := b.Gateways[o.From]; g.Incarnation != 0 {
-			g.Seen = max(g.Seen, min(o.Index, index))
+			g.Confirmed = max(g.Confirmed, min(o.Index, index))
 			b.Gateways[o.From] = g
 		}
 	case Misses:
 		if g := b.Gateways[o.From]; g.Incarnation != 0 && o.Rate >= 0 && !math.IsInf(o.Rate, 1) {
-			g.Misses, g.Told = o.Rate, b.Now
+			g.Misses, g.MissesAt = o.Rate, b.Now
 			b.Gateways[o.From] = g
 		}
 	case Tick:
@@ -168,7 +170,7 @@
 	if err != nil {
 		return err
 	}
-	b.settle()
+	b.advanceStages()
 	if s == nil {
 		return nil
 	}
@@ -177,7 +179,8 @@
 	return c
 }
 
-func (b *Book) accept(index uint64, o Order) (*State, error) {
+// applyAccept starts a purge. Patterns and groups are published at once, and objects too if there is no rate.
+func (b *Book) applyAccept(index uint64, o Order) (*State, error) {
 	if o.Purge == nil || o.Limits == nil || o.Purge.Check() != nil || o.Limits.Check() != nil {
 		return nil, ErrBad
 	}
@@ -187,86 +190,89 @@
 		}
 		return s, nil
 	}
-	open, named := 0, o.Purge.names()
+	open, named := 0, o.Purge.countNames()
 	for _, s := range b.Purges {
 		if s.Stage <= Sent {
 			open++
-			named += s.Purge.names()
+			named += s.Purge.countNames()
 		}
 	}
-	if open >= mostOpen || named > mostNamed {
+	if open >= maxOpenPurges || named > maxNamed {
 		return nil, ErrFull
 	}
-	b.Shelf.Most = o.Limits.Held
+	b.Shelf.Limit = o.Limits.Held
 	s := &State{Purge: *o.Purge, Limits: *o.Limits, Place: index, Accepted: b.Now}
 	b.Purges[s.Purge.ID] = s
 	if p := &s.Purge; p.Pattern != "" {
-		b.out(index, s, Mark{Pattern: p.Pattern})
+		b.publish(index, s, Mark{Pattern: p.Pattern})
 	} else if len(p.Groups) > 0 {
 		for _, g := range p.Groups {
-			b.out(index, s, Mark{Group: g, Grouped: true})
+			b.publish(index, s, Mark{Group: g, Grouped: true})
 		}
 	}
 	if s.Start = b.Now; s.Limits.Rate == 0 {
-		b.send(index, s, len(s.Purge.Objects))
+		b.publishObjects(index, s, len(s.Purge.Objects))
 	} else {
 		for _, x := range b.Purges {
 			if x.Stage == Going && x != s {
-				s.Start = max(s.Start, x.due(len(x.Purge.Objects)))
+				s.Start = max(s.Start, x.dueAt(len(x.Purge.Objects)))
 			}
 		}
 	}
-	b.drop()
+	b.evictFinished()
 	return s, nil
 }
 
-// names counts what it names one by one.
-func (p *Purge) names() int { return len(p.Objects) + len(p.Groups) }
+// countNames returns the number of objects and groups that the purge names.
+func (p *Purge) countNames() int { return len(p.Objects) + len(p.Groups) }
 
-// bound is from which birth on copies count for what a purge names.
-func (s *State) bound() float64 { return s.Accepted + s.Limits.Skew }
+// boundTime is the minimum creation time of valid copies of the objects that a purge names.
+func (s *State) boundTime() float64 { return s.Accepted + s.Limits.Skew }
 
-// out has one mark go out.
-func (b *Book) out(index uint64, s *State, m Mark) {
-	m.Club, m.At, m.Stale = s.Purge.Club, s.bound(), s.Purge.Stale
+// publish adds a mark to the bounds and to the marks that gateways have to apply.
+func (b *Book) publish(index uint64, s *State, m Mark) {
+	m.Club, m.At, m.Stale = s.Purge.Club, s.boundTime(), s.Purge.Stale
 	b.Shelf.Put(m)
-	b.news = append(b.news, m)
-	s.Last, s.Sent, b.Last = index, b.Now, index
+	b.newMarks = append(b.newMarks, m)
+	s.Last, s.Sent, b.LastIndex = index, b.Now, index
 }
 
-// send has the objects of a purge go out up to one. Those that a newer purge covers are done by that.
-func (b *Book) send(index uint64, s *State, next int) {
+// publishObjects publishes the objects of a purge before index next. Objects already covered by a newer purge need no
+// mark.
+func (b *Book) publishObjects(index uint64, s *State, next int) {
 	for ; s.Next < next; s.Next++ {
 		object := s.Purge.Objects[s.Next]
-		if hard, _ := b.Shelf.Bound(s.Purge.Club, object, math.MinInt64); hard >= s.bound() {
+		if hard, _ := b.Shelf.Bound(s.Purge.Club, object, math.MinInt64); hard >= s.boundTime() {
 			s.Newer++
 			continue
 		}
-		b.out(index, s, Mark{Object: object})
+		b.publish(index, s, Mark{Object: object})
 	}
 	s.Last, s.Sent = index, b.Now
 }
 
-func (b *Book) batch(index uint64, o Order) (*State, error) {
+// applyBatch publishes a batch of objects. A sender whose token was superseded is refused unless the batch is overdue.
+func (b *Book) applyBatch(index uint64, o Order) (*State, error) {
 	s := b.Purges[o.ID]
 	switch {
 	case s == nil:
 		return nil, ErrUnknown
-	case o.Owned < b.Owned && !s.overdue(o.First, b.Now):
+	case o.Token < b.HighestToken && !s.overdue(o.First, b.Now):
 		return nil, ErrOld
 	}
-	b.Owned = max(b.Owned, o.Owned)
+	b.HighestToken = max(b.HighestToken, o.Token)
 	switch {
 	case s.Stage != Going:
 		return nil, ErrOver
 	case o.First != s.Next || o.Next <= o.First || o.Next > len(s.Purge.Objects) || o.Next-o.First > s.Limits.Batch:
-		return nil, ErrTurn // sent twice, or by one that did not know of the last
+		return nil, ErrTurn // a duplicate, or from a sender that had not seen the previous batch
 	}
-	b.send(index, s, o.Next)
+	b.publishObjects(index, s, o.Next)
 	return s, nil
 }
 
-func (b *Book) cancel(o Order) (*State, error) {
+// applyCancel stops a purge whose objects are not all published.
+func (b *Book) applyCancel(o Order) (*State, error) {
 	s := b.Purges[o.ID]
 	switch {
 	case s == nil:
@@ -280,66 +286,68 @@
 	return s, nil
 }
 
-// settle has purges come to their next stage.
-func (b *Book) settle() {
+// advanceStages moves purges to their next stage where its conditions hold.
+func (b *Book) advanceStages() {
 	for _, s := range b.Purges {
 		if s.Stage == Going && s.Next == len(s.Purge.Objects) {
 			s.Stage = Sent
 		}
-		if s.Stage != Sent || len(b.Waits(s)) > 0 {
+		if s.Stage != Sent || len(b.Unconfirmed(s)) > 0 {
 			continue
 		}
 		s.Stage, s.Ended = Done, b.Now
 		for _, name := range slices.Sorted(maps.Keys(b.Gateways)) {
-			if g := b.Gateways[name]; g.Seen < s.Last {
+			if g := b.Gateways[name]; g.Confirmed < s.Last {
 				s.Without = append(s.Without, name)
 			}
 		}
 	}
 }
 
-// Waits names the gateways that have not said that they go by all of a purge that went out: those that are there, and those lost so lately that
-// they may not be blind yet.
-func (b *Book) Waits(s *State) (all []string) {
+// Unconfirmed lists the gateways that have not confirmed all published objects of a purge: those that are joined, and
+// those lost so recently that they may still trust older copies.
+func (b *Book) Unconfirmed(s *State) (all []string) {
 	for _, name := range slices.Sorted(maps.Keys(b.Gateways)) {
-		if g := b.Gateways[name]; g.Seen < s.Last && (g.There || b.Now < g.Since+s.Limits.Delay) {
+		if g := b.Gateways[name]; g.Confirmed < s.Last && (g.Joined || b.Now < g.Since+s.Limits.Delay) {
 			all = append(all, name)
 		}
 	}
 	return all
 }
 
-// due is when an object, by its number, is to go out.
-func (s *State) due(object int) float64 {
+// dueAt returns when the object with this index is to be published.
+func (s *State) dueAt(object int) float64 {
 	if s.Limits.Rate == 0 {
 		return s.Start
 	}
 	return s.Start + 1000*float64(object)/s.Limits.Rate
 }
 
-// overdue tells whether an object should long have gone out: its owner was lost, and whoever knows of it may send it, so that the delay holds.
+// overdue reports whether an object is so late that its owner must be lost. Any gateway that knows of it may then send
+// its batch, so that the delay is kept.
 func (s *State) overdue(object int, now float64) bool {
-	return s.Limits.Rate > 0 && now >= s.due(object)+s.Limits.Delay/4
+	return s.Limits.Rate > 0 && now >= s.dueAt(object)+s.Limits.Delay/4
 }
 
-// Effective is when no answer anywhere comes from an older copy any more, at the latest: told at its acceptance.
-func (s *State) Effective() float64 { return s.due(len(s.Purge.Objects)) + s.Limits.Delay }
+// Effective returns the time from which no older copy is served anywhere. It is known on acceptance.
+func (s *State) Effective() float64 { return s.dueAt(len(s.Purge.Objects)) + s.Limits.Delay }
 
-// recent is for how long, in ms, what a gateway said of its misses counts.
-const recent = 5000.0
+// missesValidFor is the time, in ms, for which a gateway's report of its misses is used.
+const missesValidFor = 5000.0
 
-// misses are the fills a second that all gateways together ask for, as far as they have said lately.
-func (b *Book) misses() (sum float64) {
+// totalMisses sums the fills per second of all joined gateways with a recent report.
+func (b *Book) totalMisses() (sum float64) {
 	for _, g := range b.Gateways {
-		if g.There && b.Now < g.Told+recent {
+		if g.Joined && b.Now < g.MissesAt+missesValidFor {
 			sum += g.Misses
 		}
 	}
 	return sum
 }
 
-// Paces tells whether the gateways are to say what they miss: some purge waits for that.
-func (b *Book) Paces() bool {
+// AwaitsMisses reports whether the gateways have to report their misses, as a purge with a limit on fills is in
+// progress.
+func (b *Book) AwaitsMisses() bool {
 	for _, s := range b.Purges {
 		if s.Stage == Going && s.Limits.Fills > 0 {
 			return true
@@ -348,7 +356,8 @@
 	return false
 }
 
-// NextBatch is what is to go out next by the pace that the limits give; late tells that whoever leads is to send it, as its owner did not.
+// NextBatch returns the batch to publish next under the rate of the limits, and whether it is due; late reports that
+// the leader is to send it because its owner did not.
 func (b *Book) NextBatch(now float64) (o Order, due, late bool) {
 	var first *State
 	for _, s := range b.Purges {
@@ -356,25 +365,27 @@
 			first = s
 		}
 	}
-	if first == nil || now < first.due(first.Next) {
+	if first == nil || now < first.dueAt(first.Next) {
 		return o, false, false
 	}
-	// A mass purge must not push hubs and core over, so what is missed holds up the next batch; but no longer than until the delay would not hold.
-	if l := first.Limits; l.Fills > 0 && b.misses() > l.Fills && !first.overdue(first.Next, now) {
+	// A mass purge must not overload hubs and core, so misses delay the next batch, but never so long that the delay of
+	// the purge is exceeded.
+	if l := first.Limits; l.Fills > 0 && b.totalMisses() > l.Fills && !first.overdue(first.Next, now) {
 		return o, false, false
 	}
 	return Order{At: now, ID: first.Purge.ID, First: first.Next, Next: min(len(first.Purge.Objects), first.Next+first.Limits.Batch)}, true, first.overdue(first.Next, now)
 }
 
-// Sends is the batch that a gateway is to send now, if any: the owner's as it is due, and whoever leads one that the owner left lying.
-func (b *Book) Sends(now float64, token uint64, owns, leads bool) (Order, bool) {
+// BatchToSend returns the batch that this gateway is to send now, if any: the owner sends batches that are due, the
+// leader sends those that the owner left overdue.
+func (b *Book) BatchToSend(now float64, token uint64, owns, leads bool) (Order, bool) {
 	o, due, late := b.NextBatch(now)
-	o.Owned = token
+	o.Token = token
 	return o, due && (owns || late && leads)
 }
 
-// Open tells whether some purge is not over.
-func (b *Book) Open() bool {
+// AnyOpen reports whether any purge is neither done nor cancelled.
+func (b *Book) AnyOpen() bool {
 	for _, s := range b.Purges {
 		if s.Stage <= Sent {
 			return true
@@ -383,56 +394,56 @@
 	return false
 }
 
-// drop forgets the oldest purges that are over.
-func (b *Book) drop() {
+// evictFinished removes the oldest finished purges while the state exceeds its size limits.
+func (b *Book) evictFinished() {
 	named := 0
 	for _, s := range b.Purges {
-		named += s.Purge.names()
+		named += s.Purge.countNames()
 	}
-	for len(b.Purges) > mostPurges || named > mostNamed {
-		var old *State
+	for len(b.Purges) > maxPurges || named > maxNamed {
+		var oldest *State
 		for _, s := range b.Purges {
-			if s.Stage >= Done && (old == nil || s.Place < old.Place) {
-				old = s
+			if s.Stage >= Done && (oldest == nil || s.Place < oldest.Place) {
+				oldest = s
 			}
 		}
-		if old == nil {
+		if oldest == nil {
 			return
 		}
-		named -= old.Purge.names()
-		delete(b.Purges, old.Purge.ID)
+		named -= oldest.Purge.countNames()
+		delete(b.Purges, oldest.Purge.ID)
 	}
 }
 
-// All lists the purges in their order.
+// All returns the purges in log order.
 func (b *Book) All() []*State {
 	return slices.SortedFunc(maps.Values(b.Purges), func(x, y *State) int { return int(int64(x.Place) - int64(y.Place)) })
 }
 
-// Changes counts up whenever something of it may have changed.
+// Changes returns a counter that is incremented whenever the state may have changed.
 func (b *Book) Changes() uint64 { return b.changes }
 
-// News are the marks that went out since it was last asked.
-func (b *Book) News() []Mark {
-	n := b.news
-	b.news = nil
-	return n
+// TakeMarks returns the marks published since the previous call.
+func (b *Book) TakeMarks() []Mark {
+	marks := b.newMarks
+	b.newMarks = nil
+	return marks
 }
 
-// Save writes the state down, alike to the byte for alike states.
+// Save encodes the state as a snapshot; equal states have identical encodings.
 func (b *Book) Save() []byte { return canon.Encode(b) }
 
-// Load takes the place of all that was there; nothing makes it empty.
-func (b *Book) Load(text []byte) error {
+// Load replaces the state by a snapshot; nil gives an empty state.
+func (b *Book) Load(snapshot []byte) error {
 	n := New()
-	if text != nil {
-		if err := canon.Decode(text, n); err != nil {
+	if snapshot != nil {
+		if err := canon.Decode(snapshot, n); err != nil {
 			return fmt.Errorf("purges: %w", err)
 		}
 		if n.Purges == nil || n.Gateways == nil || n.Shelf == nil {
 			return fmt.Errorf("purges: %w", ErrBad)
 		}
-		if err := n.Shelf.mend(); err != nil {
+		if err := n.Shelf.rebuild(); err != nil {
 			return fmt.Errorf("purges: %w", err)
 		}
 	}
--- a/internal/purges/view.go
+++ b/internal/purges/view.go
@@ -1,24 +1,28 @@
 package purges
 
-// View is what one gateway goes by as it asks and answers: the bounds that it was handed, and how long it may go by them alone.
+// View is one gateway's view of the purges, used to check copies: the bounds received so far, and the delay after which
+// it may no longer rely on them alone.
 type View struct {
 	Shelf  *Shelf
 	Club   string
-	Delay  float64 // ms after which what is not known of binds; 0: nothing does, as this gateway takes no part
+	Delay  float64 // ms within which purges take effect at gateways that cannot receive them; 0: this gateway does not take part
 	Skew   float64
-	Blinds int // how often it had to do without knowing all
+	Blinds int // number of checks made without up-to-date knowledge of the log
 }
 
-// inTime is the part of the delay after which a gateway that can't hear takes older copies for purged: the rest is for an answer's way.
-const inTime = 0.75
+// blindAfter is the fraction of the delay after which a gateway that cannot reach the log treats older copies as
+// purged. The rest allows for the time that a response takes to reach the client.
+const blindAfter = 0.75
 
-// Oldest is from which birth on a copy does for a download, at a time, where all is known that was agreed before another; 0: any does. Where a
-// purge only makes copies stale, all but the first pull take what there is.
+// Oldest returns the minimum creation time of a copy that may serve a download at time now, given that all log entries
+// committed before the time known are applied; 0 accepts any copy. Purges that only mark copies stale bind the first
+// pull alone; later pulls accept older copies.
 func (v *View) Oldest(now, known float64, object string, group int64, first bool) float64 {
 	hard, soft := v.Shelf.Bound(v.Club, object, group)
-	if v.Delay > 0 && now-known > inTime*v.Delay {
-		// A purge that was accepted since it last knew, and binds by now, was accepted that long ago: what was born after that is not of it.
-		hard = max(hard, now-inTime*v.Delay+v.Skew)
+	if v.Delay > 0 && now-known > blindAfter*v.Delay {
+		// An unknown purge that must already be in effect was accepted at least this long ago, so copies created later
+		// are not affected by it.
+		hard = max(hard, now-blindAfter*v.Delay+v.Skew)
 		v.Blinds++
 	}
 	if first {
