--- a/internal/purges/statemachine.go
+++ b/internal/purges/statemachine.go
@@ -35,7 +35,7 @@
 	Newer    int      `cbor:"7,keyasint" json:"newer"`              // of those, the ones already covered by a newer purge
 	Last     uint64   `cbor:"8,keyasint" json:"last"`               // log index of its last mark or batch
 	Sent     float64  `cbor:"9,keyasint" json:"sent"`               // time of its last mark or batch
-	Without  []string `cbor:"10,keyasint" json:"without,omitempty"` // lost gateways that never confirmed it
+	Without  []string `cbor:"10,keyasint" json:"without,omitempty"` // lost gateways that never confirmed it and no longer trust older copies
 	Ended    float64  `cbor:"11,keyasint" json:"ended,omitempty"`
 	Start    float64  `cbor:"12,keyasint" json:"start"` // earliest time to publish its first object; all purges share one rate
 }
