--- /dev/null
+++ b/internal/purges/drive/service.go
@@ -0,0 +1,296 @@
+// Package drive connects package purges to the quorum of gateways: the state machine to the replicated log, published
+// bounds to this gateway's core, and batches to the owner of the batch job. It makes no decisions of its own.
+package drive
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"poppymill/internal/canon"
+	"poppymill/internal/owner"
+	owned "poppymill/internal/owner/drive"
+	"poppymill/internal/purges"
+	"poppymill/internal/quorum"
+	agreement "poppymill/internal/quorum/drive"
+)
+
+// Book is the name of the state machine in the log; Sender is the name of the job whose owner sends batches.
+const (
+	Book   = "purges"
+	Sender = "purges"
+)
+
+// Intervals in ms while a purge is open.
+const (
+	batchCheckInterval = 50.0   // at which the owner checks whether a batch is due
+	tickInterval       = 500.0  // at which the leader advances the time of the log
+	missesInterval     = 1000.0 // at which this gateway reports its misses
+)
+
+// Core is the interface to a gateway's core.
+type Core interface {
+	// Void makes the core apply marks; done is called once, from the loop of the core, when it does.
+	Void(marks []purges.Mark, index uint64, done func(index uint64))
+	// Known reports that all entries committed up to ago ms before now are known; a negative value means that this is
+	// not known.
+	Known(ago float64)
+}
+
+// Misses is an event from the core: the fills per second that it requested on edge cache misses.
+type Misses struct{ Rate float64 }
+
+// marksApplied is an event from the core: it applies all marks up to a log index.
+type marksApplied struct{ index uint64 }
+
+// Sweep is the purge service of one gateway. It runs in the loop of the council.
+type Sweep struct {
+	block          Block
+	book           *purges.Book
+	crew           *owned.Crew
+	core           Core
+	council        *agreement.Council
+	log            logrus.FieldLogger
+	followed       agreement.Followed
+	now            float64
+	nextCheck      float64
+	tickedAt       float64
+	pending        map[string]float64 // commands in flight, with the time at which they may be proposed again
+	publishedIndex uint64             // log index up to which marks were passed to the core
+	appliedIndex   uint64             // log index up to which the core applies them
+	loggedStages   map[string]purges.Stage
+	loggedChanges  uint64 // change counter of the state machine when stages were last logged
+	misses         float64
+	nextMissesAt   float64 // when misses may be reported again
+}
+
+// logAdapter adapts purges.Book to the commands and members of the log.
+type logAdapter struct{ *purges.Book }
+
+// Apply applies a command of the log.
+func (b logAdapter) Apply(index uint64, c quorum.Command) any {
+	return b.Book.Apply(index, c.Kind, c.Data)
+}
+
+// Member applies a membership change of the log.
+func (b logAdapter) Member(_ uint64, m quorum.Member) {
+	b.Book.Member(m.Name, m.Incarnation, m.Standing == quorum.Joined)
+}
+
+// Books returns the state machine of purges alone, for reading a store.
+func Books() map[string]quorum.Book { return map[string]quorum.Book{Book: logAdapter{purges.New()}} }
+
+// Open returns the purge service of a gateway. Where the block is off, it applies the purges of other gateways, but
+// accepts none itself and keeps trusting older copies while it cannot reach the log.
+func Open(b Block, crew *owned.Crew, core Core, log logrus.FieldLogger) *Sweep {
+	return &Sweep{block: b, book: purges.New(), crew: crew, core: core, log: log, pending: map[string]float64{}, loggedStages: map[string]purges.Stage{}}
+}
+
+// Books returns the state machines that the service replicates.
+func (s *Sweep) Books() map[string]quorum.Book {
+	return map[string]quorum.Book{Book: logAdapter{s.book}}
+}
+
+// Begin sets the council through which commands are proposed.
+func (s *Sweep) Begin(c *agreement.Council) { s.council = c }
+
+// Next returns the time of the next check; +Inf if no purge is open.
+func (s *Sweep) Next() float64 {
+	if s.followed.Incarnation == 0 || !s.book.AnyOpen() {
+		return math.Inf(1)
+	}
+	return s.nextCheck
+}
+
+// Idle reports that shutdown never has to wait for the service.
+func (s *Sweep) Idle() bool { return true }
+
+// Close does nothing, as the service holds no resources.
+func (s *Sweep) Close() error { return nil }
+
+func unixMillis() float64 { return float64(time.Now().UnixMilli()) }
+
+// Handle processes an event of the council or of the core.
+func (s *Sweep) Handle(now float64, e any) {
+	s.now = now
+	if s.block.On {
+		s.core.Known(s.council.Sight())
+	}
+	switch event := e.(type) {
+	case agreement.Followed:
+		s.followed = event
+		s.publishMarks(event.Restored)
+		s.logStages()
+	case Misses:
+		s.misses = event.Rate
+	case marksApplied:
+		s.appliedIndex = max(s.appliedIndex, event.index)
+	default: // a timer, or an event for another service
+		if now < s.nextCheck {
+			return
+		}
+	}
+	s.nextCheck = now + batchCheckInterval
+	if s.followed.Incarnation != 0 {
+		s.proposeDue()
+	}
+}
+
+// publishMarks passes newly published marks to the core. After a snapshot was restored it passes all marks: bounds
+// never decrease, so those that the core has already are not lost.
+func (s *Sweep) publishMarks(restored bool) {
+	marks := s.book.TakeMarks()
+	if restored {
+		marks = s.book.Shelf.Marks()
+	}
+	if len(marks) == 0 && s.book.LastIndex <= s.publishedIndex {
+		return
+	}
+	s.publishedIndex = max(s.publishedIndex, s.book.LastIndex)
+	s.core.Void(marks, s.publishedIndex, func(index uint64) { s.council.Post(marksApplied{index}) })
+}
+
+// proposeDue proposes the commands that are due from this gateway: confirmations, misses, ticks and batches.
+func (s *Sweep) proposeDue() {
+	if g := s.book.Gateways[s.followed.Name]; g.Confirmed < min(s.appliedIndex, s.book.LastIndex) && g.Incarnation == s.followed.Incarnation {
+		s.propose(purges.Seen, "", purges.Order{At: unixMillis(), From: s.followed.Name, Index: s.appliedIndex})
+	}
+	if !s.block.On || !s.book.AnyOpen() {
+		return
+	}
+	if s.book.AwaitsMisses() && s.now >= s.nextMissesAt {
+		s.nextMissesAt = s.now + missesInterval
+		s.propose(purges.Misses, "", purges.Order{At: unixMillis(), From: s.followed.Name, Rate: s.misses})
+	}
+	if s.followed.Leads {
+		if !s.crew.Has(Sender) && s.block.Limits.Rate > 0 {
+			s.proposeTo(owned.Book, owner.Start, "", owner.Job{Name: Sender, Kind: owned.Hold, Steps: 1, Window: 1})
+		}
+		if s.now >= s.tickedAt+tickInterval {
+			s.tickedAt = s.now
+			s.propose(purges.Tick, "", purges.Order{At: unixMillis()})
+		}
+	}
+	token, owns := s.crew.Owns(Sender)
+	if o, ok := s.book.BatchToSend(unixMillis(), token, owns, s.followed.Leads); ok {
+		s.propose(purges.Batch, fmt.Sprint(o.ID, o.First), o)
+	}
+}
+
+// propose proposes a command of the purge log.
+func (s *Sweep) propose(kind, key string, o purges.Order) { s.proposeTo(Book, kind, key, o) }
+
+// proposeTo proposes a command, and not again within a second while the first is in flight.
+func (s *Sweep) proposeTo(book, kind, key string, content any) {
+	key = kind + " " + key
+	if s.now < s.pending[key] {
+		return
+	}
+	if len(s.pending) > 1024 {
+		clear(s.pending)
+	}
+	s.pending[key] = s.now + 1000
+	s.council.Propose(quorum.Command{Book: book, Kind: kind, Data: canon.Encode(content)}, func(quorum.Outcome) { delete(s.pending, key) })
+}
+
+// logStages logs each purge whose stage has changed.
+func (s *Sweep) logStages() {
+	if s.loggedChanges == s.book.Changes() {
+		return
+	}
+	s.loggedChanges = s.book.Changes()
+	for id, x := range s.book.Purges {
+		if was, known := s.loggedStages[id]; !known || was != x.Stage {
+			s.loggedStages[id] = x.Stage
+			s.log.WithFields(logrus.Fields{"purge": id, "is": x.Stage.String(), "sent": x.Next, "of": len(x.Purge.Objects), "without": x.Without}).Info("purges: stage")
+		}
+	}
+	for id := range s.loggedStages {
+		if s.book.Purges[id] == nil {
+			delete(s.loggedStages, id)
+		}
+	}
+}
+
+// Allow checks whether an operator may propose a command. The limits of a purge must be those of this gateway.
+func (s *Sweep) Allow(c quorum.Command) error {
+	var o purges.Order
+	if err := canon.Decode(c.Data, &o); err != nil {
+		return err
+	}
+	switch {
+	case c.Kind != purges.Accept && c.Kind != purges.Cancel:
+		return fmt.Errorf("%s: not for people to ask for", c.Kind)
+	case !s.block.On:
+		return errors.New("purges: off at this gateway")
+	case c.Kind == purges.Cancel:
+		return nil
+	case o.Purge == nil || o.Limits == nil || *o.Limits != s.block.Limits:
+		return errors.New("limits: not those of this gateway's file")
+	}
+	return o.Purge.Check()
+}
+
+// Purge is the report of a purge to operators.
+type Purge struct {
+	purges.State
+	Stage     string   `json:"stage"`
+	Effective float64  `json:"effective"`       // time after which no older copy is served, Unix ms
+	Waits     []string `json:"waits,omitempty"` // gateways that have not confirmed it
+}
+
+// describe returns the report of a purge.
+func (s *Sweep) describe(x *purges.State) Purge {
+	p := Purge{State: *x, Stage: x.Stage.String(), Effective: x.Effective()}
+	if x.Stage <= purges.Sent {
+		p.Waits = s.book.Unconfirmed(x)
+	}
+	return p
+}
+
+// Follower is the report of a gateway to operators: how far it has confirmed published marks.
+type Follower struct {
+	Name    string  `json:"name"`
+	There   bool    `json:"there"`   // it is joined
+	Since   float64 `json:"since"`   // time of the last membership change, Unix ms
+	Seen    uint64  `json:"seen"`    // log index up to which it has confirmed all marks
+	Follows bool    `json:"follows"` // it has confirmed everything published
+	Misses  float64 `json:"misses"`  // fills per second that it last reported
+}
+
+// Tell answers an operator's question.
+func (s *Sweep) Tell(about, name string) (any, error) {
+	switch about {
+	case "purge limits":
+		if !s.block.On {
+			return nil, errors.New("purges: off at this gateway")
+		}
+		return s.block.Limits, nil
+	case "purge":
+		if x := s.book.Purges[name]; x != nil {
+			return s.describe(x), nil
+		}
+		return nil, fmt.Errorf("purge %q: %w", name, purges.ErrUnknown)
+	case "purge followers":
+		all := []Follower{}
+		for _, name := range slices.Sorted(maps.Keys(s.book.Gateways)) {
+			g := s.book.Gateways[name]
+			all = append(all, Follower{Name: name, There: g.Joined, Since: g.Since, Seen: g.Confirmed, Follows: g.Confirmed >= s.book.LastIndex, Misses: g.Misses})
+		}
+		return map[string]any{"last": s.book.LastIndex, "gateways": all}, nil
+	case "purges":
+		all := []Purge{}
+		for _, x := range s.book.All() {
+			p := s.describe(x)
+			p.Purge.Objects = nil // the whole list has to fit one frame
+			all = append(all, p)
+		}
+		return map[string]any{"held": s.book.Shelf.Len(), "floor": s.book.Shelf.Floor, "purges": all[max(0, len(all)-500):]}, nil
+	}
+	return nil, agreement.ErrNotMine
+}
--- /dev/null
+++ b/internal/purges/statemachine.go
@@ -0,0 +1,453 @@
+package purges
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"math"
+	"reflect"
+	"slices"
+
+	"poppymill/internal/canon"
+)
+
+// Book is the replicated state machine: the state that results from applying the log's commands.
+type Book struct {
+	Purges       map[string]*State  `cbor:"2,keyasint"`
+	Shelf        *Shelf             `cbor:"3,keyasint"`
+	Gateways     map[string]Gateway `cbor:"4,keyasint"`
+	Now          float64            `cbor:"5,keyasint"` // the latest time carried by a command
+	HighestToken uint64             `cbor:"6,keyasint"` // highest fencing token under which a batch was published
+	LastIndex    uint64             `cbor:"7,keyasint"` // log index of the last published mark
+
+	newMarks []Mark // marks published since the last TakeMarks
+	changes  uint64 // incremented on every possible change, so that callers need not scan the state for each log entry
+}
+
+// State is the state of one purge.
+type State struct {
+	Purge    Purge    `cbor:"1,keyasint" json:"purge"`
+	Limits   Limits   `cbor:"2,keyasint" json:"limits"`
+	Place    uint64   `cbor:"3,keyasint" json:"place"` // log index of its acceptance, which orders purges
+	Accepted float64  `cbor:"4,keyasint" json:"accepted"`
+	Stage    Stage    `cbor:"5,keyasint" json:"stage"`
+	Next     int      `cbor:"6,keyasint" json:"next"`               // number of objects published, and the index of the next one
+	Newer    int      `cbor:"7,keyasint" json:"newer"`              // of those, the ones already covered by a newer purge
+	Last     uint64   `cbor:"8,keyasint" json:"last"`               // log index of its last mark or batch
+	Sent     float64  `cbor:"9,keyasint" json:"sent"`               // time of its last mark or batch
+	Without  []string `cbor:"10,keyasint" json:"without,omitempty"` // lost gateways that never confirmed it and no longer trust older copies
+	Ended    float64  `cbor:"11,keyasint" json:"ended,omitempty"`
+	Start    float64  `cbor:"12,keyasint" json:"start"` // earliest time to publish its first object; all purges share one rate
+}
+
+// Gateway is the state of one gateway as a member of the quorum.
+type Gateway struct {
+	Incarnation uint64  `cbor:"1,keyasint"`
+	Joined      bool    `cbor:"2,keyasint"`
+	Since       float64 `cbor:"3,keyasint"` // log time of the last membership change
+	Confirmed   uint64  `cbor:"4,keyasint"` // log index up to which it has confirmed applying all marks
+	Misses      float64 `cbor:"5,keyasint"` // fills per second that it requested on edge cache misses
+	MissesAt    float64 `cbor:"6,keyasint"` // log time of that report
+}
+
+// Limits on the size of the state.
+const (
+	maxOpenPurges = 1024    // purges not yet done or cancelled
+	maxPurges     = 4096    // purges kept, finished ones included
+	maxObjects    = 8192    // objects or groups of one purge
+	maxNamed      = 200_000 // objects and groups of all purges kept: a snapshot has to fit the chunks of one frame
+	maxHeld       = 200_000 // bounds of objects and groups
+	maxIDLength   = 128     // bytes
+	maxNameLength = 512     // bytes
+	maxGateways   = 8192
+)
+
+// New returns an empty state machine.
+func New() *Book {
+	l := DefaultLimits()
+	return &Book{Purges: map[string]*State{}, Shelf: NewShelf(l.Held), Gateways: map[string]Gateway{}}
+}
+
+// Check validates a purge; the error begins with the name of the invalid field.
+func (p *Purge) Check() error {
+	named := 0
+	for _, present := range []bool{len(p.Objects) > 0, len(p.Groups) > 0, p.Pattern != ""} {
+		if present {
+			named++
+		}
+	}
+	switch {
+	case p.ID == "" || len(p.ID) > maxIDLength:
+		return fmt.Errorf("id: %d bytes; 1 to %d", len(p.ID), maxIDLength)
+	case named != 1:
+		return errors.New("objects, groups or a pattern: one of them is to be named")
+	case len(p.Objects) > maxObjects || len(p.Groups) > maxObjects:
+		return fmt.Errorf("objects: %d of them; %d at most", max(len(p.Objects), len(p.Groups)), maxObjects)
+	case len(p.Club) > maxNameLength:
+		return errors.New("club: too long")
+	}
+	for i, o := range p.Objects {
+		if o == "" || len(o) > maxNameLength {
+			return fmt.Errorf("objects: %d: %d bytes; 1 to %d", i, len(o), maxNameLength)
+		}
+	}
+	if p.Pattern != "" {
+		_, err := compile(p.Pattern)
+		return err
+	}
+	return nil
+}
+
+// Check validates limits; the error begins with the name of the invalid field.
+func (l *Limits) Check() error {
+	finite := func(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
+	switch {
+	case !finite(l.Delay) || l.Delay < 100:
+		return errors.New("delay: under 100 ms")
+	case !finite(l.Skew) || 4*l.Skew > l.Delay:
+		return errors.New("skew: over a quarter of delay")
+	case !finite(l.Rate):
+		return errors.New("rate: not a number")
+	case !finite(l.Fills) || l.Fills > 0 && l.Rate == 0:
+		return errors.New("fills: needs a rate, as nothing waits where all goes out at once")
+	case l.Batch < 1 || l.Batch > maxObjects:
+		return fmt.Errorf("batch: 1 to %d", maxObjects)
+	case l.Held < 16 || l.Held > maxHeld:
+		return fmt.Errorf("held: 16 to %d", maxHeld)
+	}
+	return nil
+}
+
+// Member applies a membership change of a gateway in log order. A new incarnation starts with no confirmed index: it
+// confirms what it has read of the log itself.
+func (b *Book) Member(name string, incarnation uint64, joined bool) {
+	old := b.Gateways[name]
+	b.changes++
+	switch {
+	case incarnation == 0 && !joined:
+		delete(b.Gateways, name)
+	case len(b.Gateways) < maxGateways || old.Incarnation != 0:
+		if old.Incarnation != incarnation {
+			old.Confirmed = 0
+		}
+		b.Gateways[name] = Gateway{Incarnation: incarnation, Joined: joined, Since: b.Now, Confirmed: old.Confirmed, Misses: old.Misses, MissesAt: old.MissesAt}
+	}
+	b.advanceStages()
+}
+
+// Apply applies a command in log order. It returns a copy of the resulting purge state, nil if the command is about no
+// purge, or an error.
+func (b *Book) Apply(index uint64, kind string, data []byte) any {
+	var o Order
+	if canon.Decode(data, &o) != nil || !(o.At >= 0) || o.At > 1e15 {
+		return ErrBad
+	}
+	b.Now = max(b.Now, o.At)
+	b.changes++
+	var s *State
+	var err error
+	switch kind {
+	case Accept:
+		s, err = b.applyAccept(index, o)
+	case Batch:
+		s, err = b.applyBatch(index, o)
+	case Cancel:
+		s, err = b.applyCancel(o)
+	case Seen:
+		if g := b.Gateways[o.From]; g.Incarnation != 0 {
+			g.Confirmed = max(g.Confirmed, min(o.Index, index))
+			b.Gateways[o.From] = g
+		}
+	case Misses:
+		if g := b.Gateways[o.From]; g.Incarnation != 0 && o.Rate >= 0 && !math.IsInf(o.Rate, 1) {
+			g.Misses, g.MissesAt = o.Rate, b.Now
+			b.Gateways[o.From] = g
+		}
+	case Tick:
+	default:
+		return ErrBad
+	}
+	if err != nil {
+		return err
+	}
+	b.advanceStages()
+	if s == nil {
+		return nil
+	}
+	c := *s
+	c.Without = slices.Clone(s.Without)
+	return c
+}
+
+// applyAccept starts a purge. Patterns and groups are published at once, and objects too if there is no rate.
+func (b *Book) applyAccept(index uint64, o Order) (*State, error) {
+	if o.Purge == nil || o.Limits == nil || o.Purge.Check() != nil || o.Limits.Check() != nil {
+		return nil, ErrBad
+	}
+	if s := b.Purges[o.Purge.ID]; s != nil {
+		if !reflect.DeepEqual(s.Purge, *o.Purge) {
+			return nil, ErrOther
+		}
+		return s, nil
+	}
+	open, named := 0, o.Purge.countNames()
+	for _, s := range b.Purges {
+		if s.Stage <= Sent {
+			open++
+			named += s.Purge.countNames()
+		}
+	}
+	if open >= maxOpenPurges || named > maxNamed {
+		return nil, ErrFull
+	}
+	b.Shelf.Limit = o.Limits.Held
+	s := &State{Purge: *o.Purge, Limits: *o.Limits, Place: index, Accepted: b.Now}
+	b.Purges[s.Purge.ID] = s
+	if p := &s.Purge; p.Pattern != "" {
+		b.publish(index, s, Mark{Pattern: p.Pattern})
+	} else if len(p.Groups) > 0 {
+		for _, g := range p.Groups {
+			b.publish(index, s, Mark{Group: g, Grouped: true})
+		}
+	}
+	if s.Start = b.Now; s.Limits.Rate == 0 {
+		b.publishObjects(index, s, len(s.Purge.Objects))
+	} else {
+		for _, x := range b.Purges {
+			if x.Stage == Going && x != s {
+				s.Start = max(s.Start, x.dueAt(len(x.Purge.Objects)))
+			}
+		}
+	}
+	b.evictFinished()
+	return s, nil
+}
+
+// countNames returns the number of objects and groups that the purge names.
+func (p *Purge) countNames() int { return len(p.Objects) + len(p.Groups) }
+
+// boundTime is the minimum creation time of valid copies of the objects that a purge names.
+func (s *State) boundTime() float64 { return s.Accepted + s.Limits.Skew }
+
+// publish adds a mark to the bounds and to the marks that gateways have to apply.
+func (b *Book) publish(index uint64, s *State, m Mark) {
+	m.Club, m.At, m.Stale = s.Purge.Club, s.boundTime(), s.Purge.Stale
+	b.Shelf.Put(m)
+	b.newMarks = append(b.newMarks, m)
+	s.Last, s.Sent, b.LastIndex = index, b.Now, index
+}
+
+// publishObjects publishes the objects of a purge before index next. Objects already covered by a newer purge need no
+// mark.
+func (b *Book) publishObjects(index uint64, s *State, next int) {
+	for ; s.Next < next; s.Next++ {
+		object := s.Purge.Objects[s.Next]
+		if hard, _ := b.Shelf.Bound(s.Purge.Club, object, math.MinInt64); hard >= s.boundTime() {
+			s.Newer++
+			continue
+		}
+		b.publish(index, s, Mark{Object: object})
+	}
+	s.Last, s.Sent = index, b.Now
+}
+
+// applyBatch publishes a batch of objects. A sender whose token was superseded is refused unless the batch is overdue.
+func (b *Book) applyBatch(index uint64, o Order) (*State, error) {
+	s := b.Purges[o.ID]
+	switch {
+	case s == nil:
+		return nil, ErrUnknown
+	case o.Token < b.HighestToken && !s.overdue(o.First, b.Now):
+		return nil, ErrOld
+	}
+	b.HighestToken = max(b.HighestToken, o.Token)
+	switch {
+	case s.Stage != Going:
+		return nil, ErrOver
+	case o.First != s.Next || o.Next <= o.First || o.Next > len(s.Purge.Objects) || o.Next-o.First > s.Limits.Batch:
+		return nil, ErrTurn // a duplicate, or from a sender that had not seen the previous batch
+	}
+	b.publishObjects(index, s, o.Next)
+	return s, nil
+}
+
+// applyCancel stops a purge whose objects are not all published.
+func (b *Book) applyCancel(o Order) (*State, error) {
+	s := b.Purges[o.ID]
+	switch {
+	case s == nil:
+		return nil, ErrUnknown
+	case s.Stage == Cancelled:
+		return s, nil
+	case s.Stage != Going:
+		return nil, ErrOver
+	}
+	s.Stage, s.Ended = Cancelled, b.Now
+	return s, nil
+}
+
+// advanceStages moves purges to their next stage where its conditions hold.
+func (b *Book) advanceStages() {
+	for _, s := range b.Purges {
+		if s.Stage == Going && s.Next == len(s.Purge.Objects) {
+			s.Stage = Sent
+		}
+		if s.Stage != Sent || len(b.Unconfirmed(s)) > 0 {
+			continue
+		}
+		s.Stage, s.Ended = Done, b.Now
+		for _, name := range slices.Sorted(maps.Keys(b.Gateways)) {
+			if g := b.Gateways[name]; g.Confirmed < s.Last {
+				s.Without = append(s.Without, name)
+			}
+		}
+	}
+}
+
+// Unconfirmed lists the gateways that have not confirmed all published objects of a purge: those that are joined, and
+// those lost so recently that they may still trust older copies.
+func (b *Book) Unconfirmed(s *State) (all []string) {
+	for _, name := range slices.Sorted(maps.Keys(b.Gateways)) {
+		if g := b.Gateways[name]; g.Confirmed < s.Last && (g.Joined || b.Now < g.Since+s.Limits.Delay) {
+			all = append(all, name)
+		}
+	}
+	return all
+}
+
+// dueAt returns when the object with this index is to be published.
+func (s *State) dueAt(object int) float64 {
+	if s.Limits.Rate == 0 {
+		return s.Start
+	}
+	return s.Start + 1000*float64(object)/s.Limits.Rate
+}
+
+// overdue reports whether an object is so late that its owner must be lost. Any gateway that knows of it may then send
+// its batch, so that the delay is kept.
+func (s *State) overdue(object int, now float64) bool {
+	return s.Limits.Rate > 0 && now >= s.dueAt(object)+s.Limits.Delay/4
+}
+
+// Effective returns the time from which no older copy is served anywhere. It is known on acceptance.
+func (s *State) Effective() float64 { return s.dueAt(len(s.Purge.Objects)) + s.Limits.Delay }
+
+// missesValidFor is the time, in ms, for which a gateway's report of its misses is used.
+const missesValidFor = 5000.0
+
+// totalMisses sums the fills per second of all joined gateways with a recent report.
+func (b *Book) totalMisses() (sum float64) {
+	for _, g := range b.Gateways {
+		if g.Joined && b.Now < g.MissesAt+missesValidFor {
+			sum += g.Misses
+		}
+	}
+	return sum
+}
+
+// AwaitsMisses reports whether the gateways have to report their misses, as a purge with a limit on fills is in
+// progress.
+func (b *Book) AwaitsMisses() bool {
+	for _, s := range b.Purges {
+		if s.Stage == Going && s.Limits.Fills > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// NextBatch returns the batch to publish next under the rate of the limits, and whether it is due; late reports that
+// the leader is to send it because its owner did not.
+func (b *Book) NextBatch(now float64) (o Order, due, late bool) {
+	var first *State
+	for _, s := range b.Purges {
+		if s.Stage == Going && (first == nil || s.Place < first.Place) {
+			first = s
+		}
+	}
+	if first == nil || now < first.dueAt(first.Next) {
+		return o, false, false
+	}
+	// A mass purge must not overload hubs and core, so misses delay the next batch, but never so long that the delay of
+	// the purge is exceeded.
+	if l := first.Limits; l.Fills > 0 && b.totalMisses() > l.Fills && !first.overdue(first.Next, now) {
+		return o, false, false
+	}
+	return Order{At: now, ID: first.Purge.ID, First: first.Next, Next: min(len(first.Purge.Objects), first.Next+first.Limits.Batch)}, true, first.overdue(first.Next, now)
+}
+
+// BatchToSend returns the batch that this gateway is to send now, if any: the owner sends batches that are due, the
+// leader sends those that the owner left overdue.
+func (b *Book) BatchToSend(now float64, token uint64, owns, leads bool) (Order, bool) {
+	o, due, late := b.NextBatch(now)
+	o.Token = token
+	return o, due && (owns || late && leads)
+}
+
+// AnyOpen reports whether any purge is neither done nor cancelled.
+func (b *Book) AnyOpen() bool {
+	for _, s := range b.Purges {
+		if s.Stage <= Sent {
+			return true
+		}
+	}
+	return false
+}
+
+// evictFinished removes the oldest finished purges while the state exceeds its size limits.
+func (b *Book) evictFinished() {
+	named := 0
+	for _, s := range b.Purges {
+		named += s.Purge.countNames()
+	}
+	for len(b.Purges) > maxPurges || named > maxNamed {
+		var oldest *State
+		for _, s := range b.Purges {
+			if s.Stage >= Done && (oldest == nil || s.Place < oldest.Place) {
+				oldest = s
+			}
+		}
+		if oldest == nil {
+			return
+		}
+		named -= oldest.Purge.countNames()
+		delete(b.Purges, oldest.Purge.ID)
+	}
+}
+
+// All returns the purges in log order.
+func (b *Book) All() []*State {
+	return slices.SortedFunc(maps.Values(b.Purges), func(x, y *State) int { return int(int64(x.Place) - int64(y.Place)) })
+}
+
+// Changes returns a counter that is incremented whenever the state may have changed.
+func (b *Book) Changes() uint64 { return b.changes }
+
+// TakeMarks returns the marks published since the previous call.
+func (b *Book) TakeMarks() []Mark {
+	marks := b.newMarks
+	b.newMarks = nil
+	return marks
+}
+
+// Save encodes the state as a snapshot; equal states have identical encodings.
+func (b *Book) Save() []byte { return canon.Encode(b) }
+
+// Load replaces the state by a snapshot; nil gives an empty state.
+func (b *Book) Load(snapshot []byte) error {
+	n := New()
+	if snapshot != nil {
+		if err := canon.Decode(snapshot, n); err != nil {
+			return fmt.Errorf("purges: %w", err)
+		}
+		if n.Purges == nil || n.Gateways == nil || n.Shelf == nil {
+			return fmt.Errorf("purges: %w", ErrBad)
+		}
+		if err := n.Shelf.rebuild(); err != nil {
+			return fmt.Errorf("purges: %w", err)
+		}
+	}
+	n.changes = b.changes + 1
+	*b = *n
+	return nil
+}
