--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -9,17 +9,17 @@
 	"github.com/sirupsen/logrus"
 )
 
-// mostFile bounds what is read of a file that may be anything.
-const mostFile = 1 << 20
+// maxFileBytes limits how much of a file is read, since the path may name any file.
+const maxFileBytes = 1 << 20
 
-// Log is the block log: how a gateway's lines are written.
+// Log is the "log" block: level, format and reporting interval of a gateway's log.
 type Log struct {
-	Level  string  // error, warn, info or debug; empty: info
-	Format string  // text or json; empty: text
-	Every  float64 // ms between lines of counters; 0: the gateway's own
+	Level  string  // error, warn, info or debug; empty means info
+	Format string  // text or json; empty means text
+	Every  float64 // ms between log lines of counters; 0 means the gateway's default
 }
 
-// Fields reads the block.
+// Fields returns the attributes of the block, which are read into l.
 func (l *Log) Fields() []Field {
 	return []Field{
 		Attr("level", OneOf(&l.Level, "error", "warn", "info", "debug")),
@@ -28,7 +28,7 @@
 	}
 }
 
-// Apply makes a logger write as the block says.
+// Apply sets the level and format of a logger as the block says.
 func (l Log) Apply(log *logrus.Logger) {
 	level := logrus.InfoLevel
 	if l.Level != "" {
@@ -42,16 +42,16 @@
 	}
 }
 
-// Read takes a file whole, within a bound.
+// Read returns the contents of a file; a file larger than 1 MiB is an error.
 func Read(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, mostFile+1))
-	if err == nil && len(text) > mostFile {
-		err = fmt.Errorf("%s: more than %d bytes", path, mostFile)
+	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
+	if err == nil && len(text) > maxFileBytes {
+		err = fmt.Errorf("%s: more than %d bytes", path, maxFileBytes)
 	}
 	return text, err
 }
--- a/internal/operator/read.go
+++ b/internal/operator/read.go
@@ -1,8 +1,8 @@
 // Package operator reads the operator's own files, written in HCL (github.com/hashicorp/hcl, native syntax).
 //
-// Reading is strict, since a word that is passed over in silence is a setting that its writer believes to be in
-// force: an unknown block or attribute, a value of another type, one without its unit or out of its range is refused
-// with file, line and name. A file is taken whole or not at all.
+// Reading is strict, since the author of a setting that is silently ignored believes it to be in force: an unknown
+// block or attribute, a value of the wrong type, without its unit or out of its range is an error that gives file, line
+// and name. A file with any error must not be used at all.
 package operator
 
 import (
@@ -18,96 +18,104 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// Field is one thing that a body may hold: an attribute or a kind of block.
+// Field is an attribute or a block type that a body may contain, or a check of the body.
 type Field struct {
 	name     string
 	labels   []string
 	required bool
-	value    func(cty.Value) error
+	decode   func(cty.Value) error
 	block    func(labels []string, line int) ([]Field, error)
 	check    func() error
-	one      bool
+	single   bool // at most one block of this type
 }
 
-// Attr is an attribute whose value is taken by one of the readers below; it may be left out.
-func Attr(name string, value func(cty.Value) error) Field { return Field{name: name, value: value} }
+// Attr is an optional attribute whose value is read by decode, which one of the functions below returns.
+func Attr(name string, decode func(cty.Value) error) Field { return Field{name: name, decode: decode} }
 
-// Must is an attribute that may not be left out.
-func Must(name string, value func(cty.Value) error) Field {
-	return Field{name: name, value: value, required: true}
+// Must is a required attribute.
+func Must(name string, decode func(cty.Value) error) Field {
+	return Field{name: name, decode: decode, required: true}
 }
 
-// Block is a kind of block that may stand any number of times. What begins one returns its fields.
+// Block is a block type that may occur any number of times. For each block, begin gets its labels and line and returns
+// the fields of its body.
 func Block(name string, labels []string, begin func(labels []string, line int) ([]Field, error)) Field {
 	return Field{name: name, labels: labels, block: begin}
 }
 
-// One is a block that may stand once at most.
+// One is a block type without labels that may occur at most once.
 func One(name string, fields func() []Field) Field {
-	return Field{name: name, one: true, block: func([]string, int) ([]Field, error) { return fields(), nil }}
+	return Field{name: name, single: true, block: func([]string, int) ([]Field, error) { return fields(), nil }}
 }
 
-// Check is asked once all else in its body was read; its error is told with the body's place.
+// Check is called after everything else in its body was read without an error; its own error is reported with the
+// position of the body.
 func Check(check func() error) Field { return Field{check: check} }
 
-// Parse reads a text by its fields. The error names every fault, one a line: file:line: path: fault.
+// Parse reads a text that may contain the given fields. The error lists every error found, one per line, as
+// file:line: path: message.
 func Parse(text []byte, file string, fields ...Field) error {
 	parsed, diags := hclsyntax.ParseConfig(text, file, hcl.InitialPos)
 	if diags.HasErrors() {
-		return faults{}.add(diags)
+		return errorList{}.add(diags)
 	}
 	r := &reader{}
 	r.body(parsed.Body, "", fields)
-	if len(r.found) == 0 {
+	if len(r.errs) == 0 {
 		return nil
 	}
-	return r.found
+	return r.errs
 }
 
-// Peek finds one attribute of a text whatever else stands there: what has to be known before the rest is read.
+// Peek returns the value of one top-level string attribute and ignores the rest of the text, for an attribute that must
+// be known before the rest can be read. It returns "" if the attribute is missing.
 func Peek(text []byte, file, name string) (string, error) {
 	parsed, diags := hclsyntax.ParseConfig(text, file, hcl.InitialPos)
 	if diags.HasErrors() {
-		return "", faults{}.add(diags)
+		return "", errorList{}.add(diags)
 	}
 	content, _, _ := parsed.Body.PartialContent(&hcl.BodySchema{Attributes: []hcl.AttributeSchema{{Name: name}}})
-	a := content.Attributes[name]
-	if a == nil {
+	attr := content.Attributes[name]
+	if attr == nil {
 		return "", nil
 	}
-	v, diags := a.Expr.Value(nil)
-	found := ""
-	if diags.HasErrors() || v.IsNull() || Text(&found)(v) != nil {
-		return "", fmt.Errorf("%s:%d: %s: must be a text", a.Range.Filename, a.Range.Start.Line, name)
+	v, diags := attr.Expr.Value(nil)
+	value := ""
+	if diags.HasErrors() || v.IsNull() || Text(&value)(v) != nil {
+		return "", fmt.Errorf("%s:%d: %s: must be a string", attr.Range.Filename, attr.Range.Start.Line, name)
 	}
-	return found, nil
+	return value, nil
 }
 
-// faults are all that is wrong with a file.
-type faults []string
+// errorList holds all errors found in a file, one message each.
+type errorList []string
 
-func (f faults) Error() string { return strings.Join(f, "\n") }
+func (l errorList) Error() string { return strings.Join(l, "\n") }
 
-func (f faults) add(diags hcl.Diagnostics) faults {
+// add appends the errors that the HCL parser reports.
+func (l errorList) add(diags hcl.Diagnostics) errorList {
 	for _, d := range diags {
-		at := ""
+		position := ""
 		if d.Subject != nil {
-			at = fmt.Sprintf("%s:%d: ", d.Subject.Filename, d.Subject.Start.Line)
+			position = fmt.Sprintf("%s:%d: ", d.Subject.Filename, d.Subject.Start.Line)
 		}
-		f = append(f, fmt.Sprintf("%s%s: %s", at, d.Summary, d.Detail))
+		l = append(l, fmt.Sprintf("%s%s: %s", position, d.Summary, d.Detail))
 	}
-	return f
+	return l
 }
 
-type reader struct{ found faults }
+// reader reads bodies and collects the errors.
+type reader struct{ errs errorList }
 
-func (r *reader) fault(at hcl.Range, path string, err error) {
+// addError records an error at a position; path names the attribute or block.
+func (r *reader) addError(at hcl.Range, path string, err error) {
 	if path != "" {
 		path += ": "
 	}
-	r.found = append(r.found, fmt.Sprintf("%s:%d: %s%v", at.Filename, at.Start.Line, path, err))
+	r.errs = append(r.errs, fmt.Sprintf("%s:%d: %s%v", at.Filename, at.Start.Line, path, err))
 }
 
+// join appends a name to a path of blocks, separated by a dot.
 func join(path, name string) string {
 	if path == "" {
 		return name
@@ -115,193 +123,197 @@
 	return path + "." + name
 }
 
+// body reads the attributes and then the blocks of a body, and runs its checks if the body itself has no error.
 func (r *reader) body(b hcl.Body, path string, fields []Field) {
 	schema := &hcl.BodySchema{}
-	known := map[string]Field{}
+	fieldsByName := map[string]Field{}
 	for _, f := range fields {
 		switch {
-		case f.value != nil:
+		case f.decode != nil:
 			schema.Attributes = append(schema.Attributes, hcl.AttributeSchema{Name: f.name, Required: f.required})
-			known[f.name] = f
+			fieldsByName[f.name] = f
 		case f.block != nil:
 			schema.Blocks = append(schema.Blocks, hcl.BlockHeaderSchema{Type: f.name, LabelNames: f.labels})
-			known[f.name] = f
+			fieldsByName[f.name] = f
 		}
 	}
 	content, diags := b.Content(schema)
-	r.found = r.found.add(diags)
-	before := len(r.found)
-	for _, name := range sorted(content.Attributes) {
-		a := content.Attributes[name]
-		v, diags := a.Expr.Value(nil)
+	r.errs = r.errs.add(diags)
+	errsBefore := len(r.errs)
+	for _, name := range namesInFileOrder(content.Attributes) {
+		attr := content.Attributes[name]
+		v, diags := attr.Expr.Value(nil)
 		if diags.HasErrors() {
-			r.found = r.found.add(diags)
+			r.errs = r.errs.add(diags)
 		} else if !v.IsWhollyKnown() || v.IsNull() {
-			r.fault(a.Range, join(path, name), fmt.Errorf("has no value"))
-		} else if err := known[name].value(v); err != nil {
-			r.fault(a.Range, join(path, name), err)
+			r.addError(attr.Range, join(path, name), fmt.Errorf("has no value"))
+		} else if err := fieldsByName[name].decode(v); err != nil {
+			r.addError(attr.Range, join(path, name), err)
 		}
 	}
 	seen := map[string]int{}
 	for _, block := range content.Blocks {
-		f := known[block.Type]
+		f := fieldsByName[block.Type]
 		inner := join(path, strings.Join(append([]string{block.Type}, block.Labels...), " "))
-		if seen[block.Type]++; f.one && seen[block.Type] > 1 {
-			r.fault(block.DefRange, inner, fmt.Errorf("stands twice"))
+		if seen[block.Type]++; f.single && seen[block.Type] > 1 {
+			r.addError(block.DefRange, inner, fmt.Errorf("is defined twice"))
 			continue
 		}
 		sub, err := f.block(block.Labels, block.DefRange.Start.Line)
 		if err != nil {
-			r.fault(block.DefRange, inner, err)
+			r.addError(block.DefRange, inner, err)
 			continue
 		}
 		r.body(block.Body, inner, sub)
 	}
 	for _, f := range fields {
-		if f.check == nil || len(r.found) > before || diags.HasErrors() {
+		if f.check == nil || len(r.errs) > errsBefore || diags.HasErrors() {
 			continue
 		}
 		if err := f.check(); err != nil {
-			r.fault(b.MissingItemRange(), path, err)
+			r.addError(b.MissingItemRange(), path, err)
 		}
 	}
 }
 
-// sorted puts attributes in the order in which they stand, so that the same file always has the same first fault.
-func sorted(all hcl.Attributes) []string {
-	names := make([]string, 0, len(all))
-	for n := range all {
+// namesInFileOrder returns the attributes' names in the order in which they occur, so that the same file always gives the
+// same errors in the same order.
+func namesInFileOrder(attrs hcl.Attributes) []string {
+	names := make([]string, 0, len(attrs))
+	for n := range attrs {
 		names = append(names, n)
 	}
-	slices.SortFunc(names, func(a, b string) int { return all[a].Range.Start.Byte - all[b].Range.Start.Byte })
+	slices.SortFunc(names, func(a, b string) int { return attrs[a].Range.Start.Byte - attrs[b].Range.Start.Byte })
 	return names
 }
 
-func text(v cty.Value) (string, error) {
+// stringValue returns the value of a string.
+func stringValue(v cty.Value) (string, error) {
 	if v.Type() != cty.String {
-		return "", fmt.Errorf("is %s and must be a text", v.Type().FriendlyName())
+		return "", fmt.Errorf("is %s and must be a string", v.Type().FriendlyName())
 	}
 	return v.AsString(), nil
 }
 
-// Text takes a text that is not empty.
-func Text(to *string) func(cty.Value) error {
+// Text reads a non-empty string.
+func Text(dst *string) func(cty.Value) error {
 	return func(v cty.Value) (err error) {
-		if *to, err = text(v); err == nil && *to == "" {
+		if *dst, err = stringValue(v); err == nil && *dst == "" {
 			err = fmt.Errorf("empty")
 		}
 		return err
 	}
 }
 
-// OneOf takes one of some words.
-func OneOf(to *string, words ...string) func(cty.Value) error {
+// OneOf reads a string that must be one of the allowed ones.
+func OneOf(dst *string, allowed ...string) func(cty.Value) error {
 	return func(v cty.Value) (err error) {
-		if *to, err = text(v); err == nil && !slices.Contains(words, *to) {
-			err = fmt.Errorf("%q is none of %s", *to, strings.Join(words, ", "))
+		if *dst, err = stringValue(v); err == nil && !slices.Contains(allowed, *dst) {
+			err = fmt.Errorf("%q is none of %s", *dst, strings.Join(allowed, ", "))
 		}
 		return err
 	}
 }
 
-// Texts takes a list of texts, none of them empty or twice.
-func Texts(to *[]string) func(cty.Value) error {
+// Texts reads a list of strings, none of them empty or listed twice.
+func Texts(dst *[]string) func(cty.Value) error {
 	return func(v cty.Value) error {
 		if !v.Type().IsTupleType() || v.LengthInt() == 0 {
-			return fmt.Errorf("is %s and must be a list of texts", v.Type().FriendlyName())
+			return fmt.Errorf("is %s and must be a list of strings", v.Type().FriendlyName())
 		}
-		var all []string
+		var items []string
 		for _, e := range v.AsValueSlice() {
-			s, err := text(e)
-			if err == nil && (s == "" || slices.Contains(all, s)) {
-				err = fmt.Errorf("%q is empty or stands twice", s)
+			s, err := stringValue(e)
+			if err == nil && (s == "" || slices.Contains(items, s)) {
+				err = fmt.Errorf("%q is empty or listed twice", s)
 			}
 			if err != nil {
 				return err
 			}
-			all = append(all, s)
+			items = append(items, s)
 		}
-		*to = all
+		*dst = items
 		return nil
 	}
 }
 
-// Number takes a number from least to most.
-func Number(to *float64, least, most float64) func(cty.Value) error {
+// Number reads a number from minimum to maximum.
+func Number(dst *float64, minimum, maximum float64) func(cty.Value) error {
 	return func(v cty.Value) error {
 		if v.Type() != cty.Number {
 			return fmt.Errorf("is %s and must be a number", v.Type().FriendlyName())
 		}
 		n, _ := v.AsBigFloat().Float64()
-		if !(n >= least && n <= most) {
-			return fmt.Errorf("%v is not from %v to %v", n, least, most)
+		if !(n >= minimum && n <= maximum) {
+			return fmt.Errorf("%v is not from %v to %v", n, minimum, maximum)
 		}
-		*to = n
+		*dst = n
 		return nil
 	}
 }
 
-// Whole takes a whole number from least to most.
-func Whole(to *int, least, most int) func(cty.Value) error {
+// Whole reads a whole number from minimum to maximum.
+func Whole(dst *int, minimum, maximum int) func(cty.Value) error {
 	return func(v cty.Value) error {
 		n := 0.0
-		if err := Number(&n, float64(least), float64(most))(v); err != nil {
+		if err := Number(&n, float64(minimum), float64(maximum))(v); err != nil {
 			return err
 		}
 		if n != math.Trunc(n) {
 			return fmt.Errorf("%v is not a whole number", n)
 		}
-		*to = int(n)
+		*dst = int(n)
 		return nil
 	}
 }
 
-// Flag takes true or false.
-func Flag(to *bool) func(cty.Value) error {
+// Flag reads true or false.
+func Flag(dst *bool) func(cty.Value) error {
 	return func(v cty.Value) error {
 		if v.Type() != cty.Bool {
 			return fmt.Errorf("is %s and must be true or false", v.Type().FriendlyName())
 		}
-		*to = v.True()
+		*dst = v.True()
 		return nil
 	}
 }
 
-// Span takes a time with its unit, such as "250ms" or "1m30s", into milliseconds.
-func Span(to *float64, least, most time.Duration) func(cty.Value) error {
+// Span reads a duration with its unit, such as "250ms" or "1m30s", and stores it in milliseconds.
+func Span(dst *float64, minimum, maximum time.Duration) func(cty.Value) error {
 	return func(v cty.Value) error {
-		s, err := text(v)
+		s, err := stringValue(v)
 		if err != nil {
 			return fmt.Errorf("%w with a unit, such as \"250ms\"", err)
 		}
 		d, err := time.ParseDuration(s)
-		if err != nil || d < least || d > most {
-			return fmt.Errorf("%q is not a time from %v to %v with its unit", s, least, most)
+		if err != nil || d < minimum || d > maximum {
+			return fmt.Errorf("%q is not a duration from %v to %v with its unit", s, minimum, maximum)
 		}
-		*to = float64(d) / float64(time.Millisecond)
+		*dst = float64(d) / float64(time.Millisecond)
 		return nil
 	}
 }
 
-var sizes = []struct {
-	unit string
-	is   float64
+// sizeUnits are the units that Size accepts, with their number of bytes.
+var sizeUnits = []struct {
+	name  string
+	bytes float64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"KB", 1e3}, {"MB", 1e6}, {"GB", 1e9}}
 
-// Size takes an amount of bytes with its unit, such as "64MiB" or "9.5MB", into bytes.
-func Size(to *float64, least, most float64) func(cty.Value) error {
+// Size reads a size with its unit, such as "64MiB" or "9.5MB", and stores it in bytes.
+func Size(dst *float64, minimum, maximum float64) func(cty.Value) error {
 	return func(v cty.Value) error {
-		s, err := text(v)
+		s, err := stringValue(v)
 		if err != nil {
 			return fmt.Errorf("%w with a unit, such as \"64MiB\"", err)
 		}
-		for _, u := range sizes {
-			if digits, ok := strings.CutSuffix(s, u.unit); ok {
+		for _, u := range sizeUnits {
+			if digits, ok := strings.CutSuffix(s, u.name); ok {
 				n, err := strconv.ParseFloat(digits, 64)
-				if err != nil || !(n*u.is >= least && n*u.is <= most) {
-					return fmt.Errorf("%q is not from %.0f to %.0f bytes", s, least, most)
+				if err != nil || !(n*u.bytes >= minimum && n*u.bytes <= maximum) {
+					return fmt.Errorf("%q is not from %.0f to %.0f bytes", s, minimum, maximum)
 				}
-				*to = n * u.is
+				*dst = n * u.bytes
 				return nil
 			}
 		}
@@ -309,5 +321,5 @@
 	}
 }
 
-// Share takes a share as a number from 0 to 1.
-func Share(to *float64) func(cty.Value) error { return Number(to, 0, 1) }
+// Share reads a share of a whole as a number from 0 to 1.
+func Share(dst *float64) func(cty.Value) error { return Number(dst, 0, 1) }
