--- a/example/main.go
+++ b/example/main.go
@@ -1,5 +1,5 @@
-// Command example is a small deployment for one gateway: two edge caches, a hub, the member core and the command
-// channel, emulated, at the addresses that config.json names. Ctrl-C ends it.
+// Command example emulates a small deployment for one gateway: two edge caches, a hub, the member core and the command
+// channel, at the addresses that config.json names. Ctrl-C stops it.
 package main
 
 import (
@@ -27,7 +27,7 @@
 	}
 	addresses := map[string]string{"box-1:5050": "127.0.0.1:5051", "box-2:5050": "127.0.0.1:5052", "box-3:5050": "127.0.0.1:5053",
 		"box-4:5050": "127.0.0.1:5054", "channel": "127.0.0.1:7070"}
-	stage, err := sockets.New(s, sockets.Options{
+	deployment, err := sockets.New(s, sockets.Options{
 		Addresses: func(name string) string { return addresses[name] },
 		Facts: func(f world.Fact) {
 			if f, ok := f.(world.Served); ok {
@@ -39,8 +39,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	fmt.Println("deployment: boxes at 127.0.0.1:5051 to 5054, command channel at", stage.Channel(0))
-	if err = stage.Run(ctx); ctx.Err() != nil {
+	fmt.Println("deployment: boxes at 127.0.0.1:5051 to 5054, command channel at", deployment.Channel(0))
+	if err = deployment.Run(ctx); ctx.Err() != nil {
 		return nil
 	}
 	return err
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,5 +1,6 @@
-// Command knownred runs the project's tests and passes over those that KNOWN-RED.txt lists: tests that fail for a real fault which
-// is not mended yet. Each is printed. It runs nothing where the list is too long, a line lacks its cause or issue, or a test is none.
+// Command knownred runs the project's tests except those listed in KNOWN-RED.txt, which fail because of a real fault that is not
+// fixed yet. It prints each skipped test. It runs nothing if the list is too long, if a line lacks its cause or issue, or if a
+// listed test does not exist.
 //
 //	go run ./internal/knownred -count=1 -tags debug
 package main
@@ -17,60 +18,61 @@
 )
 
 const (
-	list = "KNOWN-RED.txt"
-	most = 3
+	listFile   = "KNOWN-RED.txt"
+	maxEntries = 3
 )
 
 // entry is one test that is known to fail.
 type entry struct{ pkg, test, cause, issue string }
 
-var form = regexp.MustCompile(`^(\S+)\.(Test\w+) \| (.*\S.*) \| issue (\d+)$`)
+// entryPattern matches one line of the list.
+var entryPattern = regexp.MustCompile(`^(\S+)\.(Test\w+) \| (.*\S.*) \| issue (\d+)$`)
 
-// read takes the list; exists tells whether a package, as a path below the root, has a test of a name.
-func read(text string, exists func(pkg, test string) (bool, error)) (all []entry, err error) {
+// parseList parses the list; exists reports whether a package, given as a path below the module root, has the named test.
+func parseList(text string, exists func(pkg, test string) (bool, error)) (entries []entry, err error) {
 	for n, line := range strings.Split(strings.TrimSuffix(text, "\n"), "\n") {
 		if line == "" && text == "" {
 			break
 		}
-		m := form.FindStringSubmatch(line)
+		m := entryPattern.FindStringSubmatch(line)
 		if m == nil {
-			return nil, fmt.Errorf("%s:%d: %q is not PACKAGE.TestName | cause | issue N", list, n+1, line)
+			return nil, fmt.Errorf("%s:%d: %q is not PACKAGE.TestName | cause | issue N", listFile, n+1, line)
 		}
 		e := entry{m[1], m[2], strings.TrimSpace(m[3]), m[4]}
-		there, err := exists(e.pkg, e.test)
+		found, err := exists(e.pkg, e.test)
 		if err != nil {
-			return nil, fmt.Errorf("%s:%d: %w", list, n+1, err)
+			return nil, fmt.Errorf("%s:%d: %w", listFile, n+1, err)
 		}
-		if !there {
-			return nil, fmt.Errorf("%s:%d: %s has no test %s", list, n+1, e.pkg, e.test)
+		if !found {
+			return nil, fmt.Errorf("%s:%d: %s has no test %s", listFile, n+1, e.pkg, e.test)
 		}
-		if all = append(all, e); len(all) > most {
-			return nil, fmt.Errorf("%s:%d: more than %d tests are known to fail: mend them first", list, n+1, most)
+		if entries = append(entries, e); len(entries) > maxEntries {
+			return nil, fmt.Errorf("%s:%d: more than %d tests are known to fail: fix them first", listFile, n+1, maxEntries)
 		}
 	}
-	return all, nil
+	return entries, nil
 }
 
-// runs are the calls of go test by which all packages are tested without what is listed. Names are passed over in their own package
-// alone, so each package that has one is a call of its own.
-func runs(all []entry, module string, pkgs []string) (calls [][]string) {
+// testRuns returns the arguments of the go test runs that test all packages without the listed tests. A test name is skipped only in
+// its own package, so each package with a listed test gets a run of its own.
+func testRuns(entries []entry, module string, pkgs []string) (runs [][]string) {
 	skip := map[string][]string{}
-	for _, e := range all {
+	for _, e := range entries {
 		skip[module+"/"+e.pkg] = append(skip[module+"/"+e.pkg], e.test)
 	}
-	var rest []string
+	var unlisted []string
 	for _, p := range pkgs {
 		if names := skip[p]; names != nil {
-			calls = append(calls, []string{"-skip", "^(" + strings.Join(names, "|") + ")$", p})
+			runs = append(runs, []string{"-skip", "^(" + strings.Join(names, "|") + ")$", p})
 		} else {
-			rest = append(rest, p)
+			unlisted = append(unlisted, p)
 		}
 	}
-	return append([][]string{rest}, calls...)
+	return append([][]string{unlisted}, runs...)
 }
 
-// exists asks go which tests a package has, under the flags of the run.
-func exists(flags []string) func(pkg, test string) (bool, error) {
+// testExists returns a function that asks the go tool whether a package has a test, under the flags of the run.
+func testExists(flags []string) func(pkg, test string) (bool, error) {
 	return func(pkg, test string) (bool, error) {
 		out, err := exec.Command("go", slices.Concat([]string{"test"}, flags, []string{"-list", "^" + test + "$", "./" + pkg})...).CombinedOutput()
 		if err != nil {
@@ -81,16 +83,16 @@
 }
 
 func run(flags []string) error {
-	text, err := os.ReadFile(list)
+	text, err := os.ReadFile(listFile)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	all, err := read(string(text), exists(flags))
+	entries, err := parseList(string(text), testExists(flags))
 	if err != nil {
 		return err
 	}
-	calls := [][]string{{"./..."}}
-	if len(all) > 0 {
+	runs := [][]string{{"./..."}}
+	if len(entries) > 0 {
 		listed, err := exec.Command("go", "list", "-f", "{{.Module.Path}} {{.ImportPath}}", "./...").Output()
 		if err != nil {
 			return fmt.Errorf("go list: %w", err)
@@ -101,16 +103,16 @@
 			m, p, _ := strings.Cut(line, " ")
 			module, pkgs = m, append(pkgs, p)
 		}
-		calls = runs(all, module, pkgs)
+		runs = testRuns(entries, module, pkgs)
 	}
-	for _, e := range all {
-		fmt.Printf("known to fail, passed over: %s.%s: %s (issue %s)\n", e.pkg, e.test, e.cause, e.issue)
+	for _, e := range entries {
+		fmt.Printf("known to fail, skipped: %s.%s: %s (issue %s)\n", e.pkg, e.test, e.cause, e.issue)
 	}
 	var failed error
-	for _, args := range calls {
-		c := exec.Command("go", slices.Concat([]string{"test"}, flags, args)...)
-		c.Stdout, c.Stderr = os.Stdout, os.Stderr
-		failed = errors.Join(failed, c.Run())
+	for _, args := range runs {
+		cmd := exec.Command("go", slices.Concat([]string{"test"}, flags, args)...)
+		cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
+		failed = errors.Join(failed, cmd.Run())
 	}
 	return failed
 }
