--- a/cmd/poppymill/agent.go
+++ b/cmd/poppymill/agent.go
@@ -57,7 +57,7 @@
 func machinesAgent(ctx context.Context, cmd *cli.Command) error {
 	args := cmd.Args().Slice()
 	if len(args) < 2 {
-		return unusable(errors.New("machines agent: takes NAME ADDRESS..."))
+		return usageError(errors.New("machines agent: takes NAME ADDRESS..."))
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -65,14 +65,14 @@
 	switch text, err := os.ReadFile(cmd.String("state")); {
 	case errors.Is(err, os.ErrNotExist):
 	case err != nil:
-		return unusable(fmt.Errorf("machines agent: --state: %w", err))
+		return usageError(fmt.Errorf("machines agent: --state: %w", err))
 	default:
 		held := written{}
 		if err = json.Unmarshal(text, &held); err == nil && held.Version != stateVersion {
 			err = fmt.Errorf("version: %d, %d is read", held.Version, stateVersion)
 		}
 		if err != nil {
-			return unusable(fmt.Errorf("machines agent: --state: %s: %w", cmd.String("state"), err))
+			return usageError(fmt.Errorf("machines agent: --state: %s: %w", cmd.String("state"), err))
 		}
 		a.keeper = held.Keeper
 	}
--- a/cmd/poppymill/get.go
+++ b/cmd/poppymill/get.go
@@ -17,25 +17,25 @@
 )
 
 func getCommand() *cli.Command {
-	return &cli.Command{Name: "get", Usage: "ask a gateway for one part of an object", ArgsUsage: "OBJECT",
-		Description: "OBJECT is 16 hex digits, or any name, which is hashed to some. The body goes to standard " +
-			"output, what the answer says of itself to standard error.",
+	return &cli.Command{Name: "get", Usage: "request one part of an object from a gateway", ArgsUsage: "OBJECT",
+		Description: "OBJECT is 16 hex digits, or any other name, which is hashed to 16 hex digits. The body is written to " +
+			"standard output, status and headers of the response to standard error.",
 		Action: get, Flags: []cli.Flag{
 			&cli.StringFlag{Name: "at", Usage: "`ADDRESS` of the gateway", Value: "127.0.0.1:9000"},
 			&cli.StringFlag{Name: "type", Usage: "content `TYPE`", Value: "video"},
-			&cli.IntFlag{Name: "part", Usage: "`NUMBER` of the part, from 0"},
+			&cli.IntFlag{Name: "part", Usage: "`NUMBER` of the part, starting at 0"},
 			&cli.IntFlag{Name: "group", Usage: "`NUMBER` of the object's group, 0 to 255"},
-			&cli.DurationFlag{Name: "within", Usage: "how long to wait for the answer", Value: 2 * time.Second},
-			&cli.StringFlag{Name: "mine", Usage: "`TAG` of the copy that you hold"},
-			&cli.StringFlag{Name: "link", Usage: "signed `TOKEN`, as the query carries it"},
-			&cli.StringFlag{Name: "body", Usage: "`TEXT` to send, for types that write"},
+			&cli.DurationFlag{Name: "within", Usage: "how long to wait for the response", Value: 2 * time.Second},
+			&cli.StringFlag{Name: "mine", Usage: "`TAG` of the copy that the client already has"},
+			&cli.StringFlag{Name: "link", Usage: "signed `TOKEN`, as in the query of a link"},
+			&cli.StringFlag{Name: "body", Usage: "`TEXT` to send, for content types that write"},
 		}}
 }
 
 func get(ctx context.Context, cmd *cli.Command) error {
 	object := cmd.Args().First()
 	if object == "" {
-		return errors.New("get: no OBJECT named")
+		return errors.New("get: missing argument OBJECT")
 	}
 	object = objectID(object)
 	within := cmd.Duration("within")
@@ -76,7 +76,7 @@
 	return err
 }
 
-// objectID is an object's: 16 hex digits stand for themselves, any other name is hashed to some.
+// objectID returns the ID of an object: 16 hex digits are an ID already, any other name is hashed to one.
 func objectID(name string) string {
 	if _, err := strconv.ParseUint(name, 16, 64); err == nil && len(name) == 16 {
 		return name
--- a/cmd/poppymill/job.go
+++ b/cmd/poppymill/job.go
@@ -23,9 +23,9 @@
 )
 
 func jobCommand() *cli.Command {
-	flags := []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "one document for scripts"},
+	flags := []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "print one JSON document"},
 		&cli.DurationFlag{Name: "within", Usage: "how long the gateway may take to answer", Value: 5 * time.Second}}
-	look := append(flags[:2:2], &cli.BoolFlag{Name: "fresh", Usage: "all that was agreed before now; status 1 where no majority is there to say so"})
+	look := append(flags[:2:2], &cli.BoolFlag{Name: "fresh", Usage: "include everything agreed before now; exit status 1 if there is no majority to confirm it"})
 	return &cli.Command{Name: "job", Usage: "look at work on behalf of all gateways, and ask for it", Commands: []*cli.Command{
 		{Name: "list", Usage: "all jobs, as one gateway knows them", ArgsUsage: "ADDRESS", Flags: look, Action: jobList},
 		{Name: "show", Usage: "one job; status 1 where steps of it may have run and nobody has said", ArgsUsage: "ADDRESS NAME", Flags: look, Action: jobShow},
@@ -50,7 +50,7 @@
 // put puts a question to the gateway that the first argument names.
 func put(ctx context.Context, cmd *cli.Command, args int, q drive.Question) (drive.Reply, error) {
 	if n := cmd.Args().Len(); n != args {
-		return drive.Reply{}, unusable(fmt.Errorf("job %s: takes %s", cmd.Name, cmd.ArgsUsage))
+		return drive.Reply{}, usageError(fmt.Errorf("job %s: takes %s", cmd.Name, cmd.ArgsUsage))
 	}
 	q.Fresh = cmd.Bool("fresh")
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
@@ -178,7 +178,7 @@
 func order(ctx context.Context, cmd *cli.Command, args int, kind string, content any) error {
 	name := cmd.Args().Get(1)
 	if cmd.Args().Len() == args && name == "" {
-		return unusable(fmt.Errorf("job %s: NAME: empty", cmd.Name))
+		return usageError(fmt.Errorf("job %s: NAME: empty", cmd.Name))
 	}
 	r, err := put(ctx, cmd, args, drive.Question{About: "job", Name: name, Command: &quorum.Command{Book: owned.Book, Kind: kind, Data: canon.Encode(content)}})
 	if err != nil {
@@ -205,7 +205,7 @@
 			return order(ctx, cmd, 2, owner.Start, j)
 		}
 	}
-	return unusable(fmt.Errorf("job start: --type: %q is none of %s", cmd.String("type"), strings.Join(types, ", ")))
+	return usageError(fmt.Errorf("job start: --type: %q is none of %s", cmd.String("type"), strings.Join(types, ", ")))
 }
 
 func jobStop(ctx context.Context, cmd *cli.Command) error {
@@ -223,9 +223,9 @@
 	step, err := strconv.Atoi(cmd.Args().Get(2))
 	switch {
 	case cmd.Args().Len() == 3 && (err != nil || step < 0):
-		return unusable(fmt.Errorf("job settle: STEP: %q is no number of a step", cmd.Args().Get(2)))
+		return usageError(fmt.Errorf("job settle: STEP: %q is no number of a step", cmd.Args().Get(2)))
 	case cmd.Bool("ran") == cmd.Bool("never-ran"):
-		return unusable(errors.New("job settle: one of --ran, --never-ran and --by-record says what became of it"))
+		return usageError(errors.New("job settle: one of --ran, --never-ran and --by-record says what became of it"))
 	}
 	return order(ctx, cmd, 3, owner.Verdict, owner.Claim{Job: cmd.Args().Get(1), Step: step, Ran: cmd.Bool("ran")})
 }
@@ -237,7 +237,7 @@
 	defer cancel()
 	address, name := cmd.Args().First(), cmd.Args().Get(1)
 	if cmd.Args().Len() != 2 {
-		return unusable(errors.New("job settle --by-record: takes ADDRESS NAME"))
+		return usageError(errors.New("job settle --by-record: takes ADDRESS NAME"))
 	}
 	ask := func(address string, q drive.Question, to any) (quorum.Report, error) {
 		r, err := drive.Put(ctx, address, q)
--- a/cmd/poppymill/machines.go
+++ b/cmd/poppymill/machines.go
@@ -22,9 +22,9 @@
 )
 
 func machinesCommand() *cli.Command {
-	flags := []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "one document for scripts"},
+	flags := []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "print one JSON document"},
 		&cli.DurationFlag{Name: "within", Usage: "how long the gateway may take to answer", Value: 5 * time.Second}}
-	look := append(flags[:2:2], &cli.BoolFlag{Name: "fresh", Usage: "all that was agreed before now; status 1 where no majority is there to say so"})
+	look := append(flags[:2:2], &cli.BoolFlag{Name: "fresh", Usage: "include everything agreed before now; exit status 1 if there is no majority to confirm it"})
 	agent := append(flags[:2:2], &cli.Uint64Flag{Name: "token", Required: true, Usage: "of the grant, as `machines show` tells it"})
 	return &cli.Command{Name: "machines", Usage: "take machines out for work, in an order that the gateways settle", Commands: []*cli.Command{
 		{Name: "list", Usage: "all machines, and what differs between the operator's file and who is there", ArgsUsage: "ADDRESS", Flags: look, Action: machinesList},
@@ -58,7 +58,7 @@
 // askMachines asks the gateway that the first argument names.
 func askMachines(ctx context.Context, cmd *cli.Command, args int, q drive.Question, to any) (drive.Reply, error) {
 	if cmd.Args().Len() != args {
-		return drive.Reply{}, unusable(fmt.Errorf("machines %s: takes %s", cmd.Name, cmd.ArgsUsage))
+		return drive.Reply{}, usageError(fmt.Errorf("machines %s: takes %s", cmd.Name, cmd.ArgsUsage))
 	}
 	return putMachines(ctx, cmd, q, to)
 }
@@ -182,7 +182,7 @@
 func machinesOut(ctx context.Context, cmd *cli.Command) error {
 	names, now := cmd.Args().Slice(), time.Now()
 	if len(names) < 2 {
-		return unusable(errors.New("machines out: takes ADDRESS NAME..."))
+		return usageError(errors.New("machines out: takes ADDRESS NAME..."))
 	}
 	by, err := moment("by", cmd.String("by"), now)
 	notBefore, err2 := moment("not-before", cmd.String("not-before"), now)
@@ -190,7 +190,7 @@
 		err = fmt.Errorf("--for: %v is no time", cmd.Duration("for"))
 	}
 	if err != nil {
-		return unusable(fmt.Errorf("machines out: %w", err))
+		return usageError(fmt.Errorf("machines out: %w", err))
 	}
 	failed := 0
 	for _, name := range names[1:] {
--- a/cmd/poppymill/main.go
+++ b/cmd/poppymill/main.go
@@ -1,4 +1,5 @@
-// Command poppymill is a front for caches of large objects behind thin links.
+// Command poppymill is a gateway for caches of large objects behind links of low bandwidth. It also has the sub-commands by which
+// operators query and manage running gateways.
 package main
 
 import (
@@ -13,14 +14,14 @@
 func main() {
 	app := &cli.Command{
 		Name:     "poppymill",
-		Usage:    "a front for caches of large objects behind thin links",
+		Usage:    "gateway for caches of large objects behind links of low bandwidth",
 		Commands: []*cli.Command{serveCommand(), checkCommand(), getCommand(), linkCommand(), quorumCommand(), jobCommand(), machinesCommand(), purgeCommand(), rehearseCommand(), versionCommand()},
 	}
 	if err := app.Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "poppymill:", err)
-		var status cli.ExitCoder
-		if errors.As(err, &status) {
-			os.Exit(status.ExitCode())
+		var coder cli.ExitCoder
+		if errors.As(err, &coder) {
+			os.Exit(coder.ExitCode())
 		}
 		os.Exit(1)
 	}
--- a/cmd/poppymill/main_test.go
+++ b/cmd/poppymill/main_test.go
@@ -10,61 +10,62 @@
 	"testing"
 )
 
-// run runs the command as it is built, and returns what it prints and its exit status.
-func run(t *testing.T, binary string, args ...string) (out, errs string, status int) {
+// runBinary runs the built command and returns its output and exit status.
+func runBinary(t *testing.T, binary string, args ...string) (stdout, stderr string, status int) {
 	t.Helper()
 	cmd := exec.Command(binary, args...)
-	var o, e strings.Builder
-	cmd.Stdout, cmd.Stderr = &o, &e
+	var outBuf, errBuf strings.Builder
+	cmd.Stdout, cmd.Stderr = &outBuf, &errBuf
 	err := cmd.Run()
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
-		return o.String(), e.String(), exit.ExitCode()
+		return outBuf.String(), errBuf.String(), exit.ExitCode()
 	} else if err != nil {
 		t.Fatal(err)
 	}
-	return o.String(), e.String(), 0
+	return outBuf.String(), errBuf.String(), 0
 }
 
-// Scripts that call the command go by its exit status, its one document and the name of what is wrong.
+// Scripts that call the command rely on its exit status, on its output being one JSON document and on error messages that
+// name the file, flag or argument at fault.
 func TestRehearse(t *testing.T) {
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "poppymill")
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	const day = "about = \"x\"\ntype \"a\" {\n share = 1\n work = \"10ms\"\n target = \"100ms\"\n expiry = \"1s\"\n}\nphase \"p\" {\n" +
+	const script = "about = \"x\"\ntype \"a\" {\n share = 1\n work = \"10ms\"\n target = \"100ms\"\n expiry = \"1s\"\n}\nphase \"p\" {\n" +
 		" for = \"1s\"\n rate = 20\n expect {\n in_time = 0.0001\n }\n}\n"
-	file := func(name, text string) string {
+	writeFile := func(name, text string) string {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return path
 	}
-	good := file("good.hcl", day)
-	fails := file("fails.hcl", strings.Replace(day, "in_time = 0.0001", "hits = 1\n hits_within = \"1ms\"", 1))
-	wrong := file("wrong.hcl", strings.Replace(day, "rate = 20", "speed = 20", 1))
+	passing := writeFile("good.hcl", script)
+	failing := writeFile("fails.hcl", strings.Replace(script, "in_time = 0.0001", "hits = 1\n hits_within = \"1ms\"", 1))
+	invalid := writeFile("wrong.hcl", strings.Replace(script, "rate = 20", "speed = 20", 1))
 	for _, c := range []struct {
 		args   []string
 		status int
-		errs   string
+		stderr string
 	}{
-		{[]string{"rehearse", "check", good}, 0, ""}, {[]string{"rehearse", "run", "--virtual", good}, 0, ""},
-		{[]string{"rehearse", "run", "--virtual", fails}, 1, ""}, {[]string{"rehearse", "run", wrong}, 2, "wrong.hcl:10: Unsupported argument"},
-		{[]string{"rehearse", "run"}, 2, "one SCRIPT"}, {[]string{"rehearse", "run", "--odd", good}, 2, "odd"},
-		{[]string{"rehearse", "run", "--gateways", "0", good}, 2, "0 gateways"}, {[]string{"rehearse", "list", dir + "/none"}, 2, "no scripts"},
-		{[]string{"rehearse", "run", "--binary", dir + "/none", good}, 2, "none"},
-		{[]string{"check", "--operator", wrong}, 1, "wrong.hcl:1: Unsupported"},
+		{[]string{"rehearse", "check", passing}, 0, ""}, {[]string{"rehearse", "run", "--virtual", passing}, 0, ""},
+		{[]string{"rehearse", "run", "--virtual", failing}, 1, ""}, {[]string{"rehearse", "run", invalid}, 2, "wrong.hcl:10: Unsupported argument"},
+		{[]string{"rehearse", "run"}, 2, "one SCRIPT"}, {[]string{"rehearse", "run", "--odd", passing}, 2, "odd"},
+		{[]string{"rehearse", "run", "--gateways", "0", passing}, 2, "0 gateways"}, {[]string{"rehearse", "list", dir + "/none"}, 2, "no scripts"},
+		{[]string{"rehearse", "run", "--binary", dir + "/none", passing}, 2, "none"},
+		{[]string{"check", "--operator", invalid}, 1, "wrong.hcl:1: Unsupported"},
 		{[]string{"check", "--operator", "../../deploy/poppymill.hcl"}, 0, ""},
 	} {
-		if _, errs, status := run(t, binary, c.args...); status != c.status || !strings.Contains(errs, c.errs) {
-			t.Errorf("%v: status %d, %q", c.args, status, errs)
+		if _, stderr, status := runBinary(t, binary, c.args...); status != c.status || !strings.Contains(stderr, c.stderr) {
+			t.Errorf("%v: status %d, %q", c.args, status, stderr)
 		}
 	}
-	out, _, _ := run(t, binary, "rehearse", "run", "--virtual", "--json", "-", good)
+	out, _, _ := runBinary(t, binary, "rehearse", "run", "--virtual", "--json", "-", passing)
 	var doc struct{ Outcome struct{ Holds bool } }
 	if err := json.Unmarshal([]byte(out), &doc); err != nil || !doc.Outcome.Holds {
-		t.Errorf("one document: %v, %.200s", err, out)
+		t.Errorf("not one JSON document: %v, %.200s", err, out)
 	}
 }
--- a/cmd/poppymill/purge.go
+++ b/cmd/poppymill/purge.go
@@ -21,9 +21,9 @@
 )
 
 func purgeCommand() *cli.Command {
-	flags := []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "one document for scripts"},
+	flags := []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "print one JSON document"},
 		&cli.DurationFlag{Name: "within", Usage: "how long the gateway may take to answer", Value: 5 * time.Second}}
-	look := append(flags[:2:2], &cli.BoolFlag{Name: "fresh", Usage: "all that was agreed before now; status 1 where no majority is there to say so"})
+	look := append(flags[:2:2], &cli.BoolFlag{Name: "fresh", Usage: "include everything agreed before now; exit status 1 if there is no majority to confirm it"})
 	ask := append(flags[:2:2], &cli.StringFlag{Name: "id", Usage: "of the purge; the same again does nothing. Needed", Required: true},
 		&cli.StringFlag{Name: "club", Usage: "at one club alone"}, &cli.BoolFlag{Name: "stale", Usage: "an older copy may answer where no newer one is to be had"},
 		&cli.StringFlag{Name: "wait", Usage: "until it is sent, done (all gateways that are there say so) or effective; status 1 where some gateway did not say so by then"})
@@ -72,11 +72,11 @@
 func purgeAsk(ctx context.Context, cmd *cli.Command) error {
 	args := cmd.Args().Tail()
 	if len(args) == 0 || cmd.Name == "pattern" && len(args) > 1 {
-		return unusable(fmt.Errorf("purge %s: takes %s", cmd.Name, cmd.ArgsUsage))
+		return usageError(fmt.Errorf("purge %s: takes %s", cmd.Name, cmd.ArgsUsage))
 	}
 	wait := cmd.String("wait")
 	if wait != "" && wait != "sent" && wait != "done" && wait != "effective" {
-		return unusable(fmt.Errorf("purge %s: --wait: %q is none of sent, done, effective", cmd.Name, wait))
+		return usageError(fmt.Errorf("purge %s: --wait: %q is none of sent, done, effective", cmd.Name, wait))
 	}
 	p := purges.Purge{ID: cmd.String("id"), Club: cmd.String("club"), Stale: cmd.Bool("stale")}
 	switch cmd.Name {
@@ -88,13 +88,13 @@
 		for _, a := range args {
 			g, err := strconv.ParseInt(a, 10, 64)
 			if err != nil {
-				return unusable(fmt.Errorf("purge tag: GROUP: %q is no number", a))
+				return usageError(fmt.Errorf("purge tag: GROUP: %q is no number", a))
 			}
 			p.Groups = append(p.Groups, g)
 		}
 	}
 	if err := p.Check(); err != nil {
-		return unusable(fmt.Errorf("purge %s: %w", cmd.Name, err))
+		return usageError(fmt.Errorf("purge %s: %w", cmd.Name, err))
 	}
 	if err := purgeOrder(ctx, cmd, purges.Accept, purges.Order{Purge: &p}); err != nil {
 		return err
@@ -158,7 +158,7 @@
 
 func purgeStatus(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 2 {
-		return unusable(errors.New("purge status: takes ADDRESS ID"))
+		return usageError(errors.New("purge status: takes ADDRESS ID"))
 	}
 	x, err := onePurge(ctx, cmd, cmd.Args().Get(1))
 	if err != nil {
@@ -176,7 +176,7 @@
 // lookAt asks the one gateway that is named, and reads what it tells.
 func lookAt(ctx context.Context, cmd *cli.Command, about string, to any) (drive.Reply, error) {
 	if cmd.Args().Len() != 1 {
-		return drive.Reply{}, unusable(fmt.Errorf("purge %s: takes %s", cmd.Name, cmd.ArgsUsage))
+		return drive.Reply{}, usageError(fmt.Errorf("purge %s: takes %s", cmd.Name, cmd.ArgsUsage))
 	}
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
@@ -245,7 +245,7 @@
 
 func purgeCancel(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 2 {
-		return unusable(errors.New("purge cancel: takes ADDRESS ID"))
+		return usageError(errors.New("purge cancel: takes ADDRESS ID"))
 	}
 	if err := purgeOrder(ctx, cmd, purges.Cancel, purges.Order{ID: cmd.Args().Get(1)}); err != nil {
 		return err
--- a/cmd/poppymill/quorum.go
+++ b/cmd/poppymill/quorum.go
@@ -21,9 +21,9 @@
 )
 
 func quorumCommand() *cli.Command {
-	flags := []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "one document for scripts"},
+	flags := []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "print one JSON document"},
 		&cli.DurationFlag{Name: "within", Usage: "how long each may take to answer", Value: 2 * time.Second},
-		&cli.BoolFlag{Name: "fresh", Usage: "all that was agreed before now; status 1 where no majority is there to say so"}}
+		&cli.BoolFlag{Name: "fresh", Usage: "include everything agreed before now; exit status 1 if there is no majority to confirm it"}}
 	return &cli.Command{Name: "quorum", Usage: "ask gateways what they agree on", Commands: []*cli.Command{
 		{Name: "status", Usage: "who leads, who follows, and how far; status 1 where one does not answer or sees no majority",
 			ArgsUsage: "ADDRESS...", Flags: flags, Action: quorumStatus},
@@ -69,7 +69,7 @@
 
 func quorumStatus(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() == 0 {
-		return unusable(errors.New("quorum status: the peer ADDRESS of a gateway is to be named"))
+		return usageError(errors.New("quorum status: the peer ADDRESS of a gateway is to be named"))
 	}
 	all, holds := askAll(ctx, cmd), true
 	for _, a := range all {
@@ -102,7 +102,7 @@
 
 func quorumMembers(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 1 {
-		return unusable(errors.New("quorum members: the peer ADDRESS of one gateway is to be named"))
+		return usageError(errors.New("quorum members: the peer ADDRESS of one gateway is to be named"))
 	}
 	a := askAll(ctx, cmd)[0]
 	if a.Report == nil {
@@ -123,14 +123,14 @@
 
 func quorumRecover(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 1 {
-		return unusable(errors.New("quorum recover: the FOLDER of one store is to be named"))
+		return usageError(errors.New("quorum recover: the FOLDER of one store is to be named"))
 	}
 	books := owned.Books()
 	maps.Copy(books, machines.Books())
 	maps.Copy(books, purges.Books())
 	r, err := drive.Recover(cmd.Args().First(), books, cmd.Bool("yes"))
 	if err != nil {
-		return unusable(fmt.Errorf("quorum recover: %s: %w", cmd.Args().First(), err))
+		return usageError(fmt.Errorf("quorum recover: %s: %w", cmd.Args().First(), err))
 	}
 	if cmd.Bool("json") {
 		return document(r)
--- a/cmd/poppymill/rehearse.go
+++ b/cmd/poppymill/rehearse.go
@@ -21,34 +21,34 @@
 )
 
 func rehearseCommand() *cli.Command {
-	c := &cli.Command{Name: "rehearse", Usage: "practise a bad morning on gateways against an emulated deployment", Commands: []*cli.Command{
-		{Name: "run", Usage: "play a script", ArgsUsage: "SCRIPT", Action: rehearseRun, Flags: []cli.Flag{
-			&cli.BoolFlag{Name: "virtual", Usage: "in virtual time, in this process, the same to the byte each time"},
-			&cli.IntFlag{Name: "seed", Usage: "`NUMBER` in place of the script's"},
-			&cli.IntFlag{Name: "gateways", Usage: "`NUMBER` in place of the script's"},
-			&cli.StringFlag{Name: "logs", Usage: "keep the gateways' logs in a `DIR`"},
-			&cli.StringFlag{Name: "binary", Usage: "play another build of the gateway, a `FILE`"},
-			&cli.StringFlag{Name: "json", Usage: "write the report to a `FILE`, - for standard output"},
+	c := &cli.Command{Name: "rehearse", Usage: "run failure scenarios on gateways against an emulated deployment", Commands: []*cli.Command{
+		{Name: "run", Usage: "run a script", ArgsUsage: "SCRIPT", Action: rehearseRun, Flags: []cli.Flag{
+			&cli.BoolFlag{Name: "virtual", Usage: "run in virtual time in this process; the output is identical to the byte on each run"},
+			&cli.IntFlag{Name: "seed", Usage: "random seed `NUMBER`; overrides the script"},
+			&cli.IntFlag{Name: "gateways", Usage: "`NUMBER` of gateways; overrides the script"},
+			&cli.StringFlag{Name: "logs", Usage: "keep the gateways' logs in `DIR`"},
+			&cli.StringFlag{Name: "binary", Usage: "run another build of the gateway, the executable `FILE`"},
+			&cli.StringFlag{Name: "json", Usage: "write the report as JSON to `FILE`; - for standard output"},
 		}},
-		{Name: "check", Usage: "read a script and say what is wrong with it", ArgsUsage: "SCRIPT", Action: rehearseCheck},
-		{Name: "list", Usage: "name the scripts of a folder", ArgsUsage: "DIR", Action: rehearseList},
+		{Name: "check", Usage: "check a script and report errors", ArgsUsage: "SCRIPT", Action: rehearseCheck},
+		{Name: "list", Usage: "list the scripts of a directory", ArgsUsage: "DIR", Action: rehearseList},
 	}}
 	for _, sub := range c.Commands {
-		sub.OnUsageError = func(_ context.Context, _ *cli.Command, err error, _ bool) error { return unusable(err) }
+		sub.OnUsageError = func(_ context.Context, _ *cli.Command, err error, _ bool) error { return usageError(err) }
 	}
 	return c
 }
 
-// unusable is wrong use, or input that can't be used: exit status 2.
-func unusable(err error) error { return cli.Exit(fmt.Sprintf("poppymill: %v", err), 2) }
+// usageError is the error for wrong usage or invalid input; its exit status is 2.
+func usageError(err error) error { return cli.Exit(fmt.Sprintf("poppymill: %v", err), 2) }
 
 func loadScript(cmd *cli.Command) (*script.Script, error) {
 	if cmd.Args().Len() != 1 {
-		return nil, unusable(errors.New("rehearse: one SCRIPT is to be named"))
+		return nil, usageError(errors.New("rehearse: takes one SCRIPT"))
 	}
 	s, err := script.Load(cmd.Args().First())
 	if err != nil {
-		return nil, unusable(err)
+		return nil, usageError(err)
 	}
 	return s, nil
 }
@@ -63,27 +63,27 @@
 	}
 	if cmd.IsSet("gateways") {
 		if s.Gateways = cmd.Int("gateways"); s.Gateways < len(s.Clubs) {
-			return unusable(fmt.Errorf("rehearse: %d gateways for %d clubs", s.Gateways, len(s.Clubs)))
+			return usageError(fmt.Errorf("rehearse: %d gateways are too few for %d clubs", s.Gateways, len(s.Clubs)))
 		}
 	}
 	slack := sockets.Slack
 	if cmd.Bool("virtual") {
 		slack = 0
 	}
-	count, audit := report.New(s), auditor.New(s, slack)
-	facts := func(f world.Fact) {
+	counter, audit := report.New(s), auditor.New(s, slack)
+	observe := func(f world.Fact) {
 		audit.See(f)
-		count.See(f)
+		counter.See(f)
 	}
 	if cmd.Bool("virtual") {
-		_, err = virtual.Run(s, virtual.Options{Facts: facts})
+		_, err = virtual.Run(s, virtual.Options{Facts: observe})
 	} else {
-		err = onSockets(ctx, cmd, s, facts)
+		err = runWithProcesses(ctx, cmd, s, observe)
 	}
 	if err != nil {
 		return err
 	}
-	r := count.Report(audit)
+	r := counter.Report(audit)
 	if path := cmd.String("json"); path == "-" {
 		if err := r.JSON(os.Stdout); err != nil {
 			return err
@@ -93,7 +93,7 @@
 		if path != "" {
 			f, err := os.Create(path)
 			if err != nil {
-				return unusable(err)
+				return usageError(err)
 			}
 			if err = errors.Join(r.JSON(f), f.Close()); err != nil {
 				return err
@@ -106,37 +106,37 @@
 	return nil
 }
 
-// onSockets plays a script with real processes.
-func onSockets(ctx context.Context, cmd *cli.Command, s *script.Script, facts func(world.Fact)) error {
-	o := sockets.Options{Binary: cmd.String("binary"), Logs: cmd.String("logs"), Facts: facts}
-	if o.Binary == "" {
-		own, err := os.Executable()
+// runWithProcesses runs a script with real gateway processes over sockets.
+func runWithProcesses(ctx context.Context, cmd *cli.Command, s *script.Script, observe func(world.Fact)) error {
+	options := sockets.Options{Binary: cmd.String("binary"), Logs: cmd.String("logs"), Facts: observe}
+	if options.Binary == "" {
+		executable, err := os.Executable()
 		if err != nil {
 			return err
 		}
-		o.Binary = own
+		options.Binary = executable
 	}
-	if _, err := exec.LookPath(o.Binary); err != nil {
-		return unusable(err)
+	if _, err := exec.LookPath(options.Binary); err != nil {
+		return usageError(err)
 	}
-	if o.Logs != "" {
-		if err := os.MkdirAll(o.Logs, 0o755); err != nil {
-			return unusable(err)
+	if options.Logs != "" {
+		if err := os.MkdirAll(options.Logs, 0o755); err != nil {
+			return usageError(err)
 		}
 	}
 	if info, err := os.Stderr.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 {
-		o.Progress = func(at, length float64) {
+		options.Progress = func(at, length float64) {
 			fmt.Fprintf(os.Stderr, "\r%s: %.0f of %.0f s ", s.Name, at/1000, length/1000)
 		}
 		defer fmt.Fprintln(os.Stderr)
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	stage, err := sockets.New(s, o)
+	deployment, err := sockets.New(s, options)
 	if err != nil {
 		return err
 	}
-	return stage.Run(ctx)
+	return deployment.Run(ctx)
 }
 
 func rehearseCheck(_ context.Context, cmd *cli.Command) error {
@@ -156,15 +156,15 @@
 	}
 	files, err := filepath.Glob(filepath.Join(dir, "*.hcl"))
 	if err == nil && len(files) == 0 {
-		err = fmt.Errorf("%s: no scripts", dir)
+		err = fmt.Errorf("%s: contains no scripts", dir)
 	}
 	if err != nil {
-		return unusable(err)
+		return usageError(err)
 	}
 	for _, f := range files {
 		s, err := script.Load(f)
 		if err != nil {
-			return unusable(err)
+			return usageError(err)
 		}
 		fmt.Printf("%-24s %4.0f s  %s\n", s.Name, s.Length()/1000, s.About)
 	}
--- a/cmd/poppymill/serve.go
+++ b/cmd/poppymill/serve.go
@@ -15,17 +15,19 @@
 	"poppymill/internal/gateway"
 )
 
-// hangups is asked for before anything else is done: a SIGHUP that came first would end the process.
-var hangups = func() <-chan os.Signal {
+// reloadSignals delivers SIGHUP. It is registered at package initialization: a SIGHUP that arrived before would end the
+// process.
+var reloadSignals = func() <-chan os.Signal {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, syscall.SIGHUP)
 	return c
 }()
 
+// setupFlags are the flags of both files.
 func setupFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: "config", Usage: "the configuration `FILE`", Sources: cli.EnvVars("BALANCER_CONFIG")},
-		&cli.StringFlag{Name: "operator", Usage: "the operator's `FILE`, if there is one", Sources: cli.EnvVars("POPPYMILL_FILE")},
+		&cli.StringFlag{Name: "config", Usage: "configuration `FILE`", Sources: cli.EnvVars("BALANCER_CONFIG")},
+		&cli.StringFlag{Name: "operator", Usage: "operator's `FILE`, optional", Sources: cli.EnvVars("POPPYMILL_FILE")},
 	}
 }
 
@@ -34,12 +36,12 @@
 }
 
 func checkCommand() *cli.Command {
-	return &cli.Command{Name: "check", Usage: "read a configuration and the operator's file and say what is wrong with them",
+	return &cli.Command{Name: "check", Usage: "check a configuration and the operator's file and report errors",
 		Flags: setupFlags(), Action: check}
 }
 
-// setup reads both files; neither counts where the other can't be used.
-func setup(cmd *cli.Command) (gateway.Setup, error) {
+// loadSetup reads both files; an error in either makes both unusable.
+func loadSetup(cmd *cli.Command) (gateway.Setup, error) {
 	c, err := footprint.Load(cmd.String("config"), os.Getenv)
 	if err != nil {
 		return gateway.Setup{}, err
@@ -51,7 +53,7 @@
 func serve(ctx context.Context, cmd *cli.Command) error {
 	log := logrus.StandardLogger()
 	load := func() (gateway.Setup, error) {
-		s, err := setup(cmd)
+		s, err := loadSetup(cmd)
 		if err == nil {
 			s.Operator.Log.Apply(log)
 		}
@@ -62,10 +64,10 @@
 		return err
 	}
 	runtime.GOMAXPROCS(1)
-	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is an error of its write, and no end of all downloads
+	signal.Ignore(syscall.SIGXFSZ) // exceeding the file size limit must fail the write, not end the process and all its downloads
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	return gateway.Serve(ctx, s, gateway.Reloads{Wanted: hangups, Load: load}, log)
+	return gateway.Serve(ctx, s, gateway.Reloads{Wanted: reloadSignals, Load: load}, log)
 }
 
 func check(_ context.Context, cmd *cli.Command) error {
@@ -73,17 +75,17 @@
 		if _, err := gateway.LoadSettings(cmd.String("operator")); err != nil {
 			return err
 		}
-		fmt.Printf("%s can be used\n", cmd.String("operator"))
+		fmt.Printf("%s is valid\n", cmd.String("operator"))
 		return nil
 	}
-	s, err := setup(cmd)
+	s, err := loadSetup(cmd)
 	if err != nil {
 		return err
 	}
 	c := s.Config
-	fmt.Printf("%s on %s: %d content types, %d events known\n", c.Name, c.Listen, len(c.Types), len(c.Known))
+	fmt.Printf("%s on %s: %d content types, %d known events\n", c.Name, c.Listen, len(c.Types), len(c.Known))
 	if o := cmd.String("operator"); o != "" {
-		fmt.Printf("%s can be used\n", o)
+		fmt.Printf("%s is valid\n", o)
 	}
 	return nil
 }
--- a/cmd/poppymill/version.go
+++ b/cmd/poppymill/version.go
@@ -10,20 +10,20 @@
 )
 
 func versionCommand() *cli.Command {
-	return &cli.Command{Name: "version", Usage: "print what was built", Action: version}
+	return &cli.Command{Name: "version", Usage: "print the version, build settings and dependencies", Action: version}
 }
 
 func version(_ context.Context, _ *cli.Command) error {
-	fmt.Println("poppymill", built())
+	fmt.Println("poppymill", buildInfo())
 	return nil
 }
 
-// built tells what the tool chain has put into the binary: its own version, the revision where it knows one, the
-// build tags, and the libraries.
-func built() string {
+// buildInfo returns the build information that the Go tool chain stores in the binary: module and Go version, the
+// revision if known, the build tags, and the dependencies.
+func buildInfo() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return "of an unknown build"
+		return "(build information not available)"
 	}
 	text := info.Main.Version + " " + info.GoVersion
 	for _, s := range info.Settings {
