--- a/cmd/poppymill/agent.go
+++ b/cmd/poppymill/agent.go
@@ -24,34 +24,35 @@
 )
 
 func agentCommand() *cli.Command {
-	return &cli.Command{Name: "agent", Usage: "run on a machine: begins when it is granted, goes only once the gateways agree, works, and says when it is back",
+	return &cli.Command{Name: "agent", Usage: "run the maintenance agent of a machine: drain on a grant, run the work once the gateways agree, and report the machine back",
 		ArgsUsage: "NAME ADDRESS...", Action: machinesAgent, Flags: []cli.Flag{
-			&cli.StringFlag{Name: "state", Required: true, Usage: "`FILE` in which it writes down how far it has come; it survives restarts of agent and machine"},
-			&cli.StringFlag{Name: "drain", Usage: "shell command that is run when it may begin, before it asks to go"},
-			&cli.StringFlag{Name: "work", Required: true, Usage: "shell command that does the work; it may end the machine"},
-			&cli.StringFlag{Name: "ready", Usage: "shell command that ends with 0 once all that stands on the machine runs"},
-			&cli.DurationFlag{Name: "every", Value: time.Second, Usage: "how often it looks"},
-			&cli.DurationFlag{Name: "within", Value: 3 * time.Second, Usage: "how long a gateway may take to answer"},
-			&cli.BoolFlag{Name: "once", Usage: "end once the machine was out and is in again"},
+			&cli.StringFlag{Name: "state", Required: true, Usage: "`FILE` that stores the progress over restarts of agent and machine"},
+			&cli.StringFlag{Name: "drain", Usage: "shell command to run once the request is granted, before the agent asks to go out"},
+			&cli.StringFlag{Name: "work", Required: true, Usage: "shell command that does the work; it may restart or shut down the machine"},
+			&cli.StringFlag{Name: "ready", Usage: "shell command that exits with 0 once everything on the machine is running"},
+			&cli.DurationFlag{Name: "every", Value: time.Second, Usage: "polling interval"},
+			&cli.DurationFlag{Name: "within", Value: 3 * time.Second, Usage: "timeout of a request to one gateway"},
+			&cli.BoolFlag{Name: "once", Usage: "exit once the machine was out and is in again"},
 		}}
 }
 
-// written is what an agent keeps over restarts.
-type written struct {
+// agentState is the file that an agent keeps over restarts.
+type agentState struct {
 	Version int `json:"version"`
 	maintenance.Keeper
 }
 
+// stateVersion is the version of the file format.
 const stateVersion = 1
 
-// agent is one machine's, running.
+// agent is the running maintenance agent of one machine.
 type agent struct {
-	cmd       *cli.Command
-	name      string
-	addresses []string
-	first     int // the gateway that answered last
-	keeper    maintenance.Keeper
-	log       logrus.FieldLogger
+	cmd          *cli.Command
+	name         string
+	addresses    []string // of gateways
+	lastAnswered int      // index of the gateway that answered last
+	keeper       maintenance.Keeper
+	log          logrus.FieldLogger
 }
 
 func machinesAgent(ctx context.Context, cmd *cli.Command) error {
@@ -67,21 +68,21 @@
 	case err != nil:
 		return usageError(fmt.Errorf("machines agent: --state: %w", err))
 	default:
-		held := written{}
-		if err = json.Unmarshal(text, &held); err == nil && held.Version != stateVersion {
-			err = fmt.Errorf("version: %d, %d is read", held.Version, stateVersion)
+		saved := agentState{}
+		if err = json.Unmarshal(text, &saved); err == nil && saved.Version != stateVersion {
+			err = fmt.Errorf("version: %d, %d is read", saved.Version, stateVersion)
 		}
 		if err != nil {
 			return usageError(fmt.Errorf("machines agent: --state: %s: %w", cmd.String("state"), err))
 		}
-		a.keeper = held.Keeper
+		a.keeper = saved.Keeper
 	}
 	for ctx.Err() == nil {
-		over, err := a.look(ctx)
+		finished, err := a.step(ctx)
 		if err != nil {
 			a.log.WithError(err).Warn("machines agent")
 		}
-		if over && cmd.Bool("once") {
+		if finished && cmd.Bool("once") {
 			return nil
 		}
 		select {
@@ -92,87 +93,88 @@
 	return nil
 }
 
-// look does what is next.
-func (a *agent) look(ctx context.Context) (over bool, err error) {
+// step asks the gateways for the state of the machine and does what is next. It reports whether a request is finished.
+func (a *agent) step(ctx context.Context) (finished bool, err error) {
 	var m machines.Machine
-	if err := a.put(ctx, drive.Question{About: "machine", Name: a.name, Fresh: true}, &m); err != nil {
+	if err := a.query(ctx, drive.Question{About: "machine", Name: a.name, Fresh: true}, &m); err != nil {
 		return false, err
 	}
-	switch deed := a.keeper.Next(m.Work); deed {
+	switch action := a.keeper.Next(m.Work); action {
 	case maintenance.DoDrain:
-		if err := a.run(ctx, "drain", m.Work.Token); err != nil {
+		if err := a.runCommand(ctx, "drain", m.Work.Token); err != nil {
 			return false, err
 		}
-		return false, a.order(ctx, maintenance.Drain, m.Work.Token)
+		return false, a.submit(ctx, maintenance.Drain, m.Work.Token)
 	case maintenance.DoGo:
-		return false, a.order(ctx, maintenance.Go, m.Work.Token)
+		return false, a.submit(ctx, maintenance.Go, m.Work.Token)
 	case maintenance.DoWork:
 		a.keeper.Begin(m.Work.Token)
-		if err := a.save(); err != nil {
-			return false, err // nothing is begun that is not written down
+		if err := a.saveState(); err != nil {
+			return false, err // the work must not begin before its start is on disk
 		}
-		a.log.WithField("token", m.Work.Token).Info("out: the work begins")
-		failed := a.run(ctx, "work", m.Work.Token)
+		a.log.WithField("token", m.Work.Token).Info("machine is out, starting the work")
+		workErr := a.runCommand(ctx, "work", m.Work.Token)
 		if ctx.Err() != nil {
-			return false, ctx.Err() // told to end amid the work, as by the machine's own end: it is seen at the next start what became of it
+			return false, ctx.Err() // stopped during the work, for example by the shutdown of the machine: the next start finds out the result
 		}
-		a.keeper.End(failed == nil)
-		return false, errors.Join(failed, a.save()) // one that failed stays out until somebody says `machines back`
+		a.keeper.End(workErr == nil)
+		return false, errors.Join(workErr, a.saveState()) // after a failure the machine stays out until somebody runs `machines back`
 	case maintenance.DoReady:
-		if err := a.run(ctx, "ready", m.Work.Token); err != nil {
+		if err := a.runCommand(ctx, "ready", m.Work.Token); err != nil {
 			return false, nil // not yet
 		}
-		a.log.Info("back")
-		return false, a.order(ctx, maintenance.Back, m.Work.Token)
+		a.log.Info("machine is back")
+		return false, a.submit(ctx, maintenance.Back, m.Work.Token)
 	case maintenance.Finished:
 		a.keeper.Over()
-		return true, a.save()
+		return true, a.saveState()
 	}
 	return false, nil
 }
 
-// put asks one gateway after another, the one that answered last first.
-func (a *agent) put(ctx context.Context, q drive.Question, to any) (err error) {
+// query asks one gateway after another, starting with the one that answered last, and stores the body of the reply in dst.
+func (a *agent) query(ctx context.Context, q drive.Question, dst any) (err error) {
 	for i := range a.addresses {
-		n := (a.first + i) % len(a.addresses)
-		within, cancel := context.WithTimeout(ctx, a.cmd.Duration("within"))
-		r, failed := drive.Put(within, a.addresses[n], q)
+		n := (a.lastAnswered + i) % len(a.addresses)
+		queryCtx, cancel := context.WithTimeout(ctx, a.cmd.Duration("within"))
+		r, queryErr := drive.Put(queryCtx, a.addresses[n], q)
 		cancel()
-		if failed != nil {
-			err = errors.Join(err, fmt.Errorf("%s: %w", a.addresses[n], failed))
+		if queryErr != nil {
+			err = errors.Join(err, fmt.Errorf("%s: %w", a.addresses[n], queryErr))
 			continue
 		}
-		if a.first = n; r.Error != "" {
+		if a.lastAnswered = n; r.Error != "" {
 			if !r.Report.Majority {
-				err = errors.Join(err, fmt.Errorf("%s: %s, and it sees no majority", a.addresses[n], r.Error))
+				err = errors.Join(err, fmt.Errorf("%s: %s (it sees no majority)", a.addresses[n], r.Error))
 				continue
 			}
 			return errors.New(r.Error)
 		}
-		return json.Unmarshal(r.Body, to)
+		return json.Unmarshal(r.Body, dst)
 	}
 	return err
 }
 
-// order has a step agreed. What the log refuses for now, as some gateway is not done with the machine, is no error: it asks again.
-func (a *agent) order(ctx context.Context, kind string, token uint64) error {
+// submit has the gateways agree on a command for the machine. A refusal for now, as some gateway is not done with the machine or
+// a limit is reached, is not an error: the agent asks again.
+func (a *agent) submit(ctx context.Context, kind string, token uint64) error {
 	var m machines.Machine
-	err := a.put(ctx, drive.Question{About: "machine", Name: a.name, Command: &quorum.Command{Book: machines.Book, Kind: kind,
+	err := a.query(ctx, drive.Question{About: "machine", Name: a.name, Command: &quorum.Command{Book: machines.Book, Kind: kind,
 		Data: canon.Encode(maintenance.Order{At: float64(time.Now().UnixMilli()), Machine: a.name, Token: token})}}, &m)
 	if err != nil && (strings.Contains(err.Error(), maintenance.ErrWaits.Error()) || strings.Contains(err.Error(), "limit: ")) {
-		a.log.WithField("why", err).Debug("may not go yet")
+		a.log.WithField("why", err).Debug("the machine may not go out yet")
 		return nil
 	}
 	return err
 }
 
-// run runs one of the operator's commands; none is none that fails.
-func (a *agent) run(ctx context.Context, flag string, token uint64) error {
-	text := a.cmd.String(flag)
-	if text == "" {
+// runCommand runs one of the operator's shell commands; an empty command succeeds.
+func (a *agent) runCommand(ctx context.Context, flag string, token uint64) error {
+	command := a.cmd.String(flag)
+	if command == "" {
 		return nil
 	}
-	c := exec.CommandContext(ctx, "/bin/sh", "-c", text)
+	c := exec.CommandContext(ctx, "/bin/sh", "-c", command)
 	c.Env = append(os.Environ(), "MACHINE="+a.name, fmt.Sprintf("TOKEN=%d", token))
 	c.Stdout, c.Stderr = os.Stderr, os.Stderr
 	if err := c.Run(); err != nil {
@@ -181,9 +183,9 @@
 	return nil
 }
 
-// save writes down how far it has come, whole or not at all, and synced.
-func (a *agent) save() error {
-	text, err := json.Marshal(written{stateVersion, a.keeper})
+// saveState replaces the state file atomically and syncs file and directory.
+func (a *agent) saveState() error {
+	text, err := json.Marshal(agentState{stateVersion, a.keeper})
 	if err != nil {
 		return err
 	}
--- a/cmd/poppymill/purge.go
+++ b/cmd/poppymill/purge.go
@@ -15,31 +15,32 @@
 
 	"poppymill/internal/canon"
 	"poppymill/internal/purges"
-	driver "poppymill/internal/purges/drive"
+	purgesdrive "poppymill/internal/purges/drive"
 	"poppymill/internal/quorum"
 	"poppymill/internal/quorum/drive"
 )
 
 func purgeCommand() *cli.Command {
 	flags := []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "print one JSON document"},
-		&cli.DurationFlag{Name: "within", Usage: "how long the gateway may take to answer", Value: 5 * time.Second}}
-	look := append(flags[:2:2], &cli.BoolFlag{Name: "fresh", Usage: "include everything agreed before now; exit status 1 if there is no majority to confirm it"})
-	ask := append(flags[:2:2], &cli.StringFlag{Name: "id", Usage: "of the purge; the same again does nothing. Needed", Required: true},
-		&cli.StringFlag{Name: "club", Usage: "at one club alone"}, &cli.BoolFlag{Name: "stale", Usage: "an older copy may answer where no newer one is to be had"},
-		&cli.StringFlag{Name: "wait", Usage: "until it is sent, done (all gateways that are there say so) or effective; status 1 where some gateway did not say so by then"})
-	return &cli.Command{Name: "purge", Usage: "have copies of objects end at all gateways, and look how far that is", Commands: []*cli.Command{
-		{Name: "objects", Usage: "by name", ArgsUsage: "ADDRESS OBJECT...", Flags: ask, Action: purgeAsk},
-		{Name: "tag", Usage: "by number of their group", ArgsUsage: "ADDRESS GROUP...", Flags: ask, Action: purgeAsk},
-		{Name: "pattern", Usage: "by a regular expression of the whole name", ArgsUsage: "ADDRESS PATTERN", Flags: ask, Action: purgeAsk},
-		{Name: "status", Usage: "one purge; status 1 where it is past its time and some gateway has not said that it goes by it", ArgsUsage: "ADDRESS ID", Flags: look, Action: purgeStatus},
-		{Name: "list", Usage: "all that are remembered, in their order", ArgsUsage: "ADDRESS", Flags: look, Action: purgeList},
-		{Name: "followers", Usage: "how far each gateway goes by what went out; status 1 where one that is there does not go by all of it", ArgsUsage: "ADDRESS", Flags: look, Action: purgeFollowers},
-		{Name: "cancel", Usage: "have nothing more of one go out", ArgsUsage: "ADDRESS ID", Flags: flags, Action: purgeCancel},
+		&cli.DurationFlag{Name: "within", Usage: "timeout of the request to the gateway", Value: 5 * time.Second}}
+	queryFlags := append(flags[:2:2], &cli.BoolFlag{Name: "fresh", Usage: "include everything agreed before now; exit status 1 if there is no majority to confirm it"})
+	requestFlags := append(flags[:2:2], &cli.StringFlag{Name: "id", Usage: "id of the purge; repeating a purge with the same id has no effect", Required: true},
+		&cli.StringFlag{Name: "club", Usage: "purge at this club only"}, &cli.BoolFlag{Name: "stale", Usage: "an older copy may still be served if no newer one is available"},
+		&cli.StringFlag{Name: "wait", Usage: "wait until the purge is sent, done (confirmed by all present gateways) or effective; exit status 1 if a gateway has not confirmed it by then"})
+	return &cli.Command{Name: "purge", Usage: "purge copies of objects at all gateways, and show the progress", Commands: []*cli.Command{
+		{Name: "objects", Usage: "purge objects by name", ArgsUsage: "ADDRESS OBJECT...", Flags: requestFlags, Action: purgeRequest},
+		{Name: "tag", Usage: "purge objects by the number of their group", ArgsUsage: "ADDRESS GROUP...", Flags: requestFlags, Action: purgeRequest},
+		{Name: "pattern", Usage: "purge objects by a regular expression that matches the whole name", ArgsUsage: "ADDRESS PATTERN", Flags: requestFlags, Action: purgeRequest},
+		{Name: "status", Usage: "show one purge; exit status 1 if it should be effective and a gateway has not confirmed it", ArgsUsage: "ADDRESS ID", Flags: queryFlags, Action: purgeStatus},
+		{Name: "list", Usage: "list the remembered purges in order", ArgsUsage: "ADDRESS", Flags: queryFlags, Action: purgeList},
+		{Name: "followers", Usage: "show which purges each gateway has applied; exit status 1 if a present gateway has not applied all that were sent", ArgsUsage: "ADDRESS", Flags: queryFlags, Action: purgeFollowers},
+		{Name: "cancel", Usage: "cancel a purge: no further batches are sent", ArgsUsage: "ADDRESS ID", Flags: flags, Action: purgeCancel},
 	}}
 }
 
-// order has a command agreed by the gateway that the first argument names.
-func purgeOrder(ctx context.Context, cmd *cli.Command, kind string, o purges.Order) error {
+// submitPurgeCommand has the gateways agree on a command, through the gateway at the address in the first argument. A new purge gets
+// the limits of that gateway.
+func submitPurgeCommand(ctx context.Context, cmd *cli.Command, kind string, o purges.Order) error {
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
 	address := cmd.Args().First()
@@ -57,19 +58,19 @@
 		}
 	}
 	o.At = float64(time.Now().UnixMilli())
-	r, err := drive.Put(ctx, address, drive.Question{Command: &quorum.Command{Book: driver.Book, Kind: kind, Data: canon.Encode(o)}})
+	r, err := drive.Put(ctx, address, drive.Question{Command: &quorum.Command{Book: purgesdrive.Book, Kind: kind, Data: canon.Encode(o)}})
 	switch {
 	case err != nil:
-		return cli.Exit(fmt.Sprintf("purge %s: %s: %v; it may have been accepted: ask again with the same id", cmd.Name, address, err), 1)
+		return cli.Exit(fmt.Sprintf("purge %s: %s: %v; the command may have been accepted: repeat it with the same id", cmd.Name, address, err), 1)
 	case r.Error == quorum.ErrGivenUp.Error():
-		return cli.Exit(fmt.Sprintf("purge %s: %s: %s: ask again with the same id, or look with status", cmd.Name, address, r.Error), 1)
+		return cli.Exit(fmt.Sprintf("purge %s: %s: %s: repeat the command with the same id, or check with purge status", cmd.Name, address, r.Error), 1)
 	case r.Error != "":
 		return cli.Exit(fmt.Sprintf("purge %s: %s: %s", cmd.Name, address, r.Error), 1)
 	}
 	return nil
 }
 
-func purgeAsk(ctx context.Context, cmd *cli.Command) error {
+func purgeRequest(ctx context.Context, cmd *cli.Command) error {
 	args := cmd.Args().Tail()
 	if len(args) == 0 || cmd.Name == "pattern" && len(args) > 1 {
 		return usageError(fmt.Errorf("purge %s: takes %s", cmd.Name, cmd.ArgsUsage))
@@ -86,31 +87,31 @@
 		p.Pattern = args[0]
 	case "tag":
 		for _, a := range args {
-			g, err := strconv.ParseInt(a, 10, 64)
+			group, err := strconv.ParseInt(a, 10, 64)
 			if err != nil {
-				return usageError(fmt.Errorf("purge tag: GROUP: %q is no number", a))
+				return usageError(fmt.Errorf("purge tag: GROUP: %q is not a number", a))
 			}
-			p.Groups = append(p.Groups, g)
+			p.Groups = append(p.Groups, group)
 		}
 	}
 	if err := p.Check(); err != nil {
 		return usageError(fmt.Errorf("purge %s: %w", cmd.Name, err))
 	}
-	if err := purgeOrder(ctx, cmd, purges.Accept, purges.Order{Purge: &p}); err != nil {
+	if err := submitPurgeCommand(ctx, cmd, purges.Accept, purges.Order{Purge: &p}); err != nil {
 		return err
 	}
 	for {
-		x, err := onePurge(ctx, cmd, p.ID)
+		x, err := queryPurge(ctx, cmd, p.ID)
 		if err != nil {
 			return err
 		}
-		late := float64(time.Now().UnixMilli()) > x.Effective
-		over := wait == "" || wait == "sent" && x.Next == len(x.Purge.Objects) || x.Stage == purges.Done.String() || x.Stage == purges.Cancelled.String()
-		if over || late {
-			if err := showPurge(cmd, x); err != nil {
+		overdue := float64(time.Now().UnixMilli()) > x.Effective
+		reached := wait == "" || wait == "sent" && x.Next == len(x.Purge.Objects) || x.Stage == purges.Done.String() || x.Stage == purges.Cancelled.String()
+		if reached || overdue {
+			if err := printPurge(cmd, x); err != nil {
 				return err
 			}
-			if late && !over && len(x.Waits) > 0 {
+			if overdue && !reached && len(x.Waits) > 0 {
 				return cli.Exit("", 1)
 			}
 			return nil
@@ -123,7 +124,8 @@
 	}
 }
 
-func onePurge(ctx context.Context, cmd *cli.Command, id string) (x driver.Purge, err error) {
+// queryPurge queries one purge by its id.
+func queryPurge(ctx context.Context, cmd *cli.Command, id string) (x purgesdrive.Purge, err error) {
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
 	r, err := drive.Put(ctx, cmd.Args().First(), drive.Question{About: "purge", Name: id, Fresh: cmd.Bool("fresh")})
@@ -139,19 +141,20 @@
 	return x, nil
 }
 
-func showPurge(cmd *cli.Command, x driver.Purge) error {
+// printPurge prints one purge as a text or as JSON.
+func printPurge(cmd *cli.Command, x purgesdrive.Purge) error {
 	if cmd.Bool("json") {
-		return document(x)
+		return printJSON(x)
 	}
-	fmt.Printf("purge %s: %s; accepted %s, place %d, effective by %s\n", x.Purge.ID, x.Stage, clock(x.Accepted), x.Place, clock(x.Effective))
+	fmt.Printf("purge %s: %s; accepted %s, position %d, effective by %s\n", x.Purge.ID, x.Stage, formatTime(x.Accepted), x.Place, formatTime(x.Effective))
 	if n := len(x.Purge.Objects); n > 0 {
-		fmt.Printf("%d of %d objects have gone out, %d of them by a newer purge\n", x.Next, n, x.Newer)
+		fmt.Printf("%d of %d objects sent, %d of them already covered by a newer purge\n", x.Next, n, x.Newer)
 	}
 	if len(x.Waits) > 0 {
-		fmt.Printf("waits for word of %s\n", strings.Join(x.Waits, ", "))
+		fmt.Printf("waits for confirmation by %s\n", strings.Join(x.Waits, ", "))
 	}
 	if len(x.Without) > 0 {
-		fmt.Printf("without word of %s: lost, and blind since\n", strings.Join(x.Without, ", "))
+		fmt.Printf("not confirmed by %s: lost, and without news of purges since\n", strings.Join(x.Without, ", "))
 	}
 	return nil
 }
@@ -160,11 +163,11 @@
 	if cmd.Args().Len() != 2 {
 		return usageError(errors.New("purge status: takes ADDRESS ID"))
 	}
-	x, err := onePurge(ctx, cmd, cmd.Args().Get(1))
+	x, err := queryPurge(ctx, cmd, cmd.Args().Get(1))
 	if err != nil {
 		return err
 	}
-	if err := showPurge(cmd, x); err != nil {
+	if err := printPurge(cmd, x); err != nil {
 		return err
 	}
 	if len(x.Waits) > 0 && float64(time.Now().UnixMilli()) > x.Effective {
@@ -173,8 +176,8 @@
 	return nil
 }
 
-// lookAt asks the one gateway that is named, and reads what it tells.
-func lookAt(ctx context.Context, cmd *cli.Command, about string, to any) (drive.Reply, error) {
+// queryPurges queries the gateway at the address in the only argument and stores the body of the reply in dst.
+func queryPurges(ctx context.Context, cmd *cli.Command, about string, dst any) (drive.Reply, error) {
 	if cmd.Args().Len() != 1 {
 		return drive.Reply{}, usageError(fmt.Errorf("purge %s: takes %s", cmd.Name, cmd.ArgsUsage))
 	}
@@ -185,7 +188,7 @@
 		err = errors.New(r.Error)
 	}
 	if err == nil {
-		err = json.Unmarshal(r.Body, to)
+		err = json.Unmarshal(r.Body, dst)
 	}
 	if err != nil {
 		return r, cli.Exit(fmt.Sprintf("purge %s: %s: %v", cmd.Name, cmd.Args().First(), err), 1)
@@ -194,51 +197,51 @@
 }
 
 func purgeFollowers(ctx context.Context, cmd *cli.Command) error {
-	var all struct {
-		Last     uint64            `json:"last"`
-		Gateways []driver.Follower `json:"gateways"`
+	var reply struct {
+		Last     uint64                 `json:"last"`
+		Gateways []purgesdrive.Follower `json:"gateways"`
 	}
-	r, err := lookAt(ctx, cmd, "purge followers", &all)
+	r, err := queryPurges(ctx, cmd, "purge followers", &reply)
 	if err != nil {
 		return err
 	}
-	holds := true
-	for _, g := range all.Gateways {
-		holds = holds && (g.Follows || !g.There)
+	allFollow := true
+	for _, g := range reply.Gateways {
+		allFollow = allFollow && (g.Follows || !g.There)
 	}
 	if cmd.Bool("json") {
-		err = document(map[string]any{"view": r.Report, "last": all.Last, "holds": holds, "gateways": all.Gateways})
+		err = printJSON(map[string]any{"view": r.Report, "last": reply.Last, "holds": allFollow, "gateways": reply.Gateways})
 	} else {
 		t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-		fmt.Fprintf(t, "%s; something went out last at %d\nGATEWAY\tTHERE\tSINCE\tGOES BY ALL UP TO\tFOLLOWS\n", view(r), all.Last)
-		for _, g := range all.Gateways {
-			fmt.Fprintf(t, "%s\t%t\t%s\t%d\t%t\n", g.Name, g.There, clock(g.Since), g.Seen, g.Follows)
+		fmt.Fprintf(t, "%s; last sent at index %d\nGATEWAY\tTHERE\tSINCE\tGOES BY ALL UP TO\tFOLLOWS\n", viewHeader(r), reply.Last)
+		for _, g := range reply.Gateways {
+			fmt.Fprintf(t, "%s\t%t\t%s\t%d\t%t\n", g.Name, g.There, formatTime(g.Since), g.Seen, g.Follows)
 		}
 		err = t.Flush()
 	}
-	if err == nil && !holds {
+	if err == nil && !allFollow {
 		return cli.Exit("", 1)
 	}
 	return err
 }
 
 func purgeList(ctx context.Context, cmd *cli.Command) error {
-	var all struct {
-		Held   int            `json:"held"`
-		Floor  float64        `json:"floor"`
-		Purges []driver.Purge `json:"purges"`
+	var reply struct {
+		Held   int                 `json:"held"`
+		Floor  float64             `json:"floor"`
+		Purges []purgesdrive.Purge `json:"purges"`
 	}
-	r, err := lookAt(ctx, cmd, "purges", &all)
+	r, err := queryPurges(ctx, cmd, "purges", &reply)
 	if err != nil {
 		return err
 	}
 	if cmd.Bool("json") {
-		return document(map[string]any{"view": r.Report, "held": all.Held, "floor": all.Floor, "purges": all.Purges})
+		return printJSON(map[string]any{"view": r.Report, "held": reply.Held, "floor": reply.Floor, "purges": reply.Purges})
 	}
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "%s; %d bounds held\nPURGE\tIS\tPLACE\tACCEPTED\tEFFECTIVE BY\tCLUB\tSENT\tWAITS FOR\n", view(r), all.Held)
-	for _, x := range all.Purges {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\t%d\t%s\n", x.Purge.ID, x.Stage, x.Place, clock(x.Accepted), clock(x.Effective), dash(x.Purge.Club), x.Next, dash(strings.Join(x.Waits, ", ")))
+	fmt.Fprintf(t, "%s; %d bounds remembered\nPURGE\tIS\tPLACE\tACCEPTED\tEFFECTIVE BY\tCLUB\tSENT\tWAITS FOR\n", viewHeader(r), reply.Held)
+	for _, x := range reply.Purges {
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\t%d\t%s\n", x.Purge.ID, x.Stage, x.Place, formatTime(x.Accepted), formatTime(x.Effective), orDash(x.Purge.Club), x.Next, orDash(strings.Join(x.Waits, ", ")))
 	}
 	return t.Flush()
 }
@@ -247,12 +250,12 @@
 	if cmd.Args().Len() != 2 {
 		return usageError(errors.New("purge cancel: takes ADDRESS ID"))
 	}
-	if err := purgeOrder(ctx, cmd, purges.Cancel, purges.Order{ID: cmd.Args().Get(1)}); err != nil {
+	if err := submitPurgeCommand(ctx, cmd, purges.Cancel, purges.Order{ID: cmd.Args().Get(1)}); err != nil {
 		return err
 	}
-	x, err := onePurge(ctx, cmd, cmd.Args().Get(1))
+	x, err := queryPurge(ctx, cmd, cmd.Args().Get(1))
 	if err != nil {
 		return err
 	}
-	return showPurge(cmd, x)
+	return printPurge(cmd, x)
 }
