--- a/cmd/poppymill/quorum.go
+++ b/cmd/poppymill/quorum.go
@@ -15,7 +15,7 @@
 
 	machines "poppymill/internal/maintenance/drive"
 	jobs "poppymill/internal/owner/drive"
-	purges "poppymill/internal/purges/drive"
+	purgesdrive "poppymill/internal/purges/drive"
 	"poppymill/internal/quorum"
 	"poppymill/internal/quorum/drive"
 )
@@ -129,7 +129,7 @@
 	}
 	books := jobs.Books()
 	maps.Copy(books, machines.Books())
-	maps.Copy(books, purges.Books())
+	maps.Copy(books, purgesdrive.Books())
 	r, err := drive.Recover(cmd.Args().First(), books, cmd.Bool("yes"))
 	if err != nil {
 		return usageError(fmt.Errorf("quorum recover: %s: %w", cmd.Args().First(), err))
--- a/internal/bite/crossings.go
+++ b/internal/bite/crossings.go
@@ -1,13 +1,14 @@
 package main
 
+// The packages whose tests are run.
 const (
 	clientsPackage = "./internal/clients"
 	cachesPackage  = "./internal/caches"
 	routerPackage  = "./router"
 )
 
-// crossings are the mends of events that cross (docs/notes/crossings.md), each taken out.
-var crossings = []fault{
+// raceFaults undo, one at a time, the fixes for races between concurrent events (docs/notes/crossings.md).
+var raceFaults = []fault{
 	{"a request read while its connection ends is accepted", "internal/clients/serve.go", "\t\tif c.shut {\n", "\t\tif false {\n", clientsPackage, "TestReadAsItEnds"},
 	{"after the last response the connection still accepts requests", "internal/clients/serve.go", "c.shut = c.shut || finish", "_ = finish", clientsPackage, "TestReadAsItEnds"},
 	{"a connection closes with unread bytes", "internal/clients/serve.go", "\t\t\tc.part()\n", "\t\t\tc.nc.Close()\n", clientsPackage, "TestUnreadAsItEnds"},
--- a/internal/bite/main.go
+++ b/internal/bite/main.go
@@ -1,6 +1,8 @@
-// Command bite puts faults into a copy of the code, one at a time, and tells whether the test that is named for each catches it.
-// A fault that is not caught is a test that is missing. `go run ./internal/bite` from the root takes some minutes; `go run ./internal/bite internal/owner` puts in
-// those of files so named alone.
+// Command bite is a mutation test: it injects faults into a copy of the code, one at a time, and reports whether the test named for
+// each fault fails. A fault that no test catches shows a missing test.
+//
+//	go run ./internal/bite                 # all faults, from the module root; takes some minutes
+//	go run ./internal/bite internal/owner  # only faults in files whose path contains the argument
 package main
 
 import (
@@ -12,12 +14,13 @@
 	"strings"
 )
 
-// fault is one line of the code put wrong, and the test that must fail for it.
+// fault replaces a text that occurs exactly once in a file. Package dir must still build, and its tests that match test must fail.
 type fault struct {
 	name, file, from, to string
 	dir, test            string
 }
 
+// The packages whose tests are run.
 const (
 	quorumPackage      = "./internal/quorum"
 	quorumDrivePackage = "./internal/quorum/drive"
@@ -29,6 +32,7 @@
 	ownerDrivePackage  = "./internal/owner/drive"
 )
 
+// faults are the faults in all parts of the gateway; raceFaults has more.
 var faults = []fault{
 	{"save without sync", "internal/quorum/node.go", "\t\tn.save(rec, done)\n",
 		"\t\tif rec.Snapshot == nil {\n\t\t\trec.Hard, rec.Entries = nil, nil\n\t\t}\n\t\tn.save(rec, func() {})\n\t\tdone()\n", quorumPackage, "TestAgrees"},
@@ -129,6 +133,7 @@
 	}
 }
 
+// run copies the module to a directory and tries each fault there.
 func run(dir string) error {
 	for _, part := range []string{"go.mod", "go.sum", "internal", "router"} {
 		if out, err := exec.Command("cp", "-r", part, dir).CombinedOutput(); err != nil {
@@ -136,47 +141,47 @@
 		}
 	}
 	missed := 0
-	for _, f := range slices.Concat(faults, crossings) {
+	for _, f := range slices.Concat(faults, raceFaults) {
 		if len(os.Args) > 1 && !strings.Contains(f.file, os.Args[1]) {
 			continue
 		}
 		path := filepath.Join(dir, f.file)
-		good, err := os.ReadFile(path)
+		original, err := os.ReadFile(path)
 		if err != nil {
 			return err
 		}
-		if strings.Count(string(good), f.from) != 1 {
-			return fmt.Errorf("%s: %s: the line to be put wrong is not there once", f.file, f.name)
+		if strings.Count(string(original), f.from) != 1 {
+			return fmt.Errorf("%s: %s: the text to replace does not occur exactly once", f.file, f.name)
 		}
-		if err := os.WriteFile(path, []byte(strings.Replace(string(good), f.from, f.to, 1)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(strings.Replace(string(original), f.from, f.to, 1)), 0o600); err != nil {
 			return err
 		}
-		vet := exec.Command("go", "build", f.dir)
-		vet.Dir = dir
-		if out, err := vet.CombinedOutput(); err != nil {
+		build := exec.Command("go", "build", f.dir)
+		build.Dir = dir
+		if out, err := build.CombinedOutput(); err != nil {
 			return fmt.Errorf("%s: does not build: %s", f.name, out)
 		}
 		test := exec.Command("go", "test", "-count=1", "-timeout", "120s", "-run", f.test, f.dir)
 		test.Dir = dir
 		out, err := test.CombinedOutput()
-		verdict, first := "caught", ""
+		verdict, firstFailure := "caught", ""
 		if err == nil {
 			verdict = "MISSED"
 			missed++
 		}
 		for _, l := range strings.Split(string(out), "\n") {
 			if l = strings.TrimSpace(l); strings.HasPrefix(l, "--- FAIL") || strings.HasPrefix(l, "panic: ") {
-				first = l
+				firstFailure = l
 				break
 			}
 		}
-		fmt.Printf("%-42s %s  %s\n", f.name, verdict, first)
-		if err := os.WriteFile(path, good, 0o600); err != nil {
+		fmt.Printf("%-42s %s  %s\n", f.name, verdict, firstFailure)
+		if err := os.WriteFile(path, original, 0o600); err != nil {
 			return err
 		}
 	}
 	if missed > 0 {
-		return fmt.Errorf("%d of %d faults are caught by nothing", missed, len(faults))
+		return fmt.Errorf("%d of %d faults are not caught by their test", missed, len(faults))
 	}
 	return nil
 }
