--- a/cmd/poppymill/agent.go
+++ b/cmd/poppymill/agent.go
@@ -132,7 +132,8 @@
 	return false, nil
 }
 
-// query asks one gateway after another, starting with the one that answered last, and stores the body of the reply in dst.
+// query asks one gateway after another, starting with the one that answered last, and stores the body of the reply in
+// dst.
 func (a *agent) query(ctx context.Context, q drive.Question, dst any) (err error) {
 	for i := range a.addresses {
 		n := (a.lastAnswered + i) % len(a.addresses)
@@ -155,8 +156,8 @@
 	return err
 }
 
-// submit has the gateways agree on a command for the machine. A refusal for now, as some gateway is not done with the machine or
-// a limit is reached, is not an error: the agent asks again.
+// submit has the gateways agree on a command for the machine. A refusal for now, as some gateway is not done with the
+// machine or a limit is reached, is not an error: the agent asks again.
 func (a *agent) submit(ctx context.Context, kind string, token uint64) error {
 	var m machines.Machine
 	err := a.query(ctx, drive.Question{About: "machine", Name: a.name, Command: &quorum.Command{Book: machines.Book, Kind: kind,
--- a/cmd/poppymill/machines.go
+++ b/cmd/poppymill/machines.go
@@ -161,7 +161,8 @@
 	return nil
 }
 
-// parseTime parses an RFC 3339 time, or a time of day, which means its next occurrence, into Unix milliseconds. An empty text is 0.
+// parseTime parses an RFC 3339 time, or a time of day, which means its next occurrence, into Unix milliseconds. An
+// empty text is 0.
 func parseTime(flag, text string, now time.Time) (float64, error) {
 	if text == "" {
 		return 0, nil
--- a/cmd/poppymill/main.go
+++ b/cmd/poppymill/main.go
@@ -1,5 +1,5 @@
-// Command poppymill is a gateway for caches of large objects behind links of low bandwidth. It also has the sub-commands by which
-// operators query and manage running gateways.
+// Command poppymill is a gateway for caches of large objects behind links of low bandwidth. It also has the
+// sub-commands by which operators query and manage running gateways.
 package main
 
 import (
--- a/cmd/poppymill/main_test.go
+++ b/cmd/poppymill/main_test.go
@@ -26,8 +26,8 @@
 	return outBuf.String(), errBuf.String(), 0
 }
 
-// Scripts that call the command rely on its exit status, on its output being one JSON document and on error messages that
-// name the file, flag or argument at fault.
+// Scripts that call the command rely on its exit status, on its output being one JSON document and on error messages
+// that name the file, flag or argument at fault.
 func TestRehearse(t *testing.T) {
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "poppymill")
--- a/cmd/poppymill/purge.go
+++ b/cmd/poppymill/purge.go
@@ -38,8 +38,8 @@
 	}}
 }
 
-// submitPurgeCommand has the gateways agree on a command, through the gateway at the address in the first argument. A new purge gets
-// the limits of that gateway.
+// submitPurgeCommand has the gateways agree on a command, through the gateway at the address in the first argument. A
+// new purge gets the limits of that gateway.
 func submitPurgeCommand(ctx context.Context, cmd *cli.Command, kind string, o purges.Order) error {
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
--- a/internal/bite/main.go
+++ b/internal/bite/main.go
@@ -1,5 +1,5 @@
-// Command bite is a mutation test: it injects faults into a copy of the code, one at a time, and reports whether the test named for
-// each fault fails. A fault that no test catches shows a missing test.
+// Command bite is a mutation test: it injects faults into a copy of the code, one at a time, and reports whether the
+// test named for each fault fails. A fault that no test catches shows a missing test.
 //
 //	go run ./internal/bite                 # all faults, from the module root; takes some minutes
 //	go run ./internal/bite internal/owner  # only faults in files whose path contains the argument
@@ -14,7 +14,8 @@
 	"strings"
 )
 
-// fault replaces a text that occurs exactly once in a file. Package dir must still build, and its tests that match test must fail.
+// fault replaces a text that occurs exactly once in a file. Package dir must still build, and its tests that match test
+// must fail.
 type fault struct {
 	name, file, from, to string
 	dir, test            string
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,6 +1,6 @@
-// Command knownred runs the project's tests except those listed in KNOWN-RED.txt, which fail because of a real fault that is not
-// fixed yet. It prints each skipped test. It runs nothing if the list is too long, if a line lacks its cause or issue, or if a
-// listed test does not exist.
+// Command knownred runs the project's tests except those listed in KNOWN-RED.txt, which fail because of a real fault
+// that is not fixed yet. It prints each skipped test. It runs nothing if the list is too long, if a line lacks its
+// cause or issue, or if a listed test does not exist.
 //
 //	go run ./internal/knownred -count=1 -tags debug
 package main
@@ -28,7 +28,8 @@
 // entryPattern matches one line of the list.
 var entryPattern = regexp.MustCompile(`^(\S+)\.(Test\w+) \| (.*\S.*) \| issue (\d+)$`)
 
-// parseList parses the list; exists reports whether a package, given as a path below the module root, has the named test.
+// parseList parses the list; exists reports whether a package, given as a path below the module root, has the named
+// test.
 func parseList(text string, exists func(pkg, test string) (bool, error)) (entries []entry, err error) {
 	for n, line := range strings.Split(strings.TrimSuffix(text, "\n"), "\n") {
 		if line == "" && text == "" {
@@ -53,8 +54,8 @@
 	return entries, nil
 }
 
-// testRuns returns the arguments of the go test runs that test all packages without the listed tests. A test name is skipped only in
-// its own package, so each package with a listed test gets a run of its own.
+// testRuns returns the arguments of the go test runs that test all packages without the listed tests. A test name is
+// skipped only in its own package, so each package with a listed test gets a run of its own.
 func testRuns(entries []entry, module string, pkgs []string) (runs [][]string) {
 	skip := map[string][]string{}
 	for _, e := range entries {
--- a/internal/operator/read.go
+++ b/internal/operator/read.go
@@ -176,8 +176,8 @@
 	}
 }
 
-// namesInFileOrder returns the attributes' names in the order in which they occur, so that the same file always gives the
-// same errors in the same order.
+// namesInFileOrder returns the attributes' names in the order in which they occur, so that the same file always gives
+// the same errors in the same order.
 func namesInFileOrder(attrs hcl.Attributes) []string {
 	names := make([]string, 0, len(attrs))
 	for n := range attrs {
