--- a/internal/rehearsal/auditor/auditor.go
+++ b/internal/rehearsal/auditor/auditor.go
@@ -27,9 +27,9 @@
 	Rules
 )
 
-var names = [Rules]string{"one answer", "no effect twice", "drains and losses", "cold boxes", "purges", "links", "gateways stay up", "owned work"}
+var ruleNames = [Rules]string{"one answer", "no effect twice", "drains and losses", "cold boxes", "purges", "links", "gateways stay up", "owned work"}
 
-func (r Rule) String() string { return names[r] }
+func (r Rule) String() string { return ruleNames[r] }
 
 // Finding is one breach: when, by which gateway, of which download, at which box.
 type Finding struct {
@@ -48,72 +48,72 @@
 const answerSlack = 8.0
 
 // mostFindings bounds what is kept of each rule; the rest is counted.
-const mostFindings = 20
+const maxFindings = 20
 
 // Auditor hears the world's facts in their order.
 type Auditor struct {
-	Found  [Rules][]Finding
-	Counts [Rules]int
-	rules  script.Rules
-	types  map[string]script.Type
-	slack  float64 // ms that a real machine and a real network may add to a time
-	open   map[string]*download
-	past   []*download                // those that are over, the oldest first
-	chains map[string]string          // by a link of a write: the download by which it took effect
-	shut   map[int]map[string]float64 // by gateway and box: when it was told to leave it alone
-	purged map[int]*purges
-	agreed []world.Purging   // by the gateways themselves
-	token  map[string]uint64 // the highest seen, by place and job
-	steps  map[string]int    // how often a step that must not run twice has happened, by job and step
+	Found        [Rules][]Finding
+	Counts       [Rules]int
+	rules        script.Rules
+	types        map[string]script.Type
+	slack        float64 // ms that a real machine and a real network may add to a time
+	downloads    map[string]*download
+	finished     []*download                // those that are over, the oldest first
+	writeChains  map[string]string          // by a link of a write: the download by which it took effect
+	unavailable  map[int]map[string]float64 // by gateway and box: when it was told to leave it alone
+	purged       map[int]*purgeNotices
+	agreedPurges []world.Purging   // by the gateways themselves
+	highestToken map[string]uint64 // the highest seen, by place and job
+	stepRuns     map[string]int    // how often a step that must not run twice has happened, by job and step
 }
 
-type purges struct {
-	object map[string][]purge
-	group  map[int][]purge
+type purgeNotices struct {
+	object map[string][]purgeNotice
+	group  map[int][]purgeNotice
 }
 
-type purge struct{ told, when float64 }
+type purgeNotice struct{ heardAt, purgedAt float64 }
 
 // download is what the world knows of one request.
 type download struct {
 	world.Asked
-	answers int
-	ended   float64 // when it was over for its client; under 0: it is not
-	why     string
-	pulls   []*pull
-	ran     int
+	answers   int
+	endedAt   float64 // when it was over for its client; under 0: it is not
+	endReason string
+	pulls     []*pull
+	runs      int
 }
 
 type pull struct {
 	world.Pulled
-	proven bool // it is known not to have run
-	told   bool // the box has answered
+	knownNotRun bool // it is known not to have run
+	answered    bool // the box has answered
 }
 
 // New makes an auditor of one rehearsal. Slack is 0 in virtual time.
 func New(s *script.Script, slack float64) *Auditor {
-	a := &Auditor{rules: s.Rules, types: map[string]script.Type{}, slack: slack, open: map[string]*download{},
-		chains: map[string]string{}, shut: map[int]map[string]float64{}, purged: map[int]*purges{}, token: map[string]uint64{}, steps: map[string]int{}}
+	a := &Auditor{rules: s.Rules, types: map[string]script.Type{}, slack: slack, downloads: map[string]*download{},
+		writeChains: map[string]string{}, unavailable: map[int]map[string]float64{}, purged: map[int]*purgeNotices{}, highestToken: map[string]uint64{}, stepRuns: map[string]int{}}
 	for _, t := range s.Types {
 		a.types[t.Name] = t
 	}
 	return a
 }
 
-func (a *Auditor) find(r Rule, at float64, gateway int, id, box, format string, args ...any) {
-	if a.Counts[r]++; len(a.Found[r]) < mostFindings {
+func (a *Auditor) record(r Rule, at float64, gateway int, id, box, format string, args ...any) {
+	if a.Counts[r]++; len(a.Found[r]) < maxFindings {
 		a.Found[r] = append(a.Found[r], Finding{Rule: r, At: at, Gateway: gateway, ID: id, Box: box, What: fmt.Sprintf(format, args...)})
 	}
 }
 
 // keepFor is how long a download that is over is remembered, in ms: what is sent for it after is sent soon after.
-const keepFor = 20_000.0
+const retention = 20_000.0
 
 // See takes a fact.
 func (a *Auditor) See(f world.Fact) {
 	switch f := f.(type) {
 	case world.Asked:
-		a.open[f.ID] = &download{Asked: f, ended: -1}
+		a.downloads[f.ID] = &download{Asked: f, endedAt: -1}
 	case world.Answered:
 		a.answered(f)
 	case world.Ended:
@@ -123,26 +123,26 @@
 	case world.Served:
 		a.served(f)
 	case world.Unsigned:
-		if d := a.open[f.ID]; d != nil {
-			a.find(Links, f.At, d.Gateway, f.ID, f.Box, "came to a box without a link that is good there")
+		if d := a.downloads[f.ID]; d != nil {
+			a.record(Links, f.At, d.Gateway, f.ID, f.Box, "came to a box without a link that is good there")
 		}
 	case world.Ran:
 		a.ran(f)
 	case world.Purging:
-		a.agreed = append(a.agreed, f)
+		a.agreedPurges = append(a.agreedPurges, f)
 	case world.Told:
 		a.told(f)
 	case world.Pushed:
-		a.find(Cold, f.At, -1, "", f.Box, "sent %.0f ms of work while it bears %.0f", f.Sent, f.Allowed)
+		a.record(Cold, f.At, -1, "", f.Box, "sent %.0f ms of work while it bears %.0f", f.Sent, f.Allowed)
 	case world.Effected:
 		a.effected(f)
 	case world.Restarted:
 		// It knows nothing of before, and is told anew all that holds.
-		delete(a.shut, f.Gateway)
+		delete(a.unavailable, f.Gateway)
 		delete(a.purged, f.Gateway)
 	case world.Down:
 		if f.Crashed {
-			a.find(Alive, f.At, f.Gateway, "", "", "it ended, and nobody had told it to")
+			a.record(Alive, f.At, f.Gateway, "", "", "it ended, and nobody had told it to")
 		}
 	}
 }
@@ -153,69 +153,69 @@
 	switch {
 	case f.Newer > 0:
 		if f.Token >= f.Newer {
-			a.find(Work, f.At, f.Gateway, step, "", "refused under token %d for being older than %d", f.Token, f.Newer)
+			a.record(Work, f.At, f.Gateway, step, "", "refused under token %d for being older than %d", f.Token, f.Newer)
 		}
 		return
-	case f.Token < a.token[place]:
-		a.find(Work, f.At, f.Gateway, step, "", "happened under token %d of %s after token %d was seen there", f.Token, f.From, a.token[place])
+	case f.Token < a.highestToken[place]:
+		a.record(Work, f.At, f.Gateway, step, "", "happened under token %d of %s after token %d was seen there", f.Token, f.From, a.highestToken[place])
 	}
-	if a.token[place] = max(a.token[place], f.Token); f.Told || f.Again || f.Type == "safe" {
+	if a.highestToken[place] = max(a.highestToken[place], f.Token); f.Told || f.Again || f.Type == "safe" {
 		return
 	}
-	if a.steps[step]++; a.steps[step] > 1 {
-		a.find(Work, f.At, f.Gateway, step, "", "happened %d times, and is %s", a.steps[step], f.Type)
+	if a.stepRuns[step]++; a.stepRuns[step] > 1 {
+		a.record(Work, f.At, f.Gateway, step, "", "happened %d times, and is %s", a.stepRuns[step], f.Type)
 	}
 }
 
-func (a *Auditor) over(d *download, at float64) {
-	d.ended = at
-	a.past = append(a.past, d)
-	for len(a.past) > 0 && a.past[0].ended < at-keepFor {
-		delete(a.open, a.past[0].ID)
-		a.past = a.past[1:]
+func (a *Auditor) finish(d *download, at float64) {
+	d.endedAt = at
+	a.finished = append(a.finished, d)
+	for len(a.finished) > 0 && a.finished[0].endedAt < at-retention {
+		delete(a.downloads, a.finished[0].ID)
+		a.finished = a.finished[1:]
 	}
 }
 
 func (a *Auditor) answered(f world.Answered) {
-	d := a.open[f.ID]
+	d := a.downloads[f.ID]
 	if d == nil {
-		a.find(OneAnswer, f.At, f.Gateway, f.ID, "", "an answer to what was never asked, or long ago")
+		a.record(OneAnswer, f.At, f.Gateway, f.ID, "", "an answer to what was never asked, or long ago")
 		return
 	}
 	d.answers++
 	switch {
 	case d.answers > 1:
-		a.find(OneAnswer, f.At, f.Gateway, f.ID, "", "a second answer, status %d", f.Status)
+		a.record(OneAnswer, f.At, f.Gateway, f.ID, "", "a second answer, status %d", f.Status)
 		return
-	case d.why == "left": // a client that went may be told so
+	case d.endReason == "left": // a client that went may be told so
 		return
 	case f.At > d.Expiry+answerSlack+a.slack:
-		a.find(OneAnswer, f.At, f.Gateway, f.ID, "", "answered %.1f ms past its expiry", f.At-d.Expiry)
+		a.record(OneAnswer, f.At, f.Gateway, f.ID, "", "answered %.1f ms past its expiry", f.At-d.Expiry)
 	}
-	if d.ended < 0 {
-		a.over(d, f.At)
+	if d.endedAt < 0 {
+		a.finish(d, f.At)
 	}
 	if f.Status == 429 || f.Status == 503 {
 		for _, p := range d.pulls {
-			if d.Repeat == "non-retriable" && !p.proven {
-				a.find(NoRepeat, f.At, f.Gateway, f.ID, p.Box, "told to try again though a pull may have run")
+			if d.Repeat == "non-retriable" && !p.knownNotRun {
+				a.record(NoRepeat, f.At, f.Gateway, f.ID, p.Box, "told to try again though a pull may have run")
 			}
 		}
 	}
 	if d.Forged && f.Status == 200 {
-		a.find(Links, f.At, f.Gateway, f.ID, "", "answered though its link is forged")
+		a.record(Links, f.At, f.Gateway, f.ID, "", "answered though its link is forged")
 	}
 	if f.Status == 200 && !f.Still {
-		a.content(d, f)
+		a.checkContent(d, f)
 	}
 }
 
 // content checks that what a client got is what a box gave out for it, and no older than the purges allow.
-func (a *Auditor) content(d *download, f world.Answered) {
+func (a *Auditor) checkContent(d *download, f world.Answered) {
 	words := strings.Fields(f.Copy)
 	if a.types[d.Type].Write {
 		if len(words) < 2 || words[0] != "ran" || words[1] != d.ID {
-			a.find(OneAnswer, f.At, f.Gateway, d.ID, "", "answered with %.60q, which no box made for it", f.Copy)
+			a.record(OneAnswer, f.At, f.Gateway, d.ID, "", "answered with %.60q, which no box made for it", f.Copy)
 		}
 		return
 	}
@@ -224,33 +224,33 @@
 		born, _ = strconv.ParseFloat(words[3], 64)
 	}
 	if len(words) < 4 || words[0] != d.Object || words[1] != strconv.Itoa(d.Part) {
-		a.find(OneAnswer, f.At, f.Gateway, d.ID, "", "answered with %.60q, which no box made for it", f.Copy)
+		a.record(OneAnswer, f.At, f.Gateway, d.ID, "", "answered with %.60q, which no box made for it", f.Copy)
 		return
 	}
 	last := 0.0
 	for _, p := range d.pulls {
 		last = max(last, p.At)
 	}
-	a.age(d.Gateway, d.Object, d.Group, d.ID, "", last, born, f.At)
-	for _, p := range a.agreed {
+	a.checkAge(d.Gateway, d.Object, d.Group, d.ID, "", last, born, f.At)
+	for _, p := range a.agreedPurges {
 		if f.At > p.By+a.slack && born < p.When-1 && (p.Object == d.Object || p.Object == "" && p.Group == d.Group) && (p.Club == "" || p.Club == d.Club) {
-			a.find(Purges, f.At, d.Gateway, d.ID, "", "answered by a copy %.0f ms older than a purge that the gateways agreed on, %.0f ms past its time", p.When-born, f.At-p.By)
+			a.record(Purges, f.At, d.Gateway, d.ID, "", "answered by a copy %.0f ms older than a purge that the gateways agreed on, %.0f ms past its time", p.When-born, f.At-p.By)
 			return
 		}
 	}
 }
 
 // age checks a copy that answers a pull sent at a time against the purges that its gateway knew of then.
-func (a *Auditor) age(gateway int, object string, group int, id, box string, sent, born, at float64) {
+func (a *Auditor) checkAge(gateway int, object string, group int, id, box string, sent, born, at float64) {
 	p := a.purged[gateway]
 	if p == nil {
 		return
 	}
-	for _, all := range [][]purge{p.object[object], p.group[group]} {
+	for _, all := range [][]purgeNotice{p.object[object], p.group[group]} {
 		for _, q := range all {
-			if sent > q.told+a.rules.PurgeGrace+a.slack && born < q.when-1 {
-				a.find(Purges, at, gateway, id, box, "sent %.0f ms after word of a purge, answered by a copy %.0f ms older than it",
-					sent-q.told, q.when-born)
+			if sent > q.heardAt+a.rules.PurgeGrace+a.slack && born < q.purgedAt-1 {
+				a.record(Purges, at, gateway, id, box, "sent %.0f ms after word of a purge, answered by a copy %.0f ms older than it",
+					sent-q.heardAt, q.purgedAt-born)
 				return
 			}
 		}
@@ -258,60 +258,60 @@
 }
 
 func (a *Auditor) ended(f world.Ended) {
-	d := a.open[f.ID]
+	d := a.downloads[f.ID]
 	if d == nil {
 		return
 	}
-	d.why = f.Why
-	if d.ended < 0 {
-		a.over(d, f.At)
+	d.endReason = f.Why
+	if d.endedAt < 0 {
+		a.finish(d, f.At)
 	}
 	if f.Why == "expired" {
-		a.find(OneAnswer, f.At, d.Gateway, f.ID, "", "no answer by its expiry")
+		a.record(OneAnswer, f.At, d.Gateway, f.ID, "", "no answer by its expiry")
 	}
 }
 
 func (a *Auditor) pulled(f world.Pulled) {
-	d := a.open[f.ID]
+	d := a.downloads[f.ID]
 	if d == nil {
 		return // made by hand, or of a gateway that is no more
 	}
 	if d.Forged {
-		a.find(Links, f.At, f.Gateway, f.ID, f.Box, "let in though its link is forged")
+		a.record(Links, f.At, f.Gateway, f.ID, f.Box, "let in though its link is forged")
 	}
-	if d.ended >= 0 && f.At > d.ended+a.slack && d.why != "broken" {
-		a.find(OneAnswer, f.At, f.Gateway, f.ID, f.Box, "sent %.1f ms after its end", f.At-d.ended)
+	if d.endedAt >= 0 && f.At > d.endedAt+a.slack && d.endReason != "broken" {
+		a.record(OneAnswer, f.At, f.Gateway, f.ID, f.Box, "sent %.1f ms after its end", f.At-d.endedAt)
 	}
 	for _, p := range d.pulls {
-		if p.proven || d.Repeat == "retriable" {
+		if p.knownNotRun || d.Repeat == "retriable" {
 			continue
 		}
 		t := a.types[d.Type]
 		within := d.Repeat == "deduped" && f.At < p.At+t.Window &&
 			(t.Scope == "all" || t.Scope == "zone" && p.Zone == f.Zone || t.Scope == "cell" && p.Zone == f.Zone && p.Cell == f.Cell)
 		if !within {
-			a.find(NoRepeat, f.At, f.Gateway, f.ID, f.Box, "sent again though its pull to %s may have run", p.Box)
+			a.record(NoRepeat, f.At, f.Gateway, f.ID, f.Box, "sent again though its pull to %s may have run", p.Box)
 		}
 	}
 	d.pulls = append(d.pulls, &pull{Pulled: f})
 	for _, box := range []string{f.Box, f.Source} {
-		if told, shut := a.shut[f.Gateway][box]; shut && f.At > told+a.rules.DrainGrace+a.slack {
-			a.find(Drains, f.At, f.Gateway, f.ID, box, "sent %.1f ms after word that it drains or is gone", f.At-told)
+		if heardAt, unavailable := a.unavailable[f.Gateway][box]; unavailable && f.At > heardAt+a.rules.DrainGrace+a.slack {
+			a.record(Drains, f.At, f.Gateway, f.ID, box, "sent %.1f ms after word that it drains or is gone", f.At-heardAt)
 		}
 	}
 }
 
 func (a *Auditor) served(f world.Served) {
-	d := a.open[f.ID]
+	d := a.downloads[f.ID]
 	if d == nil {
 		return
 	}
 	for _, p := range d.pulls {
-		if p.Box == f.Box && !p.told {
-			p.told = true
-			p.proven = f.Word == "LACK" || f.Word == "WAIT" || f.Word == "PAST"
+		if p.Box == f.Box && !p.answered {
+			p.answered = true
+			p.knownNotRun = f.Word == "LACK" || f.Word == "WAIT" || f.Word == "PAST"
 			if f.Copy {
-				a.age(d.Gateway, d.Object, d.Group, d.ID, f.Box, p.At, f.Born, f.At)
+				a.checkAge(d.Gateway, d.Object, d.Group, d.ID, f.Box, p.At, f.Born, f.At)
 			}
 			return
 		}
@@ -319,43 +319,43 @@
 }
 
 func (a *Auditor) ran(f world.Ran) {
-	d := a.open[f.ID]
+	d := a.downloads[f.ID]
 	if d == nil {
 		return
 	}
 	if d.Chain != "" {
-		if first := a.chains[d.Chain]; first != "" && first != f.ID {
-			a.find(Links, f.At, d.Gateway, f.ID, "", "its link took effect before, by %s", first)
+		if first := a.writeChains[d.Chain]; first != "" && first != f.ID {
+			a.record(Links, f.At, d.Gateway, f.ID, "", "its link took effect before, by %s", first)
 		}
-		a.chains[d.Chain] = f.ID
+		a.writeChains[d.Chain] = f.ID
 	}
-	if d.ran++; d.ran > 1 && d.Repeat == "non-retriable" {
-		a.find(NoRepeat, f.At, d.Gateway, f.ID, "", "took effect %d times", d.ran)
+	if d.runs++; d.runs > 1 && d.Repeat == "non-retriable" {
+		a.record(NoRepeat, f.At, d.Gateway, f.ID, "", "took effect %d times", d.runs)
 	}
 }
 
 func (a *Auditor) told(f world.Told) {
 	if f.Box != "" {
-		if a.shut[f.Gateway] == nil {
-			a.shut[f.Gateway] = map[string]float64{}
+		if a.unavailable[f.Gateway] == nil {
+			a.unavailable[f.Gateway] = map[string]float64{}
 		}
-		_, shut := a.shut[f.Gateway][f.Box]
+		_, unavailable := a.unavailable[f.Gateway][f.Box]
 		if f.State == "ready" {
-			delete(a.shut[f.Gateway], f.Box)
-		} else if !shut {
-			a.shut[f.Gateway][f.Box] = f.At
+			delete(a.unavailable[f.Gateway], f.Box)
+		} else if !unavailable {
+			a.unavailable[f.Gateway][f.Box] = f.At
 		}
 		return
 	}
 	p := a.purged[f.Gateway]
 	if p == nil {
-		p = &purges{object: map[string][]purge{}, group: map[int][]purge{}}
+		p = &purgeNotices{object: map[string][]purgeNotice{}, group: map[int][]purgeNotice{}}
 		a.purged[f.Gateway] = p
 	}
 	if f.Purged != "" {
-		p.object[f.Purged] = append(p.object[f.Purged], purge{f.At, f.When})
+		p.object[f.Purged] = append(p.object[f.Purged], purgeNotice{f.At, f.When})
 	} else {
-		p.group[f.Group] = append(p.group[f.Group], purge{f.At, f.When})
+		p.group[f.Group] = append(p.group[f.Group], purgeNotice{f.At, f.When})
 	}
 }
 
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -81,25 +81,25 @@
 
 // Counter hears the world's facts.
 type Counter struct {
-	script *script.Script
-	fig    Figures
-	asked  map[string]float64
-	times  []*hdrhistogram.Histogram // by phase, microseconds
-	writes [][2]int                  // by phase: wanted and in time or late
-	core   []map[int]int
-	hits   []map[int][2]int // by phase and second of it: hits and pulls
+	script       *script.Script
+	figures      Figures
+	requestedAt  map[string]float64
+	latencies    []*hdrhistogram.Histogram // by phase, microseconds
+	writes       [][2]int                  // by phase: wanted and in time or late
+	coreRequests []map[int]int
+	hits         []map[int][2]int // by phase and second of it: hits and pulls
 }
 
 // New makes a counter for a script.
 func New(s *script.Script) *Counter {
-	c := &Counter{script: s, asked: map[string]float64{}, fig: Figures{Types: map[string]*Counts{}, Members: map[string]*Counts{}, Links: map[string]float64{}, Measured: []string{}, Findings: []string{}, Fell: []string{}}}
+	c := &Counter{script: s, requestedAt: map[string]float64{}, figures: Figures{Types: map[string]*Counts{}, Members: map[string]*Counts{}, Links: map[string]float64{}, Measured: []string{}, Findings: []string{}, Fell: []string{}}}
 	for _, p := range s.Phases {
-		c.fig.Phases = append(c.fig.Phases, Phase{Name: p.Name})
-		c.times = append(c.times, hdrhistogram.New(1, 60_000_000, 3))
-		c.writes, c.core, c.hits = append(c.writes, [2]int{}), append(c.core, map[int]int{}), append(c.hits, map[int][2]int{})
+		c.figures.Phases = append(c.figures.Phases, Phase{Name: p.Name})
+		c.latencies = append(c.latencies, hdrhistogram.New(1, 60_000_000, 3))
+		c.writes, c.coreRequests, c.hits = append(c.writes, [2]int{}), append(c.coreRequests, map[int]int{}), append(c.hits, map[int][2]int{})
 	}
 	for _, t := range s.Types {
-		c.fig.Types[t.Name] = &Counts{}
+		c.figures.Types[t.Name] = &Counts{}
 	}
 	return c
 }
@@ -117,64 +117,64 @@
 func (c *Counter) See(f world.Fact) {
 	switch f := f.(type) {
 	case world.Asked:
-		c.asked[f.ID] = f.At
-		c.fig.Phases[c.phase(f.At)].Tries++
+		c.requestedAt[f.ID] = f.At
+		c.figures.Phases[c.phase(f.At)].Tries++
 	case world.Answered:
-		switch p := &c.fig.Phases[c.phase(f.At)]; f.Status {
+		switch p := &c.figures.Phases[c.phase(f.At)]; f.Status {
 		case 200:
-			if at, ok := c.asked[f.ID]; ok {
-				c.times[c.phase(f.At)].RecordValue(min(60_000_000, max(1, int64(1000*(f.At-at)))))
+			if at, ok := c.requestedAt[f.ID]; ok {
+				c.latencies[c.phase(f.At)].RecordValue(min(60_000_000, max(1, int64(1000*(f.At-at)))))
 			}
 		case 429, 503:
 			p.Refusals++
 		default:
 			p.Abandons++
 		}
-		delete(c.asked, f.ID)
+		delete(c.requestedAt, f.ID)
 	case world.Ended:
-		delete(c.asked, f.ID)
+		delete(c.requestedAt, f.ID)
 	case world.Pulled:
-		c.fig.Phases[c.phase(f.At)].Pulls++
+		c.figures.Phases[c.phase(f.At)].Pulls++
 	case world.Served:
 		i := c.phase(f.At)
 		second := int((f.At - c.script.Phases[i].From) / 1000)
 		h := c.hits[i][second]
 		if h[1]++; f.Note == "warm" || f.Note == "aged" {
 			h[0]++
-			c.fig.Phases[i].Hits++
+			c.figures.Phases[i].Hits++
 		}
 		c.hits[i][second] = h
 	case world.Made:
 		i := c.phase(f.At)
-		c.fig.Phases[i].Core++
-		c.core[i][int(f.At/1000)]++
+		c.figures.Phases[i].Core++
+		c.coreRequests[i][int(f.At/1000)]++
 	case world.Moved:
-		c.fig.Links[f.Link] += f.Bytes / 1e6
-		c.fig.Phases[c.phase(f.At)].Megabytes += f.Bytes / 1e6
+		c.figures.Links[f.Link] += f.Bytes / 1e6
+		c.figures.Phases[c.phase(f.At)].Megabytes += f.Bytes / 1e6
 	case world.Effected:
-		if c.fig.Work == nil {
-			c.fig.Work = map[string]int{}
+		if c.figures.Work == nil {
+			c.figures.Work = map[string]int{}
 		}
 		switch {
 		case f.Newer > 0:
-			c.fig.Work["refused as late"]++
+			c.figures.Work["refused as late"]++
 		case f.Told:
-			c.fig.Work["told of a grant"]++
+			c.figures.Work["told of a grant"]++
 		case f.Again:
-			c.fig.Work["had happened before"]++
+			c.figures.Work["had happened before"]++
 		default:
-			c.fig.Work["happened"]++
+			c.figures.Work["happened"]++
 		}
 	case world.Fell:
-		c.fig.Fell = append(c.fig.Fell, fmt.Sprintf("%.0f ms: %s", f.At, f.Box))
+		c.figures.Fell = append(c.figures.Fell, fmt.Sprintf("%.0f ms: %s", f.At, f.Box))
 	case world.Wanted:
 		i := c.phase(f.Asked)
-		c.fig.Phases[i].count(f.Verdict)
-		c.fig.Types[f.Type].count(f.Verdict)
-		if c.fig.Members[f.Member] == nil {
-			c.fig.Members[f.Member] = &Counts{}
+		c.figures.Phases[i].count(f.Verdict)
+		c.figures.Types[f.Type].count(f.Verdict)
+		if c.figures.Members[f.Member] == nil {
+			c.figures.Members[f.Member] = &Counts{}
 		}
-		c.fig.Members[f.Member].count(f.Verdict)
+		c.figures.Members[f.Member].count(f.Verdict)
 		if t := slices.IndexFunc(c.script.Types, func(t script.Type) bool { return t.Name == f.Type }); c.script.Types[t].Write && f.Verdict != world.Left {
 			if c.writes[i][0]++; f.Verdict <= world.Late {
 				c.writes[i][1]++
@@ -210,21 +210,21 @@
 		r.Outcome.Rules = append(r.Outcome.Rules, Verdict{rule.String(), a.Holds(rule)})
 		r.Outcome.Holds = r.Outcome.Holds && a.Holds(rule)
 		for _, f := range a.Found[rule] {
-			c.fig.Findings = append(c.fig.Findings, rule.String()+": "+f.String())
+			c.figures.Findings = append(c.figures.Findings, rule.String()+": "+f.String())
 		}
 		if more := a.Counts[rule] - len(a.Found[rule]); more > 0 {
-			c.fig.Findings = append(c.fig.Findings, fmt.Sprintf("%s: %d more", rule, more))
+			c.figures.Findings = append(c.figures.Findings, fmt.Sprintf("%s: %d more", rule, more))
 		}
 	}
 	expect := func(phase, what string, got float64, holds bool) {
 		r.Outcome.Expectations = append(r.Outcome.Expectations, Verdict{phase + ": " + what, holds})
-		c.fig.Measured = append(c.fig.Measured, fmt.Sprintf("%s: %s: %.4g", phase, what, got))
+		c.figures.Measured = append(c.figures.Measured, fmt.Sprintf("%s: %s: %.4g", phase, what, got))
 		r.Outcome.Holds = r.Outcome.Holds && holds
 	}
 	for i, p := range c.script.Phases {
-		f, e := &c.fig.Phases[i], p.Expect
-		f.Median, f.Slowest = float64(c.times[i].ValueAtQuantile(50))/1000, float64(c.times[i].ValueAtQuantile(99))/1000
-		for _, n := range c.core[i] {
+		f, e := &c.figures.Phases[i], p.Expect
+		f.Median, f.Slowest = float64(c.latencies[i].ValueAtQuantile(50))/1000, float64(c.latencies[i].ValueAtQuantile(99))/1000
+		for _, n := range c.coreRequests[i] {
 			f.CorePeak = max(f.CorePeak, n)
 		}
 		tries := float64(max(1, f.Tries))
@@ -247,16 +247,16 @@
 			expect(p.Name, fmt.Sprintf("renewals at least %v", e.Renewals), got, got >= e.Renewals)
 		}
 		if e.Hits > 0 {
-			second := c.regained(i, e.Hits)
+			second := c.hitShareRegained(i, e.Hits)
 			expect(p.Name, fmt.Sprintf("hits of %v within %v ms", e.Hits, e.HitsWithin), 1000*second, 1000*second <= e.HitsWithin)
 		}
 	}
-	r.Figures = c.fig
+	r.Figures = c.figures
 	return r
 }
 
 // regained is the first second of a phase by whose end, over the last two, the edge answered at least this share.
-func (c *Counter) regained(phase int, share float64) float64 {
+func (c *Counter) hitShareRegained(phase int, share float64) float64 {
 	last := int(c.script.Phases[phase].For / 1000)
 	for s := 1; s <= last; s++ {
 		a, b := c.hits[phase][s-1], c.hits[phase][s]
@@ -298,13 +298,13 @@
 		fmt.Fprintln(to, f)
 	}
 	w = tabwriter.NewWriter(to, 0, 8, 2, ' ', 0)
-	word := map[bool]string{true: "holds", false: "DOES NOT HOLD"}
+	results := map[bool]string{true: "holds", false: "DOES NOT HOLD"}
 	for _, v := range r.Outcome.Rules {
-		fmt.Fprintf(w, "rule\t%s\t%s\n", v.What, word[v.Holds])
+		fmt.Fprintf(w, "rule\t%s\t%s\n", v.What, results[v.Holds])
 	}
 	for i, v := range r.Outcome.Expectations {
-		fmt.Fprintf(w, "expected\t%s\t%s\n", r.Figures.Measured[i], word[v.Holds])
+		fmt.Fprintf(w, "expected\t%s\t%s\n", r.Figures.Measured[i], results[v.Holds])
 	}
-	fmt.Fprintf(w, "outcome\t%s, seed %d\t%s\n", r.Outcome.Script, r.Outcome.Seed, word[r.Outcome.Holds])
+	fmt.Fprintf(w, "outcome\t%s, seed %d\t%s\n", r.Outcome.Script, r.Outcome.Seed, results[r.Outcome.Holds])
 	w.Flush()
 }
--- a/internal/rehearsal/resp/resp.go
+++ b/internal/rehearsal/resp/resp.go
@@ -18,36 +18,36 @@
 
 // Bounds on what a gateway may send.
 const (
-	mostWord = 4 << 10
-	mostBody = 48_000
-	mostLine = 16
+	maxString     = 4 << 10
+	maxBody       = 48_000
+	maxLengthLine = 16
 )
 
 // Reader reads commands, however their bytes are split.
-type Reader struct{ rest []byte }
+type Reader struct{ buffer []byte }
 
 // Feed reads bytes and returns the commands that are whole. After an error the connection is of no more use.
 func (r *Reader) Feed(b []byte) (found []Command, err error) {
-	r.rest = append(r.rest, b...)
+	r.buffer = append(r.buffer, b...)
 	for {
-		c, n, err := read(r.rest)
+		c, n, err := parseCommand(r.buffer)
 		if err != nil || n == 0 {
 			return found, err
 		}
 		found = append(found, c)
-		r.rest = append(r.rest[:0], r.rest[n:]...)
+		r.buffer = append(r.buffer[:0], r.buffer[n:]...)
 	}
 }
 
-var errPartial = errors.New("not whole yet")
+var errIncomplete = errors.New("not whole yet")
 
 // read takes one command off the front; 0 bytes where it is not whole.
-func read(b []byte) (c Command, used int, err error) {
+func parseCommand(b []byte) (c Command, used int, err error) {
 	at := 0
 	count := func(sign byte, most int) (int, error) {
 		for i := at; i < len(b); i++ {
 			if b[i] != '\n' {
-				if i-at > mostLine {
+				if i-at > maxLengthLine {
 					return 0, errors.New("a length is too long")
 				}
 				continue
@@ -63,18 +63,18 @@
 			at = i + 1
 			return n, nil
 		}
-		return 0, errPartial
+		return 0, errIncomplete
 	}
 	parts, err := count('*', 4)
 	words := make([]string, 0, 4)
 	for i := 0; err == nil && i < parts; i++ {
-		most := mostWord
+		most := maxString
 		if i == 3 {
-			most = mostBody
+			most = maxBody
 		}
 		var n int
 		if n, err = count('$', most); err == nil && at+n+2 > len(b) {
-			err = errPartial
+			err = errIncomplete
 		}
 		if err == nil {
 			if b[at+n] != '\r' || b[at+n+1] != '\n' {
@@ -84,7 +84,7 @@
 			at += n + 2
 		}
 	}
-	if errors.Is(err, errPartial) {
+	if errors.Is(err, errIncomplete) {
 		return c, 0, nil
 	}
 	if err != nil {
--- a/internal/rehearsal/script/fields.go
+++ b/internal/rehearsal/script/fields.go
@@ -20,17 +20,17 @@
 			c := &s.Core
 			return []op.Field{op.Attr("capacity", op.Number(&c.Capacity, 0.1, 1e6)), op.Attr("answers", op.Span(&c.Answers, 0, time.Minute)),
 				op.Attr("crowded", op.Number(&c.Crowded, 0, 100)), op.Attr("stops_at", op.Number(&c.StopsAt, 0, 1000)),
-				op.Attr("stops_for", op.Span(&c.StopsFor, 0, longest)), op.Attr("stops_push", op.Span(&c.StopsPush, time.Millisecond, longest))}
+				op.Attr("stops_for", op.Span(&c.StopsFor, 0, maxSpan)), op.Attr("stops_push", op.Span(&c.StopsPush, time.Millisecond, maxSpan))}
 		}),
 		op.One("list", func() []op.Field {
 			l := &s.List
-			return []op.Field{op.Attr("told", op.Span(&l.Told, 0, longest)), op.Attr("notices", op.Span(&l.Notices, 0, longest)),
-				op.Attr("purges", op.Span(&l.Purges, 0, longest))}
+			return []op.Field{op.Attr("told", op.Span(&l.Told, 0, maxSpan)), op.Attr("notices", op.Span(&l.Notices, 0, maxSpan)),
+				op.Attr("purges", op.Span(&l.Purges, 0, maxSpan))}
 		}),
 		op.One("rules", func() []op.Field {
 			r := &s.Rules
 			return []op.Field{op.Attr("drain_grace", op.Span(&r.DrainGrace, 0, time.Minute)),
-				op.Attr("purge_grace", op.Span(&r.PurgeGrace, 0, time.Minute)), op.Attr("purge_settles", op.Span(&r.PurgeSettles, 0, longest))}
+				op.Attr("purge_grace", op.Span(&r.PurgeGrace, 0, time.Minute)), op.Attr("purge_settles", op.Span(&r.PurgeSettles, 0, maxSpan))}
 		}),
 		op.One("limits", func() []op.Field {
 			return []op.Field{op.Attr("memory_mb", op.Whole(&s.Limits.MemoryMB, 24, 1<<20)), op.Attr("sockets", op.Whole(&s.Limits.Sockets, 64, 1<<20))}
@@ -43,9 +43,9 @@
 		op.Attr("count", op.Whole(&b.Count, 1, 10_000)), op.Attr("cores_from", op.Number(&b.Cores[0], 0.1, 1e5)),
 		op.Attr("cores_to", op.Number(&b.Cores[1], 0.1, 1e5)), op.Attr("slots", op.Whole(&b.Slots, 1, 1e5)),
 		op.Attr("queue", op.Whole(&b.Queue, 0, 1e5)), op.Attr("store", op.Size(&b.Store, 1, 1e15)),
-		op.Attr("cold_share", op.Share(&b.ColdShare)), op.Attr("cold_for", op.Span(&b.ColdFor, 0, longest)),
+		op.Attr("cold_share", op.Share(&b.ColdShare)), op.Attr("cold_for", op.Span(&b.ColdFor, 0, maxSpan)),
 		op.Attr("fall_multiple", op.Number(&b.FallMultiple, 1, 1e3)), op.Attr("fall_for", op.Span(&b.FallFor, 100*time.Millisecond, time.Minute)),
-		op.Attr("fallen_for", op.Span(&b.FallenFor, 0, longest)), op.Attr("fills", op.Whole(&b.Fills, 1, 1e5)),
+		op.Attr("fallen_for", op.Span(&b.FallenFor, 0, maxSpan)), op.Attr("fills", op.Whole(&b.Fills, 1, 1e5)),
 		op.Attr("fill_timeout", op.Span(&b.FillTimeout, time.Millisecond, time.Minute)),
 		op.Attr("report", op.Span(&b.Report, 10*time.Millisecond, time.Minute)), op.Attr("probe", op.Span(&b.Probe, 0, time.Second)),
 		op.Attr("errors", op.Share(&b.Errs)), op.Attr("held", op.Share(&b.Held)),
@@ -63,10 +63,10 @@
 		op.Must("share", op.Share(&t.Share)), op.Must("work", op.Span(&t.Work, time.Millisecond, time.Minute)),
 		op.Attr("spread", op.Number(&t.Spread, 0, 3)), op.Attr("parts", op.Whole(&t.Parts, 1, 1000)), op.Attr("gap", op.Span(&t.Gap, 0, time.Minute)),
 		op.Must("target", op.Span(&t.Target, time.Millisecond, time.Minute)), op.Attr("stretch", op.Number(&t.Stretch, 0, 100)),
-		op.Must("expiry", op.Span(&t.Expiry, time.Millisecond, time.Minute)), op.Attr("fresh", op.Span(&t.Fresh, 0, longest)),
-		op.Attr("grace", op.Span(&t.Grace, 0, longest)), op.Attr("benefit", op.Number(&t.Benefit, 0.001, 1000)),
+		op.Must("expiry", op.Span(&t.Expiry, time.Millisecond, time.Minute)), op.Attr("fresh", op.Span(&t.Fresh, 0, maxSpan)),
+		op.Attr("grace", op.Span(&t.Grace, 0, maxSpan)), op.Attr("benefit", op.Number(&t.Benefit, 0.001, 1000)),
 		op.Attr("late", op.Share(&t.Late)), op.Attr("repeat", op.OneOf(&t.Repeat, "retriable", "deduped", "non-retriable")),
-		op.Attr("scope", op.OneOf(&t.Scope, "all", "zone", "cell")), op.Attr("window", op.Span(&t.Window, 0, longest)),
+		op.Attr("scope", op.OneOf(&t.Scope, "all", "zone", "cell")), op.Attr("window", op.Span(&t.Window, 0, maxSpan)),
 		op.Attr("write", op.Flag(&t.Write)), op.Attr("objects", op.Whole(&t.Objects, 1, 1e6)), op.Attr("skew", op.Number(&t.Skew, 0, 3)),
 		op.Attr("once", op.Share(&t.Once)), op.Attr("local", op.Share(&t.Local)), op.Attr("old_worth", op.Share(&t.OldWorth)),
 		op.Check(func() error {
@@ -129,7 +129,7 @@
 		op.One("expect", func() []op.Field {
 			return []op.Field{op.Attr("in_time", op.Share(&e.InTime)), op.Attr("throttled", op.Share(&e.Throttled)),
 				op.Attr("core_rate", op.Number(&e.CoreRate, 0, 1e9)), op.Attr("hits", op.Share(&e.Hits)),
-				op.Attr("hits_within", op.Span(&e.HitsWithin, 0, longest)), op.Attr("renewals", op.Share(&e.Renewals)),
+				op.Attr("hits_within", op.Span(&e.HitsWithin, 0, maxSpan)), op.Attr("renewals", op.Share(&e.Renewals)),
 				op.Attr("abandoned", op.Share(&e.Abandons))}
 		})}
 }
@@ -137,17 +137,17 @@
 func (e *Event) fields() []op.Field {
 	return []op.Field{op.Must("at", op.Span(&e.At, 0, 24*time.Hour)), op.Attr("for", op.Span(&e.For, time.Millisecond, 24*time.Hour)),
 		op.Attr("every", op.Span(&e.Every, time.Millisecond, 24*time.Hour)), op.Attr("times", op.Whole(&e.Times, 1, 10_000)),
-		op.Attr("on", op.OneOf(&e.On, deeds[e.Do]...)), op.Attr("name", op.Text(&e.Name)), op.Attr("share", op.Share(&e.Share)),
+		op.Attr("on", op.OneOf(&e.On, eventTargets[e.Do]...)), op.Attr("name", op.Text(&e.Name)), op.Attr("share", op.Share(&e.Share)),
 		op.Attr("count", op.Whole(&e.Count, 1, 10_000)), op.Attr("factor", op.Number(&e.Factor, 0.001, 1e4)),
 		op.Attr("over", op.Span(&e.Over, 0, 24*time.Hour)), op.Attr("same_address", op.Flag(&e.SameAddress)),
-		op.Attr("delay", op.Span(&e.Delay, 0, longest)), op.Attr("groups", op.Whole(&e.Groups, 1, 256)), op.Attr("by", op.OneOf(&e.By, "channel", "gateways")), op.Attr("club", op.Text(&e.Club)),
+		op.Attr("delay", op.Span(&e.Delay, 0, maxSpan)), op.Attr("groups", op.Whole(&e.Groups, 1, 256)), op.Attr("by", op.OneOf(&e.By, "channel", "gateways")), op.Attr("club", op.Text(&e.Club)),
 		op.Attr("kiosks", op.Whole(&e.Kiosks, 1, 10_000)), op.Attr("member", op.Text(&e.Member)),
 		op.Attr("one_way", op.Flag(&e.OneWay)), op.Attr("disk", op.OneOf(&e.Disk, "kept", "lost", "old")),
-		op.Check(e.whole)}
+		op.Check(e.validate)}
 }
 
 // whole checks that an event says all that it needs, and nothing that would be passed over in silence.
-func (e *Event) whole() error {
+func (e *Event) validate() error {
 	uses := map[string]string{"slow": "factor", "traffic": "factor", "large": "factor share", "fail": "share", "lose": "share", "cut": "share",
 		"once": "share", "lag": "delay", "storm": "kiosks club member", "purge": "share groups by", "replace": "over same_address", "drain": "over",
 		"kill": "over disk", "part": "one_way", "restart": "over", "forge": "factor"}
@@ -160,7 +160,7 @@
 		}
 	}
 	switch {
-	case slices.Contains(needFor, e.Do) && e.For == 0:
+	case slices.Contains(needsDuration, e.Do) && e.For == 0:
 		return fmt.Errorf("%s needs for", e.Do)
 	case strings.HasPrefix(uses[e.Do], "factor") && e.Factor == 0:
 		return fmt.Errorf("%s needs factor", e.Do)
--- a/internal/rehearsal/script/script.go
+++ b/internal/rehearsal/script/script.go
@@ -191,21 +191,21 @@
 
 // What can happen, and to what.
 var (
-	boxes = []string{"edge", "hub", "core"}
-	deeds = map[string][]string{
-		"kill": {"edge", "hub", "core", "gateway"}, "vanish": boxes, "silent": boxes, "pause": boxes, "slow": boxes,
-		"fail": boxes, "lose": boxes, "cut": boxes, "replace": {"edge", "hub"}, "drain": {"edge", "hub"}, "restart": {"gateway"},
+	boxRoles     = []string{"edge", "hub", "core"}
+	eventTargets = map[string][]string{
+		"kill": {"edge", "hub", "core", "gateway"}, "vanish": boxRoles, "silent": boxRoles, "pause": boxRoles, "slow": boxRoles,
+		"fail": boxRoles, "lose": boxRoles, "cut": boxRoles, "replace": {"edge", "hub"}, "drain": {"edge", "hub"}, "restart": {"gateway"},
 		"hup": {"gateway"}, "freeze": {"gateway"}, "part": {"gateway"}, "start": {"gateway"}, "delay": {"gateway"}, "reset": {"gateway"}, "copy": {"gateway"}, "fill_disk": {"gateway"}, "lag": {"list"}, "purge": {"objects"}, "break": {"channel"}, "mute": {"channel"}, "repeat": {"channel"},
 		"traffic": {"clients"}, "storm": {"clients"}, "once": {"clients"}, "large": {"clients"},
 		"forge": {"clients"}, "rotate": {"keys"}, "withdraw": {"keys"},
 	}
-	needFor = []string{"delay", "freeze", "fill_disk", "part", "pause", "slow", "fail", "lose", "cut", "lag", "mute", "traffic", "storm", "once", "large", "silent", "vanish", "forge"}
+	needsDuration = []string{"delay", "freeze", "fill_disk", "part", "pause", "slow", "fail", "lose", "cut", "lag", "mute", "traffic", "storm", "once", "large", "silent", "vanish", "forge"}
 )
 
 // Deeds lists what can happen, for people.
-func Deeds() []string {
+func EventKinds() []string {
 	var all []string
-	for d, on := range deeds {
+	for d, on := range eventTargets {
 		all = append(all, d+" ("+strings.Join(on, ", ")+")")
 	}
 	slices.Sort(all)
@@ -225,7 +225,7 @@
 		site = filepath.Join(filepath.Dir(path), site)
 		var common []byte
 		if common, err = operator.Read(site); err == nil {
-			err = operator.Parse(common, site, s.common()...)
+			err = operator.Parse(common, site, s.siteFields()...)
 		}
 	}
 	if err == nil {
@@ -238,7 +238,7 @@
 	return s, nil
 }
 
-const longest = time.Hour
+const maxSpan = time.Hour
 
 // Parse reads a script's text, which stands alone.
 func Parse(text []byte, file string) (*Script, error) {
@@ -250,14 +250,14 @@
 }
 
 // common is what a site says.
-func (s *Script) common() []operator.Field {
-	var named []string
+func (s *Script) siteFields() []operator.Field {
+	var seen []string
 	return []operator.Field{operator.One("deployment", s.deployment), operator.One("clients", s.Clients.fields),
 		operator.Block("type", []string{"name"}, func(labels []string, _ int) ([]operator.Field, error) {
-			if slices.Contains(named, labels[0]) {
+			if slices.Contains(seen, labels[0]) {
 				return nil, errors.New("stands twice")
 			}
-			named = append(named, labels[0])
+			seen = append(seen, labels[0])
 			t := Type{Name: labels[0], Parts: 1, Spread: 0.5, Target: 500, Expiry: 3000, Benefit: 1, Repeat: "retriable",
 				Scope: "all", Window: 5000, Objects: 2000, Skew: 1, OldWorth: 0.7}
 			i := slices.IndexFunc(s.Types, func(t Type) bool { return t.Name == labels[0] })
@@ -272,7 +272,7 @@
 
 func (s *Script) parse(text []byte, file string) error {
 	site := ""
-	err := operator.Parse(text, file, append(s.common(), operator.Attr("site", operator.Text(&site)),
+	err := operator.Parse(text, file, append(s.siteFields(), operator.Attr("site", operator.Text(&site)),
 		operator.Must("about", operator.Text(&s.About)), operator.Attr("seed", operator.Whole(&s.Seed, 0, 1<<30)),
 		operator.One("links", s.Links.fields), operator.One("fair", s.Fair.fields), operator.One("quorum", s.Quorum.fields),
 		operator.One("purges", s.Purges.fields),
@@ -292,30 +292,30 @@
 			return s.Jobs[len(s.Jobs)-1].fields(), nil // read before the next one moves them
 		}),
 		operator.Block("event", []string{"do"}, func(labels []string, line int) ([]operator.Field, error) {
-			if deeds[labels[0]] == nil {
-				return nil, fmt.Errorf("is none of %s", strings.Join(Deeds(), ", "))
+			if eventTargets[labels[0]] == nil {
+				return nil, fmt.Errorf("is none of %s", strings.Join(EventKinds(), ", "))
 			}
-			s.Events = append(s.Events, Event{Do: labels[0], Line: line, Number: len(s.Events), On: deeds[labels[0]][0], Times: 1})
+			s.Events = append(s.Events, Event{Do: labels[0], Line: line, Number: len(s.Events), On: eventTargets[labels[0]][0], Times: 1})
 			return s.Events[len(s.Events)-1].fields(), nil
 		}),
-		operator.Check(s.whole))...)
+		operator.Check(s.validate))...)
 	slices.SortStableFunc(s.Events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return err
 }
 
 // whole checks what only shows when all is read.
-func (s *Script) whole() error {
-	sharing := 0.0
+func (s *Script) validate() error {
+	shareSum := 0.0
 	for _, t := range s.Types {
-		sharing += t.Share
+		shareSum += t.Share
 	}
 	switch {
 	case len(s.Types) == 0:
 		return errors.New("no type of content")
 	case len(s.Phases) == 0:
 		return errors.New("no phase")
-	case sharing < 0.999 || sharing > 1.001:
-		return fmt.Errorf("the shares of the types come to %.3f in place of 1", sharing)
+	case shareSum < 0.999 || shareSum > 1.001:
+		return fmt.Errorf("the shares of the types come to %.3f in place of 1", shareSum)
 	case s.Gateways < len(s.Clubs):
 		return fmt.Errorf("%d gateways for %d clubs", s.Gateways, len(s.Clubs))
 	case s.Quorum.On && (s.Quorum.Voters%2 == 0 || s.Quorum.Voters > s.Gateways):
@@ -364,11 +364,11 @@
 
 // Longest is the longest expiry.
 func (s *Script) Longest() float64 {
-	most := 0.0
+	longest := 0.0
 	for _, t := range s.Types {
-		most = max(most, t.Expiry)
+		longest = max(longest, t.Expiry)
 	}
-	return most
+	return longest
 }
 
 func defaults() *Script {
--- a/internal/rehearsal/script/script_test.go
+++ b/internal/rehearsal/script/script_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const good = `about = "x"
+const validScript = `about = "x"
 type "a" {
   share = 1
   work = "10ms"
@@ -22,7 +22,7 @@
 
 // What a script says wrong, or leaves out, is named by its line, and nothing that it says is passed over.
 func TestParse(t *testing.T) {
-	s, err := Parse([]byte(good+"event \"slow\" {\n at = \"1s\"\n for = \"1s\"\n factor = 3\n}\nevent \"drain\" {\n at = \"500ms\"\n}"), "f.hcl")
+	s, err := Parse([]byte(validScript+"event \"slow\" {\n at = \"1s\"\n for = \"1s\"\n factor = 3\n}\nevent \"drain\" {\n at = \"500ms\"\n}"), "f.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 		{"target = \"100ms\"", "target = \"2s\"", "past the expiry"}, {"phase \"p\"", "type \"a\"", "stands twice"},
 		{"work = \"10ms\"", "work = 10", "f.hcl:4: type a.work: is number"},
 	} {
-		if _, err := Parse([]byte(strings.Replace(good, c[0], c[1], 1)), "f.hcl"); err == nil || !strings.Contains(err.Error(), c[2]) {
+		if _, err := Parse([]byte(strings.Replace(validScript, c[0], c[1], 1)), "f.hcl"); err == nil || !strings.Contains(err.Error(), c[2]) {
 			t.Errorf("%s: %v, want %q", c[1], err, c[2])
 		}
 	}
@@ -55,7 +55,7 @@
 		{"deployment {\n clubs = [\"a\", \"b\"]\n gateways = 1\n}", "1 gateways for 2 clubs"},
 		{"deployment {\n box {\n  cores_from = 9\n }\n}", "cores_from 9 is over cores_to 8"},
 	} {
-		if _, err := Parse([]byte(good+c[0]), "f.hcl"); err == nil || !strings.Contains(err.Error(), c[1]) {
+		if _, err := Parse([]byte(validScript+c[0]), "f.hcl"); err == nil || !strings.Contains(err.Error(), c[1]) {
 			t.Errorf("%q: %v, want %q", c[0], err, c[1])
 		}
 	}
@@ -71,8 +71,8 @@
 		}
 		return path
 	}
-	write("site.hcl", "deployment {\n gateways = 5\n box { count = 7 }\n}\n"+good[strings.Index(good, "type"):strings.Index(good, "phase")])
-	rest := good[strings.Index(good, "phase"):]
+	write("site.hcl", "deployment {\n gateways = 5\n box { count = 7 }\n}\n"+validScript[strings.Index(validScript, "type"):strings.Index(validScript, "phase")])
+	rest := validScript[strings.Index(validScript, "phase"):]
 	s, err := Load(write("a.hcl", "about = \"x\"\nsite = \"site.hcl\"\ndeployment {\n gateways = 6\n}\n"+rest))
 	if err != nil || s.Gateways != 6 || s.Box.Count != 7 || len(s.Types) != 1 || s.Name != "a" {
 		t.Errorf("%+v, %v", s, err)
--- a/internal/rehearsal/virtual/blind_test.go
+++ b/internal/rehearsal/virtual/consensus_loss_test.go
@@ -17,7 +17,7 @@
 // What it does to the core that all gateways lose sight of the agreement at once, and what they have to fetch anew for it: two clubs here, and
 // where POPPYMILL_TEST_MEASURE is set nine clubs with 300 gateways and 90 caches as well. No rule is broken for it, and nothing that was born
 // before three quarters of the delay answers meanwhile.
-func TestAllBlindAtOnce(t *testing.T) {
+func TestAllGatewaysLoseConsensus(t *testing.T) {
 	sizes := [][4]int{{3, 10, 2, 60}}
 	if os.Getenv("POPPYMILL_TEST_MEASURE") != "" {
 		sizes = append(sizes, [4]int{300, 90, 9, 540})
@@ -39,9 +39,9 @@
 			}
 			const goes, for_ = 20_000.0, 40_000.0
 			s.Phases = []script.Phase{{Name: "before", For: goes, Rate: rate}, {Name: "blind", From: goes, For: for_, Rate: rate}, {Name: "after", From: goes + for_, For: 10_000, Rate: rate}}
-			o := Options{Purges: purges.DefaultLimits()}
-			if o.Purges.Delay = delay; delay > 0 {
-				o.Sight = func(now float64) float64 {
+			o := Options{PurgeLimits: purges.DefaultLimits()}
+			if o.PurgeLimits.Delay = delay; delay > 0 {
+				o.AgreedUntil = func(now float64) float64 {
 					if now > goes && now < goes+for_ {
 						return goes
 					}
--- a/internal/rehearsal/virtual/virtual.go
+++ b/internal/rehearsal/virtual/virtual.go
@@ -36,14 +36,14 @@
 // How often the loop of a real gateway looks for mute and idle connections, in ms; how long word of the channel is on
 // its way, and how long where the channel is mute and the gateway has to find that out.
 const (
-	watchEvery = 100.0
-	tidyEvery  = 1000.0
-	wordTakes  = 2.0
-	muteTakes  = 2000.0
+	watchInterval     = 100.0
+	tidyInterval      = 1000.0
+	channelDelay      = 2.0
+	mutedChannelDelay = 2000.0
 )
 
 // Tamper puts a fault into the gateways, to show that the auditor finds it. The zero value puts in none.
-type Tamper struct {
+type Faults struct {
 	News     func(channel.News) bool                    // false: they never hear of it
 	Answers  func(world.Answer) []world.Answer          // what their clients get in place of one answer
 	Reply    func(world.Reply) world.Reply              // what they read of a box's answer
@@ -55,58 +55,58 @@
 // Options of a run.
 type Options struct {
 	Facts  func(world.Fact)
-	Tamper Tamper
+	Faults Faults
 	Log    func(gateway int) logrus.FieldLogger // nil: nowhere
 	// Sight is until when, by the driver's time, all gateways know what was agreed, where they agree on purges with these limits; nil: they don't.
-	Sight  func(now float64) float64
-	Purges purges.Limits
+	AgreedUntil func(now float64) float64
+	PurgeLimits purges.Limits
 }
 
 // Stats are what the gateways counted, summed at their end.
 type Stats struct {
 	Downloads, Drifts, Overdue, Panics int
-	Ahead                              int     // objects that nodes were filled ahead with
+	Prefilled                          int     // objects that nodes were filled ahead with
 	Virtual                            float64 // ms that were played
 }
 
 type driver struct {
 	Options
-	script  *script.Script
-	world   *world.World
-	agenda  world.Agenda
-	now     float64
-	all     []*gate
-	wires   map[int64]*wire
-	conns   int64
-	buffers *buffer.Pool
-	how     world.ChannelState
-	told    []channel.News
-	stats   Stats
-
-	agreement *agreement // nil: none
+	script       *script.Script
+	world        *world.World
+	agenda       world.Agenda
+	now          float64
+	gateways     []*gatewayProcess
+	wires        map[int64]*wire
+	conns        int64
+	buffers      *buffer.Pool
+	channelState world.ChannelState
+	published    []channel.News
+	stats        Stats
+
+	log *replicatedLog // nil: none
 }
 
 // gate is one gateway.
-type gate struct {
-	d       *driver
-	number  int
-	core    *gateway.Core
-	pool    *caches.Pool
-	alarm   *world.Entry
-	tick    *world.Entry
-	cursor  int
-	callers map[string]*caller
-	tidied  float64
-	block   drive.Block
-	config  *footprint.Config
-	log     logrus.FieldLogger
-	ended   float64 // told to end at; under 0: not
-	by      float64 // ms after which it answers all that is open
+type gatewayProcess struct {
+	d            *driver
+	number       int
+	core         *gateway.Core
+	pool         *caches.Pool
+	coreTimer    *world.Entry
+	watchTimer   *world.Entry
+	cursor       int
+	callers      map[string]*caller
+	tidiedAt     float64
+	block        drive.Block
+	config       *footprint.Config
+	log          logrus.FieldLogger
+	terminatedAt float64 // told to end at; under 0: not
+	answerWithin float64 // ms after which it answers all that is open
 }
 
 // caller is one request's connection.
 type caller struct {
-	g  *gate
+	g  *gatewayProcess
 	id string
 }
 
@@ -120,10 +120,10 @@
 	d := &driver{Options: o, script: s, wires: map[int64]*wire{}, buffers: buffer.NewPool(1 << 34)}
 	d.world = world.New(s, world.Options{Epoch: epoch, Facts: o.Facts})
 	for i := range s.Gateways {
-		d.all = append(d.all, &gate{d: d, number: i})
+		d.gateways = append(d.gateways, &gatewayProcess{d: d, number: i})
 	}
 	if s.Quorum.On {
-		d.agreement = newAgreement(d)
+		d.log = newReplicatedLog(d)
 	}
 	end := s.Length() + 2*s.Longest() + 10_000
 	for !d.world.Over() && d.now < end {
@@ -132,7 +132,7 @@
 		switch {
 		case also && (!ok || due < at):
 			d.now = due
-			if err := d.carry(d.world.Ring(due)); err != nil {
+			if err := d.execute(d.world.Ring(due)); err != nil {
 				return d.stats, err
 			}
 		case ok:
@@ -142,7 +142,7 @@
 			return d.stats, fmt.Errorf("nothing is due at %.1f ms", d.now)
 		}
 	}
-	for _, g := range d.all {
+	for _, g := range d.gateways {
 		g.close()
 	}
 	d.stats.Virtual = d.now
@@ -152,18 +152,18 @@
 func (d *driver) unix() float64 { return epoch + d.now }
 
 // soon does something at this time, after what is under way: a core must not be called from within itself.
-func (d *driver) soon(do func()) { d.agenda.Add(d.now, do) }
+func (d *driver) runNext(do func()) { d.agenda.Add(d.now, do) }
 
 // post hands an event to the world and carries out what comes of it.
 func (d *driver) post(e world.Event) {
-	d.soon(func() {
-		if err := d.carry(d.world.Handle(d.now, e)); err != nil {
+	d.runNext(func() {
+		if err := d.execute(d.world.Handle(d.now, e)); err != nil {
 			panic(err) // only a Start can fail, and no event of a peer's brings one
 		}
 	})
 }
 
-func (d *driver) carry(actions []world.Action) error {
+func (d *driver) execute(actions []world.Action) error {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case world.Accept:
@@ -171,9 +171,9 @@
 				w.accept()
 			}
 		case world.Refuse:
-			d.down(a.Conn)
+			d.closeConn(a.Conn)
 		case world.Reset:
-			d.down(a.Conn)
+			d.closeConn(a.Conn)
 		case world.Reply:
 			d.reply(a)
 		case world.Publish:
@@ -181,32 +181,32 @@
 				return err
 			}
 		case world.Channel:
-			d.how = a.How
+			d.channelState = a.How
 		case world.Ask:
-			d.all[a.Gateway].ask(a.Request)
+			d.gateways[a.Gateway].ask(a.Request)
 		case world.Abort:
-			if g := d.all[a.Gateway]; g.core != nil && g.callers[a.ID] != nil {
+			if g := d.gateways[a.Gateway]; g.core != nil && g.callers[a.ID] != nil {
 				g.handle(gateway.Aborted{Client: g.callers[a.ID], ID: 1, At: d.unix()})
 			}
 		case world.Start:
-			if err := d.all[a.Gateway].start(); err != nil {
+			if err := d.gateways[a.Gateway].start(); err != nil {
 				return err
 			}
 		case world.Kill:
-			d.all[a.Gateway].close()
-			if d.agreement != nil {
-				d.agreement.parts[a.Gateway].end(false)
+			d.gateways[a.Gateway].close()
+			if d.log != nil {
+				d.log.members[a.Gateway].stop(false)
 			}
 		case world.Keys:
-			for _, g := range d.all {
-				d.rekey(g, a)
+			for _, g := range d.gateways {
+				d.updateKeys(g, a)
 			}
 		case world.Term:
-			if g := d.all[a.Gateway]; g.core != nil {
+			if g := d.gateways[a.Gateway]; g.core != nil {
 				g.core.Leave()
-				g.ended = d.now
-				if d.agreement != nil {
-					d.agreement.parts[a.Gateway].end(true)
+				g.terminatedAt = d.now
+				if d.log != nil {
+					d.log.members[a.Gateway].stop(true)
 				}
 			}
 		}
@@ -224,19 +224,19 @@
 	if err != nil {
 		return fmt.Errorf("event %d: %w", a.Cursor, err)
 	}
-	d.told = append(d.told, news)
-	takes := wordTakes
-	if d.how == world.Muted {
-		takes = muteTakes
+	d.published = append(d.published, news)
+	takes := channelDelay
+	if d.channelState == world.Muted {
+		takes = mutedChannelDelay
 	}
-	for _, g := range d.all {
+	for _, g := range d.gateways {
 		if g.core == nil {
 			continue
 		}
 		core := g.core
 		d.agenda.Add(d.now+takes, func() {
 			if g.core == core {
-				g.hear(a.Cursor)
+				g.deliver(a.Cursor)
 			}
 		})
 	}
@@ -244,18 +244,18 @@
 }
 
 // hear tells a gateway all up to a number, in its order and once.
-func (g *gate) hear(cursor int) {
+func (g *gatewayProcess) deliver(cursor int) {
 	for ; g.cursor < cursor; g.cursor++ {
-		if n := g.d.told[g.cursor]; g.d.Tamper.News == nil || g.d.Tamper.News(n) {
+		if n := g.d.published[g.cursor]; g.d.Faults.News == nil || g.d.Faults.News(n) {
 			g.handle(gateway.Told{News: n, At: g.d.unix()})
 		}
 	}
 	g.d.post(world.Heard{Gateway: g.number, Cursor: cursor})
 }
 
-func (g *gate) start() error {
+func (g *gatewayProcess) start() error {
 	d := g.d
-	text, err := d.world.Configuration(g.number, "127.0.0.1:1", "127.0.0.1:2", d.world.Known, d.Tamper.Settings)
+	text, err := d.world.Configuration(g.number, "127.0.0.1:1", "127.0.0.1:2", d.world.Known, d.Faults.Settings)
 	if err != nil {
 		return err
 	}
@@ -267,7 +267,7 @@
 	budget := gateway.Share(c)
 	g.pool = caches.NewPool(caches.Limits{Streams: c.Streams, Idle: c.Idle, Conns: budget.Caches, Reports: c.Reports,
 		Checks: c.Probing, Answer: c.Connect, Names: footprint.Report}, g.dial(c.Connect))
-	g.log = silent
+	g.log = discardLog
 	if d.Log != nil {
 		g.log = d.Log(g.number)
 	}
@@ -290,28 +290,28 @@
 		if err != nil {
 			return err
 		}
-		if d.Tamper.Links == nil || d.Tamper.Links(&s) {
+		if d.Faults.Links == nil || d.Faults.Links(&s) {
 			g.core.Guard(links.New(s, ring, []byte(c.Name), d.unix()), g.block, nil, nil, d.unix)
 		}
 	}
-	if d.Sight != nil {
+	if d.AgreedUntil != nil {
 		zone, _ := c.Footprint["zone"].(string)
-		g.core.Purges(zone, d.Purges, true, func() float64 { return epoch + d.Sight(d.now) }, d.unix)
+		g.core.Purges(zone, d.PurgeLimits, true, func() float64 { return epoch + d.AgreedUntil(d.now) }, d.unix)
 	}
-	if d.agreement != nil {
+	if d.log != nil {
 		g.config = c
-		d.agreement.parts[g.number].start()
+		d.log.members[g.number].start()
 	}
 	answered, _ := gateway.AnswerBy(c)
-	g.cursor, g.callers, g.ended, g.by = cursor, map[string]*caller{}, -1, float64(answered)/float64(time.Millisecond)
-	g.alarm = d.agenda.Add(math.Inf(1), func() { g.handle(nil) })
-	g.tick = d.agenda.Add(d.now+watchEvery, g.watch)
+	g.cursor, g.callers, g.terminatedAt, g.answerWithin = cursor, map[string]*caller{}, -1, float64(answered)/float64(time.Millisecond)
+	g.coreTimer = d.agenda.Add(math.Inf(1), func() { g.handle(nil) })
+	g.watchTimer = d.agenda.Add(d.now+watchInterval, g.watch)
 	g.handle(nil)
 	d.post(world.Ready{Gateway: g.number})
 	return nil
 }
 
-var silent = func() *logrus.Logger {
+var discardLog = func() *logrus.Logger {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	l.SetLevel(logrus.PanicLevel)
@@ -319,7 +319,7 @@
 }()
 
 // rekey has a gateway take up other keys some time later, as its watch on the file does.
-func (d *driver) rekey(g *gate, a world.Keys) {
+func (d *driver) updateKeys(g *gatewayProcess, a world.Keys) {
 	core := g.core
 	d.agenda.Add(d.now+d.world.LinkTakes(g.number), func() {
 		if ring, err := links.NewRing(a.Keys, nil); err == nil && g.core == core && core != nil {
@@ -329,7 +329,7 @@
 }
 
 // handle hands an event to the core, or lets it do what is due.
-func (g *gate) handle(e any) {
+func (g *gatewayProcess) handle(e any) {
 	if g.core == nil {
 		return
 	}
@@ -339,20 +339,20 @@
 		g.core.Handle(e)
 	}
 	if at, ok := g.core.Next(); ok {
-		g.d.agenda.Move(g.alarm, max(g.d.now, at-epoch))
+		g.d.agenda.Move(g.coreTimer, max(g.d.now, at-epoch))
 	} else {
-		g.d.agenda.Move(g.alarm, math.Inf(1))
+		g.d.agenda.Move(g.coreTimer, math.Inf(1))
 	}
 }
 
-func (g *gate) watch() {
+func (g *gatewayProcess) watch() {
 	d := g.d
 	if g.core == nil {
 		return
 	}
 	g.core.Watch(d.unix())
-	if d.now >= g.tidied+tidyEvery {
-		g.tidied = d.now
+	if d.now >= g.tidiedAt+tidyInterval {
+		g.tidiedAt = d.now
 		g.pool.Tidy(d.unix())
 		beliefs, drifts := g.core.Drift()
 		if drifts {
@@ -366,8 +366,8 @@
 		}
 	}
 	g.handle(nil)
-	crashes := d.Tamper.Crash != nil && d.Tamper.Crash(g.number, d.now)
-	if g.ended >= 0 && (d.now >= g.ended+g.by || d.now >= g.ended+700 && g.core.Open() == 0) || crashes {
+	crashes := d.Faults.Crash != nil && d.Faults.Crash(g.number, d.now)
+	if g.terminatedAt >= 0 && (d.now >= g.terminatedAt+g.answerWithin || d.now >= g.terminatedAt+700 && g.core.Open() == 0) || crashes {
 		if !crashes {
 			g.core.End(d.unix())
 		}
@@ -375,11 +375,11 @@
 		d.post(world.Exited{Gateway: g.number, Crashed: crashes})
 		return
 	}
-	d.agenda.Move(g.tick, d.now+watchEvery)
+	d.agenda.Move(g.watchTimer, d.now+watchInterval)
 }
 
 // close ends a gateway's process: all its connections end with it.
-func (g *gate) close() {
+func (g *gatewayProcess) close() {
 	if g.core == nil {
 		return
 	}
@@ -387,18 +387,18 @@
 	d.stats.Downloads += g.core.Taken
 	d.stats.Overdue += g.core.Overdue
 	d.stats.Panics += g.core.Panics
-	d.agenda.Remove(g.alarm)
-	d.agenda.Remove(g.tick)
+	d.agenda.Remove(g.coreTimer)
+	d.agenda.Remove(g.watchTimer)
 	g.core = nil
 	for _, id := range slices.Sorted(maps.Keys(d.wires)) {
 		if w := d.wires[id]; w.g == g {
-			w.over()
+			w.release()
 			d.post(world.Hung{Conn: id})
 		}
 	}
 }
 
-func (g *gate) ask(r world.Request) {
+func (g *gatewayProcess) ask(r world.Request) {
 	if g.core == nil {
 		g.d.post(world.Unanswered{ID: r.ID, Refused: true})
 		return
@@ -426,8 +426,8 @@
 	}
 	a.Body.Release()
 	answers := []world.Answer{got}
-	if d.Tamper.Answers != nil {
-		answers = d.Tamper.Answers(got)
+	if d.Faults.Answers != nil {
+		answers = d.Faults.Answers(got)
 	}
 	for _, x := range answers {
 		d.post(x)
@@ -449,28 +449,28 @@
 
 // wire is a connection between a gateway's pool and a box.
 type wire struct {
-	g        *gate
-	id       int64
-	up       bool
-	closed   bool
-	queue    []*caches.Item // not up yet
-	unsent   []*caches.Item // never will be
-	commands resp.Reader
-	answers  *caches.Parser
-	heard    float64
-	limit    *world.Entry // by when it must be up
+	g            *gatewayProcess
+	id           int64
+	connected    bool
+	closed       bool
+	queue        []*caches.Item // not up yet
+	unsent       []*caches.Item // never will be
+	commands     resp.Reader
+	answers      *caches.Parser
+	lastHeard    float64
+	connectTimer *world.Entry // by when it must be up
 }
 
-func (g *gate) dial(within float64) func(string) caches.Wire {
+func (g *gatewayProcess) dial(within float64) func(string) caches.Wire {
 	return func(address string) caches.Wire {
 		d := g.d
 		d.conns++
 		w := &wire{g: g, id: d.conns, answers: caches.NewParser(d.buffers)}
 		d.wires[w.id] = w
 		d.post(world.Dialled{Conn: w.id, Address: address})
-		w.limit = d.agenda.Add(d.now+within, func() {
-			if !w.up && !w.closed {
-				w.end()
+		w.connectTimer = d.agenda.Add(d.now+within, func() {
+			if !w.connected && !w.closed {
+				w.fail()
 				d.post(world.Hung{Conn: w.id})
 			}
 		})
@@ -482,8 +482,8 @@
 	if w.closed {
 		return
 	}
-	w.up = true
-	w.g.d.agenda.Remove(w.limit)
+	w.connected = true
+	w.g.d.agenda.Remove(w.connectTimer)
 	w.g.handle(caches.Up{Wire: w, At: w.g.d.unix()})
 	queue := w.queue
 	w.queue = nil
@@ -492,65 +492,65 @@
 	}
 }
 
-func (w *wire) Send(i *caches.Item) bool {
+func (w *wire) Send(item *caches.Item) bool {
 	if w.closed {
-		i.Wrote(false)
+		item.Wrote(false)
 		return false
 	}
-	if w.up {
-		w.write(i)
+	if w.connected {
+		w.write(item)
 	} else {
-		w.queue = append(w.queue, i)
+		w.queue = append(w.queue, item)
 	}
 	return true
 }
 
-func (w *wire) write(i *caches.Item) {
-	i.Take()
+func (w *wire) write(item *caches.Item) {
+	item.Take()
 	var bytes []byte
-	for _, p := range i.Pieces(nil) {
+	for _, p := range item.Pieces(nil) {
 		bytes = append(bytes, p...)
 	}
-	i.Wrote(true)
+	item.Wrote(true)
 	found, err := w.commands.Feed(bytes)
 	for _, c := range found {
 		w.g.d.post(world.Command{Conn: w.id, Verb: c.Verb, ID: c.ID, Fields: c.Fields, Body: c.Body})
 	}
 	if err != nil { // a box that can't read a command closes its connection
 		w.g.d.post(world.Hung{Conn: w.id})
-		w.g.d.soon(w.end)
+		w.g.d.runNext(w.fail)
 	}
 }
 
-func (w *wire) Remove(i *caches.Item) bool {
-	if slices.Contains(w.unsent, i) {
+func (w *wire) Remove(item *caches.Item) bool {
+	if slices.Contains(w.unsent, item) {
 		return true
 	}
-	n := slices.Index(w.queue, i)
-	if n < 0 {
+	index := slices.Index(w.queue, item)
+	if index < 0 {
 		return false
 	}
-	w.queue = slices.Delete(w.queue, n, n+1)
-	i.Wrote(false)
+	w.queue = slices.Delete(w.queue, index, index+1)
+	item.Wrote(false)
 	return true
 }
 
 func (w *wire) Stuck() bool            { return false }
-func (w *wire) Heard() (float64, bool) { return w.heard, false }
+func (w *wire) Heard() (float64, bool) { return w.lastHeard, false }
 
 func (w *wire) Close() {
 	if !w.closed {
-		w.over()
+		w.release()
 		w.g.d.post(world.Hung{Conn: w.id})
-		w.down(w.up)
+		w.notifyDown(w.connected)
 	}
 }
 
 // over lets go of what was never written.
-func (w *wire) over() {
+func (w *wire) release() {
 	w.closed = true
 	delete(w.g.d.wires, w.id)
-	w.g.d.agenda.Remove(w.limit)
+	w.g.d.agenda.Remove(w.connectTimer)
 	for _, i := range w.queue {
 		i.Wrote(false)
 	}
@@ -558,26 +558,26 @@
 	w.answers.Release()
 }
 
-func (w *wire) end() {
+func (w *wire) fail() {
 	if !w.closed {
-		w.over()
-		w.down(w.up)
+		w.release()
+		w.notifyDown(w.connected)
 	}
 }
 
 // down tells the pool that the connection is no more.
-func (w *wire) down(up bool) {
+func (w *wire) notifyDown(up bool) {
 	d, core := w.g.d, w.g.core
-	d.soon(func() {
+	d.runNext(func() {
 		if w.g.core == core {
 			w.g.handle(caches.Down{Wire: w, Up: up, At: d.unix()})
 		}
 	})
 }
 
-func (d *driver) down(conn int64) {
+func (d *driver) closeConn(conn int64) {
 	if w := d.wires[conn]; w != nil {
-		w.end()
+		w.fail()
 	}
 }
 
@@ -586,19 +586,19 @@
 	if w == nil {
 		return
 	}
-	if d.Tamper.Reply != nil {
-		r = d.Tamper.Reply(r)
+	if d.Faults.Reply != nil {
+		r = d.Faults.Reply(r)
 	}
 	bytes := resp.Answer(nil, r.Tag, r.Word, r.Fields, r.Body)
 	if r.Cut {
 		bytes = bytes[:len(bytes)-len(r.Body)/2-2]
 	}
-	w.heard = d.unix()
+	w.lastHeard = d.unix()
 	found, err := w.answers.Feed(bytes, nil)
 	for _, reply := range found {
 		w.g.handle(caches.Answered{Wire: w, Reply: reply, At: d.unix()})
 	}
 	if err != nil || r.Cut {
-		w.end()
+		w.fail()
 	}
 }
--- a/internal/rehearsal/virtual/virtual_test.go
+++ b/internal/rehearsal/virtual/virtual_test.go
@@ -19,10 +19,10 @@
 )
 
 // play runs a script and returns its report and what was found.
-func play(t *testing.T, s *script.Script, tamper Tamper) (*report.Report, *auditor.Auditor, Stats) {
+func runScript(t *testing.T, s *script.Script, tamper Faults) (*report.Report, *auditor.Auditor, Stats) {
 	t.Helper()
 	count, audit := report.New(s), auditor.New(s, 0)
-	stats, err := Run(s, Options{Tamper: tamper, Facts: func(f world.Fact) {
+	stats, err := Run(s, Options{Faults: tamper, Facts: func(f world.Fact) {
 		audit.See(f)
 		count.See(f)
 	}})
@@ -53,7 +53,7 @@
 					}
 					return
 				}
-				r, _, stats := play(t, s, Tamper{})
+				r, _, stats := runScript(t, s, Faults{})
 				if err := r.JSON(&texts[i]); err != nil {
 					t.Fatal(err)
 				}
@@ -76,7 +76,7 @@
 }
 
 // small is a short day on which everything that the rules speak of happens.
-const small = `
+const smallScript = `
 about = "all that the rules speak of, in eight seconds"
 deployment {
   clubs = ["a", "b"]
@@ -152,61 +152,61 @@
 
 // Each check bites: with one fault put into the gateways the auditor names that rule and no other, and the download,
 // gateway and time of it; without one it finds nothing.
-func TestAuditorBites(t *testing.T) {
+func TestAuditorFindsInjectedFaults(t *testing.T) {
 	n := 0
 	every := func(k int) bool { n++; return n%k == 0 }
 	for _, c := range []struct {
 		name   string
 		rule   auditor.Rule
-		tamper Tamper
+		tamper Faults
 	}{
-		{"nothing", auditor.Rules, Tamper{}},
-		{"answers twice", auditor.OneAnswer, Tamper{Answers: func(a world.Answer) []world.Answer {
+		{"nothing", auditor.Rules, Faults{}},
+		{"answers twice", auditor.OneAnswer, Faults{Answers: func(a world.Answer) []world.Answer {
 			if every(50) {
 				return []world.Answer{a, a}
 			}
 			return []world.Answer{a}
 		}}},
-		{"forgets one", auditor.OneAnswer, Tamper{Answers: func(a world.Answer) []world.Answer {
+		{"forgets one", auditor.OneAnswer, Faults{Answers: func(a world.Answer) []world.Answer {
 			if every(50) {
 				return nil
 			}
 			return []world.Answer{a}
 		}}},
-		{"answers what it was not asked", auditor.OneAnswer, Tamper{Answers: func(a world.Answer) []world.Answer {
+		{"answers what it was not asked", auditor.OneAnswer, Faults{Answers: func(a world.Answer) []world.Answer {
 			if every(50) && a.Copy != "" {
 				a.Copy = "0000000000000000" + a.Copy[16:]
 			}
 			return []world.Answer{a}
 		}}},
-		{"takes what may have run for what did not", auditor.NoRepeat, Tamper{Reply: func(r world.Reply) world.Reply {
+		{"takes what may have run for what did not", auditor.NoRepeat, Faults{Reply: func(r world.Reply) world.Reply {
 			if r.Word == "BROKE" {
 				r.Word = "WAIT"
 			}
 			return r
 		}}},
-		{"ignores a drain", auditor.Drains, Tamper{News: func(n channel.News) bool {
+		{"ignores a drain", auditor.Drains, Faults{News: func(n channel.News) bool {
 			return !slices.ContainsFunc(n.Nodes, func(n channel.Node) bool { return n.State == router.Draining })
 		}}},
-		{"ignores a purge", auditor.Purges, Tamper{News: func(n channel.News) bool { return !n.Purge }}},
-		{"floods a cold hub", auditor.Cold, Tamper{Settings: func(s map[string]any) {
+		{"ignores a purge", auditor.Purges, Faults{News: func(n channel.News) bool { return !n.Purge }}},
+		{"floods a cold hub", auditor.Cold, Faults{Settings: func(s map[string]any) {
 			extra := s["extra"].(map[string]any)
 			extra["parent_cold_from"], extra["upper_cold"] = 1.0, 0.0
 		}}},
-		{"lets all links in", auditor.Links, Tamper{Links: func(*links.Settings) bool { return false }}},
-		{"spends what is another's to spend", auditor.Links, Tamper{Links: func(s *links.Settings) bool {
+		{"lets all links in", auditor.Links, Faults{Links: func(*links.Settings) bool { return false }}},
+		{"spends what is another's to spend", auditor.Links, Faults{Links: func(s *links.Settings) bool {
 			s.Audience = append(s.Audience, "gateway-a-a", "gateway-b-b", "gateway-c-a")
 			return true
 		}}},
-		{"signs nothing for boxes", auditor.Links, Tamper{Links: func(s *links.Settings) bool { s.Boxes = 0; return true }}},
-		{"ends by itself", auditor.Alive, Tamper{Crash: func(g int, now float64) bool { return g == 1 && now > 3000 && now < 3200 }}},
+		{"signs nothing for boxes", auditor.Links, Faults{Links: func(s *links.Settings) bool { s.Boxes = 0; return true }}},
+		{"ends by itself", auditor.Alive, Faults{Crash: func(g int, now float64) bool { return g == 1 && now > 3000 && now < 3200 }}},
 	} {
 		n = 0
-		s, err := script.Parse([]byte(small), "small.hcl")
+		s, err := script.Parse([]byte(smallScript), "small.hcl")
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, audit, _ := play(t, s, c.tamper)
+		_, audit, _ := runScript(t, s, c.tamper)
 		for r := range auditor.Rules {
 			if found := audit.Counts[r] > 0; found != (r == c.rule) {
 				t.Errorf("%s: %d findings on %v: %v", c.name, audit.Counts[r], r, audit.Found[r][:min(2, len(audit.Found[r]))])
--- a/internal/rehearsal/virtual/night_test.go
+++ b/internal/rehearsal/virtual/work_order_test.go
@@ -17,17 +17,17 @@
 
 // Of a night: how long a cache drains, is away, and counts as out after that, and one that is lost unplanned; ms.
 const (
-	nightDrains = 1000.0
-	nightTakes  = 6000.0
-	nightWarms  = 12_000.0
-	nightBegins = 25_000.0
-	lossAt      = 40_000.0
-	lossFor     = 30_000.0
+	drainTime    = 1000.0
+	workTime     = 6000.0
+	warmTime     = 12_000.0
+	nightStart   = 25_000.0
+	lossAt       = 40_000.0
+	lossDuration = 30_000.0
 )
 
 // night is when each cache goes, by the rules of package maintenance: order names whom of those that wait to try first, and the book
 // refuses whoever may not go.
-func night(boxes, clubs []string, limits maintenance.Limits, lost string, order func(*maintenance.Book) []string) (goes map[string]float64, ends float64) {
+func planNight(boxes, clubs []string, limits maintenance.Limits, lost string, order func(*maintenance.Book) []string) (goes map[string]float64, ends float64) {
 	b := maintenance.New()
 	inventory := maintenance.Inventory{Version: 1, Limits: limits}
 	for i, name := range boxes {
@@ -36,12 +36,12 @@
 	give := func(kind string, content any) any { return b.Apply(1, kind, canon.Encode(content)) }
 	give(maintenance.Have, inventory)
 	for _, name := range boxes {
-		give(maintenance.Ask, maintenance.Order{At: nightBegins, Request: &maintenance.Request{ID: name, Machine: name, Takes: nightTakes}})
+		give(maintenance.Ask, maintenance.Order{At: nightStart, Request: &maintenance.Request{ID: name, Machine: name, Takes: workTime}})
 	}
 	goes = map[string]float64{}
-	for now := nightBegins; len(b.Works) > 0 && now < 1e6; now += 100 {
+	for now := nightStart; len(b.Works) > 0 && now < 1e6; now += 100 {
 		ends = now
-		if lost != "" && (now == lossAt || now == lossAt+lossFor) {
+		if lost != "" && (now == lossAt || now == lossAt+lossDuration) {
 			names := []string{}
 			if now == lossAt {
 				names = append(names, lost)
@@ -57,11 +57,11 @@
 			switch {
 			case w.Stage == maintenance.Granted:
 				give(maintenance.Drain, o)
-			case w.Stage == maintenance.Draining && now >= w.Since+nightDrains:
+			case w.Stage == maintenance.Draining && now >= w.Since+drainTime:
 				if give(maintenance.Go, o); b.Works[name].Stage == maintenance.Out {
 					goes[name] = now
 				}
-			case w.Stage == maintenance.Out && now >= w.Since+nightTakes:
+			case w.Stage == maintenance.Out && now >= w.Since+workTime:
 				give(maintenance.Back, o)
 			}
 		}
@@ -75,7 +75,7 @@
 	if os.Getenv("POPPYMILL_TEST_MEASURE") == "" {
 		t.Skip("a measurement")
 	}
-	limits := maintenance.Limits{Most: 2, PerClub: 1, Drain: 10_000, Warm: nightWarms, Overdue: 10, Grace: 100}
+	limits := maintenance.Limits{Most: 2, PerClub: 1, Drain: 10_000, Warm: warmTime, Overdue: 10, Grace: 100}
 	short := limits
 	short.Warm = 0
 	waiting := func(b *maintenance.Book) (all []string) {
@@ -120,52 +120,52 @@
 				if loss {
 					lost = boxes[len(boxes)-1]
 				}
-				goes, ends := map[string]float64{}, nightBegins
+				goes, ends := map[string]float64{}, nightStart
 				switch how {
 				case "planned":
-					goes, ends = night(boxes, clubs, limits, lost, planned)
+					goes, ends = planNight(boxes, clubs, limits, lost, planned)
 				case "planned, and in again at once":
-					goes, ends = night(boxes, clubs, short, lost, planned)
+					goes, ends = planNight(boxes, clubs, short, lost, planned)
 				case "one after another":
 					one := limits
 					one.Most = 1
 					if lost != "" {
 						one.Most = 2 // it knows nothing of losses
 					}
-					goes, ends = night(boxes, clubs, one, lost, func(b *maintenance.Book) []string {
+					goes, ends = planNight(boxes, clubs, one, lost, func(b *maintenance.Book) []string {
 						if w := waiting(b); len(w) == len(b.Works) && len(w) > 0 {
 							return w[:1]
 						}
 						return nil
 					})
 				case "random within the limits":
-					goes, ends = night(boxes, clubs, limits, lost, func(b *maintenance.Book) []string {
+					goes, ends = planNight(boxes, clubs, limits, lost, func(b *maintenance.Book) []string {
 						w := waiting(b)
 						slices.SortFunc(w, func(x, y string) int { return cmp.Compare(c.Below(), 0.5) })
 						return w
 					})
 				case "all of a club at once":
 					for i, b := range boxes {
-						if goes[b] = nightBegins; clubs[i] != clubs[0] {
-							goes[b] += nightTakes + nightWarms
+						if goes[b] = nightStart; clubs[i] != clubs[0] {
+							goes[b] += workTime + warmTime
 						}
 					}
-					ends = nightBegins + 2*(nightTakes+nightWarms)
+					ends = nightStart + 2*(workTime+warmTime)
 				}
-				took += (ends - nightBegins) / 1000 / seeds
-				const until = nightBegins + 200_000
-				s.Phases = []script.Phase{{Name: "before", For: nightBegins, Rate: 150}}
-				for at := nightBegins; at < until; at += 10_000 {
+				took += (ends - nightStart) / 1000 / seeds
+				const until = nightStart + 200_000
+				s.Phases = []script.Phase{{Name: "before", For: nightStart, Rate: 150}}
+				for at := nightStart; at < until; at += 10_000 {
 					s.Phases = append(s.Phases, script.Phase{Name: fmt.Sprint("n", at), From: at, For: 10_000, Rate: 150})
 				}
 				for _, name := range slices.Sorted(maps.Keys(goes)) {
-					s.Events = append(s.Events, script.Event{Do: "drain", Times: 1, On: "edge", Name: name, At: goes[name] - nightDrains, For: nightDrains + nightTakes, Number: len(s.Events)},
-						script.Event{Do: "kill", Times: 1, On: "edge", Name: name, At: goes[name], For: nightTakes, Number: len(s.Events) + 1})
+					s.Events = append(s.Events, script.Event{Do: "drain", Times: 1, On: "edge", Name: name, At: goes[name] - drainTime, For: drainTime + workTime, Number: len(s.Events)},
+						script.Event{Do: "kill", Times: 1, On: "edge", Name: name, At: goes[name], For: workTime, Number: len(s.Events) + 1})
 				}
 				if lost != "" {
-					s.Events = append(s.Events, script.Event{Do: "kill", Times: 1, On: "edge", Name: lost, At: lossAt, For: lossFor, Number: len(s.Events)})
+					s.Events = append(s.Events, script.Event{Do: "kill", Times: 1, On: "edge", Name: lost, At: lossAt, For: lossDuration, Number: len(s.Events)})
 				}
-				r, audit, _ := play(t, s, Tamper{})
+				r, audit, _ := runScript(t, s, Faults{})
 				if !r.Outcome.Holds {
 					t.Errorf("%s, seed %d: %+v", how, s.Seed, audit.Found)
 				}
--- a/internal/rehearsal/world/agenda.go
+++ b/internal/rehearsal/world/agenda.go
@@ -4,72 +4,72 @@
 
 // Agenda is what is due, the next first; of two at one time the one that was noted first.
 type Agenda struct {
-	all  entries
-	made uint64
+	entries  entries
+	sequence uint64
 }
 
 // Entry is one thing that is due.
 type Entry struct {
-	at    float64
-	made  uint64
-	do    func()
-	place int // in the heap; -1: it is not there
+	at       float64
+	sequence uint64
+	run      func()
+	index    int // in the heap; -1: it is not there
 }
 
 // Add notes what is due at a time.
 func (a *Agenda) Add(at float64, do func()) *Entry {
-	a.made++
-	e := &Entry{at: at, made: a.made, do: do}
-	heap.Push(&a.all, e)
+	a.sequence++
+	e := &Entry{at: at, sequence: a.sequence, run: do}
+	heap.Push(&a.entries, e)
 	return e
 }
 
 // Move changes when an entry is due; one that has left comes back.
 func (a *Agenda) Move(e *Entry, at float64) {
-	if a.made++; e.place < 0 {
-		e.at, e.made = at, a.made
-		heap.Push(&a.all, e)
+	if a.sequence++; e.index < 0 {
+		e.at, e.sequence = at, a.sequence
+		heap.Push(&a.entries, e)
 		return
 	}
 	if e.at != at {
-		e.at, e.made = at, a.made
-		heap.Fix(&a.all, e.place)
+		e.at, e.sequence = at, a.sequence
+		heap.Fix(&a.entries, e.index)
 	}
 }
 
 // Remove takes one out; nothing happens where it has left.
 func (a *Agenda) Remove(e *Entry) {
-	if e != nil && e.place >= 0 {
-		heap.Remove(&a.all, e.place)
+	if e != nil && e.index >= 0 {
+		heap.Remove(&a.entries, e.index)
 	}
 }
 
 // Next is when something is due next; false where nothing is.
 func (a *Agenda) Next() (float64, bool) {
-	if len(a.all) == 0 {
+	if len(a.entries) == 0 {
 		return 0, false
 	}
-	return a.all[0].at, true
+	return a.entries[0].at, true
 }
 
 // Step does what is due next.
 func (a *Agenda) Step() {
-	heap.Pop(&a.all).(*Entry).do()
+	heap.Pop(&a.entries).(*Entry).run()
 }
 
 type entries []*Entry
 
 func (h entries) Len() int { return len(h) }
 func (h entries) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].made < h[j].made
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
 func (h entries) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].index, h[j].index = i, j
 }
 func (h *entries) Push(x any) {
 	e := x.(*Entry)
-	e.place = len(*h)
+	e.index = len(*h)
 	*h = append(*h, e)
 }
 func (h *entries) Pop() any {
@@ -77,9 +77,9 @@
 	e := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	e.place = -1
+	e.index = -1
 	return e
 }
 
-func push(h *entries, e *Entry) { heap.Push(h, e) }
-func drop(h *entries, e *Entry) { heap.Remove(h, e.place) }
+func pushEntry(h *entries, e *Entry)   { heap.Push(h, e) }
+func removeEntry(h *entries, e *Entry) { heap.Remove(h, e.index) }
--- a/internal/rehearsal/world/box.go
+++ b/internal/rehearsal/world/box.go
@@ -25,351 +25,351 @@
 // What a box does beside its downloads, in ms of work; how long a command and its answer are on their way together, in
 // ms; how much faster a fill may run than an answer.
 const (
-	trifle   = 0.2
-	way      = 0.6
-	fillPace = 2.5
+	minorWork   = 0.2
+	roundTrip   = 0.6
+	fillSpeedup = 2.5
 )
 
 // box is an edge cache, a hub or the member core.
 type box struct {
-	w              *World
-	id, addr, zone string
-	role           role
-	spec           *script.Box
-	cores          float64
-	cell           int
-	since          float64 // when it started; under 0: long ago
-	state          string  // as the list will say
-	listed         int     // number of the event that told of it
-	up             bool
-	vanished       bool
-	silent         bool
-	paused         int
-	slow           float64
-	fail           float64 // share that it fails quickly,
-	lose           float64 // share whose answer is lost after it ran,
-	cut            float64 // and share that is cut amid its answer
-	cpu            *station
-	store          *store
-	met            map[key]bool // of one that holds things when the rehearsal begins: what was asked of it since
-	fills          int
-	fetching       map[key]*fetch
-	sent, knowing  router.Ring // work that was asked of it, in all and by those who knew who it is
-	conns          map[int64]bool
-	report, last   string
-	reportAt       float64
+	w                             *World
+	id, addr, zone                string
+	role                          role
+	spec                          *script.Box
+	cores                         float64
+	cell                          int
+	startedAt                     float64 // when it started; under 0: long ago
+	state                         string  // as the list will say
+	listedCursor                  int     // number of the event that told of it
+	up                            bool
+	vanished                      bool
+	silent                        bool
+	pauses                        int
+	slowdown                      float64
+	failShare                     float64 // share that it fails quickly,
+	loseShare                     float64 // share whose answer is lost after it ran,
+	cutShare                      float64 // and share that is cut amid its answer
+	cpu                           *sharedResource
+	store                         *store
+	requested                     map[key]bool // of one that holds things when the rehearsal begins: what was asked of it since
+	activeFills                   int
+	fetching                      map[key]*fetch
+	sentWork, informedWork        router.Ring // work that was asked of it, in all and by those who knew who it is
+	conns                         map[int64]bool
+	currentReport, previousReport string
+	reportAt                      float64
 }
 
 // fetch is one object on its way from the core to a hub, for all who wait for it.
 type fetch struct {
-	born    float64
-	waiting []func(*made)
-	keep    bool
+	createdAt float64
+	waiting   []func(*objectCopy)
+	keep      bool
 }
 
 // request is one GET at a box.
 type request struct {
-	ask    *asked
-	conn   *conn
-	id     string
-	key    key
-	typ    *kind
-	work   float64
-	bytes  float64
-	next   string
-	admit  int
-	least  float64 // the earliest birth of a copy that will do
-	ways   string
-	cached string
-	over   bool
-	stop   func() // calls off what is under way for it
-	timer  *Entry
+	clientRequest *openRequest
+	conn          *conn
+	id            string
+	key           key
+	typ           *contentType
+	work          float64
+	bytes         float64
+	source        string
+	admitRank     int
+	minCreatedAt  float64 // the earliest birth of a copy that will do
+	options       string
+	cachedTag     string
+	done          bool
+	cancel        func() // calls off what is under way for it
+	timer         *Entry
 }
 
 // usual is the work of a download as far as anybody can know it who sends one: the mean of its type.
-func (r *request) usual() float64 {
-	if r.ask == nil || r.typ == nil {
-		return trifle
+func (r *request) expectedWork() float64 {
+	if r.clientRequest == nil || r.typ == nil {
+		return minorWork
 	}
 	return r.typ.Work
 }
 
 func (w *World) newBox(id, addr, zone string, r role, cores float64, cell int, spec *script.Box) *box {
-	b := &box{w: w, id: id, addr: addr, zone: zone, role: r, spec: spec, cores: cores, cell: cell, since: -1, state: "ready",
-		slow: 1, fetching: map[key]*fetch{}, conns: map[int64]bool{}}
+	b := &box{w: w, id: id, addr: addr, zone: zone, role: r, spec: spec, cores: cores, cell: cell, startedAt: -1, state: "ready",
+		slowdown: 1, fetching: map[key]*fetch{}, conns: map[int64]bool{}}
 	slots, most := int(float64(spec.Slots)*cores), 1.0
 	if r == hub {
-		slots, most = 0, fillPace
+		slots, most = 0, fillSpeedup
 	} else if r == core {
-		slots, most = 0, fillPace
+		slots, most = 0, fillSpeedup
 	}
-	b.cpu = newStation(&w.agenda, w.clock, cores, most, slots)
+	b.cpu = newSharedResource(&w.agenda, w.clock, cores, most, slots)
 	if r == core {
-		b.cpu.crowded = w.script.Core.Crowded
+		b.cpu.crowding = w.script.Core.Crowded
 	}
 	b.store = newStore(spec.Store)
-	b.sent, b.knowing = newRing(spec.FallFor), newRing(spec.FallFor)
+	b.sentWork, b.informedWork = newRecentSum(spec.FallFor), newRecentSum(spec.FallFor)
 	w.boxes[id] = b
-	w.order = append(w.order, b)
+	w.boxOrder = append(w.boxOrder, b)
 	return b
 }
 
 // warmth is the share of its capacity that it has by now.
-func (b *box) warmth() float64 {
-	if b.since < 0 || b.role == core {
+func (b *box) warmFraction() float64 {
+	if b.startedAt < 0 || b.role == core {
 		return 1
 	}
-	return min(1, b.spec.ColdShare+(1-b.spec.ColdShare)*(b.w.now-b.since)/max(1, b.spec.ColdFor))
+	return min(1, b.spec.ColdShare+(1-b.spec.ColdShare)*(b.w.now-b.startedAt)/max(1, b.spec.ColdFor))
 }
 
 // pace sets its capacity anew, as long as it warms.
-func (b *box) pace() {
+func (b *box) updateCapacity() {
 	most := 1.0
 	if b.role != edge {
-		most = fillPace
+		most = fillSpeedup
 	}
-	if b.paused > 0 || !b.up || b.vanished {
-		b.cpu.set(0, 0)
+	if b.pauses > 0 || !b.up || b.vanished {
+		b.cpu.setCapacity(0, 0)
 		return
 	}
-	b.cpu.set(b.cores*b.warmth()/b.slow, most/b.slow)
-	if b.warmth() < 1 {
-		b.w.after(b.spec.ColdFor/50, b.pace)
+	b.cpu.setCapacity(b.cores*b.warmFraction()/b.slowdown, most/b.slowdown)
+	if b.warmFraction() < 1 {
+		b.w.scheduleAfter(b.spec.ColdFor/50, b.updateCapacity)
 	}
 }
 
 // begin starts its process, empty; cold where it is not the start of the rehearsal.
-func (b *box) begin(cold bool) {
-	if b.since = -1; cold {
-		b.since = b.w.now
+func (b *box) start(cold bool) {
+	if b.startedAt = -1; cold {
+		b.startedAt = b.w.now
 	}
 	b.up, b.vanished, b.silent = true, false, false
 	b.cpu.clear()
-	b.store, b.met = newStore(b.spec.Store), nil
+	b.store, b.requested = newStore(b.spec.Store), nil
 	if !cold && b.spec.Held > 0 {
-		b.met = map[key]bool{}
+		b.requested = map[key]bool{}
 	}
-	b.fills, b.fetching = 0, map[key]*fetch{}
-	b.w.act(Listen{Address: b.addr})
-	b.pace()
+	b.activeFills, b.fetching = 0, map[key]*fetch{}
+	b.w.emit(Listen{Address: b.addr})
+	b.updateCapacity()
 }
 
 // die ends its process: connections are reset, new ones refused.
-func (b *box) die() {
+func (b *box) stop() {
 	if !b.up {
 		return
 	}
 	b.up = false
-	b.w.act(Shut{Address: b.addr})
+	b.w.emit(Shut{Address: b.addr})
 	for _, c := range slices.Sorted(maps.Keys(b.conns)) {
-		b.w.act(Reset{Conn: c})
-		b.w.hung(c)
+		b.w.emit(Reset{Conn: c})
+		b.w.closeConn(c)
 	}
 	b.cpu.clear()
 	b.fetching = map[key]*fetch{}
-	b.pace()
+	b.updateCapacity()
 }
 
 // asks counts work that was asked of it. Past what it can bear it falls over; that it should not have been asked, as it
 // had started just before, is told by Pushed, for work of those who knew.
-func (b *box) asks(work float64, knows bool) {
+func (b *box) countWork(work float64, knows bool) {
 	w := b.w
 	multiple, span := b.spec.FallMultiple, b.spec.FallFor
 	if b.role == core {
 		multiple, span = w.script.Core.StopsAt, w.script.Core.StopsPush
 	}
-	b.sent.Add(w.now, work)
+	b.sentWork.Add(w.now, work)
 	if knows {
-		b.knowing.Add(w.now, work)
+		b.informedWork.Add(w.now, work)
 	}
-	most := multiple * b.cores * b.warmth() * span
-	if most <= 0 || !b.up || b.sent.Sum(w.now) <= most {
+	most := multiple * b.cores * b.warmFraction() * span
+	if most <= 0 || !b.up || b.sentWork.Sum(w.now) <= most {
 		return
 	}
-	if knew := b.knowing.Sum(w.now); b.role != core && b.warmth() < 1 && knew > most {
-		w.tell(Pushed{At: w.now, Box: b.id, Sent: knew, Allowed: most})
+	if knew := b.informedWork.Sum(w.now); b.role != core && b.warmFraction() < 1 && knew > most {
+		w.report(Pushed{At: w.now, Box: b.id, Sent: knew, Allowed: most})
 	}
-	w.tell(Fell{At: w.now, Box: b.id})
-	b.sent.Clear()
-	b.knowing.Clear()
-	b.die()
+	w.report(Fell{At: w.now, Box: b.id})
+	b.sentWork.Clear()
+	b.informedWork.Clear()
+	b.stop()
 	back := b.spec.FallenFor
 	if b.role == core {
 		back = w.script.Core.StopsFor
 	}
 	if back > 0 {
-		w.comeBack(b, back)
+		w.scheduleRestart(b, back)
 	}
 }
 
 // get takes a GET that has come whole.
-func (b *box) get(r *request) {
+func (b *box) handleGet(r *request) {
 	w := b.w
-	if b.silent || b.vanished || r.over {
+	if b.silent || b.vanished || r.done {
 		return
 	}
-	if r.ask == nil || r.typ == nil { // what nobody asked for is no work
-		b.trifle(r, "BROKE")
+	if r.clientRequest == nil || r.typ == nil { // what nobody asked for is no work
+		b.answerBriefly(r, "BROKE")
 		return
 	}
-	if u := w.draws.below("error", r.id, b.id); u < b.fail || u < b.spec.Errs {
-		b.trifle(r, "BROKE")
+	if u := w.random.uniform("error", r.id, b.id); u < b.failShare || u < b.spec.Errs {
+		b.answerBriefly(r, "BROKE")
 		return
 	}
 	if b.role == edge && len(b.cpu.waiting) >= int(float64(b.spec.Queue)*b.cores) {
-		b.end(r, "WAIT", "", nil)
+		b.answer(r, "WAIT", "", nil)
 		return
 	}
 	if r.typ.Write {
-		b.write(r)
+		b.forwardWrite(r)
 		return
 	}
-	if c := b.held(r); c != nil {
+	if c := b.lookUp(r); c != nil {
 		note := "warm"
-		if r.typ.Fresh > 0 && c.born < w.now-r.typ.Fresh {
+		if r.typ.Fresh > 0 && c.createdAt < w.now-r.typ.Fresh {
 			note = "aged"
 		}
-		b.send(r, c.made, note)
+		b.sendCopy(r, c.objectCopy, note)
 		return
 	}
-	if r.next == "" {
-		b.trifle(r, "LACK")
+	if r.source == "" {
+		b.answerBriefly(r, "LACK")
 		return
 	}
-	b.fill(r, func(m *made, word string) {
+	b.fill(r, func(m *objectCopy, word string) {
 		if m == nil {
-			b.trifle(r, word)
+			b.answerBriefly(r, word)
 			return
 		}
-		if r.admit > 0 {
-			b.store.put(*m, r.admit)
+		if r.admitRank > 0 {
+			b.store.put(*m, r.admitRank)
 		}
-		b.send(r, *m, "fill")
+		b.sendCopy(r, *m, "fill")
 	})
 }
 
 // held finds a copy that will do. What a box holds when the rehearsal begins is drawn when it is first asked for, since
 // nobody can tell beforehand which box the gateways will ask.
-func (b *box) held(r *request) *kept {
+func (b *box) lookUp(r *request) *storedCopy {
 	w := b.w
-	if b.met != nil && !b.met[r.key] {
-		b.met[r.key] = true
+	if b.requested != nil && !b.requested[r.key] {
+		b.requested[r.key] = true
 		seldom := strings.HasPrefix(r.key.object, largeMark) || strings.HasPrefix(r.key.object, onceMark)
-		c := w.draws.chance("held", b.zone, r.key.object, r.key.part)
+		c := w.random.generator("held", b.zone, r.key.object, r.key.part)
 		if c.Below() < b.spec.Held && !seldom {
-			m := made{key: r.key, group: r.typ.group(w, r.key.object), typ: r.typ, born: -cmp.Or(r.typ.Fresh, 60_000) * c.Below(), size: r.bytes}
-			m.tag = w.tag(m.key, m.group, m.born)
+			m := objectCopy{key: r.key, group: r.typ.group(w, r.key.object), typ: r.typ, createdAt: -cmp.Or(r.typ.Fresh, 60_000) * c.Below(), size: r.bytes}
+			m.tag = w.tag(m.key, m.group, m.createdAt)
 			b.store.put(m, 1)
 		}
 	}
 	// By the time that the settings give for it, a purge has gone through to every box.
-	return b.store.get(r.key, max(r.least, w.settled(r.key.object, r.typ.group(w, r.key.object))))
+	return b.store.get(r.key, max(r.minCreatedAt, w.lastSettledPurge(r.key.object, r.typ.group(w, r.key.object))))
 }
 
 // send is a copy's way out of an edge cache.
-func (b *box) send(r *request, m made, note string) {
+func (b *box) sendCopy(r *request, m objectCopy, note string) {
 	work := r.work
-	if r.cached == m.tag {
+	if r.cachedTag == m.tag {
 		work /= 20
 	}
-	j := b.cpu.add(work, func() { b.end(r, "DONE", note, &m) })
-	r.stop = func() { b.cpu.remove(j) }
+	j := b.cpu.add(work, func() { b.answer(r, "DONE", note, &m) })
+	r.cancel = func() { b.cpu.remove(j) }
 }
 
-func (b *box) trifle(r *request, word string) {
-	j := b.cpu.add(trifle, func() { b.end(r, word, "", nil) })
-	r.stop = func() { b.cpu.remove(j) }
+func (b *box) answerBriefly(r *request, word string) {
+	j := b.cpu.add(minorWork, func() { b.answer(r, word, "", nil) })
+	r.cancel = func() { b.cpu.remove(j) }
 }
 
 // fill gets a miss from its source, or gives up.
-func (b *box) fill(r *request, done func(*made, string)) {
+func (b *box) fill(r *request, done func(*objectCopy, string)) {
 	w := b.w
-	if b.fills >= max(1, int(float64(b.spec.Fills)*b.cores)) {
+	if b.activeFills >= max(1, int(float64(b.spec.Fills)*b.cores)) {
 		done(nil, "WAIT")
 		return
 	}
-	b.fills++
+	b.activeFills++
 	ended := false
-	end := func(m *made, word string) {
+	finish := func(m *objectCopy, word string) {
 		if ended {
 			return
 		}
 		ended = true
-		b.fills--
+		b.activeFills--
 		w.agenda.Remove(r.timer)
-		if !r.over && b.up {
+		if !r.done && b.up {
 			done(m, word)
 		}
 	}
-	r.timer = w.after(b.spec.FillTimeout, func() {
-		if r.stop != nil {
-			r.stop()
+	r.timer = w.scheduleAfter(b.spec.FillTimeout, func() {
+		if r.cancel != nil {
+			r.cancel()
 		}
-		end(nil, "BROKE")
+		finish(nil, "BROKE")
 	})
-	r.stop = func() { end(nil, "") }
-	from := w.boxes[r.next]
+	r.cancel = func() { finish(nil, "") }
+	from := w.boxes[r.source]
 	if from == nil || from.role == edge {
-		w.after(way, func() { end(nil, "BROKE") })
+		w.scheduleAfter(roundTrip, func() { finish(nil, "BROKE") })
 		return
 	}
-	hop := w.hop(b.zone, from.zone)
-	w.after(hop, func() {
+	hop := w.latency(b.zone, from.zone)
+	w.scheduleAfter(hop, func() {
 		switch {
 		case ended || from.vanished || from.silent:
 		case !from.up:
-			w.after(hop, func() { end(nil, "BROKE") })
+			w.scheduleAfter(hop, func() { finish(nil, "BROKE") })
 		case from.role == core:
-			from.makes(r, func(m *made) { w.carry(b, r, m, hop, &ended, end) })
+			from.produce(r, func(m *objectCopy) { w.transferFill(b, r, m, hop, &ended, finish) })
 		default:
-			from.supply(r, b, hop, &ended, end)
+			from.supplyFill(r, b, hop, &ended, finish)
 		}
 	})
 }
 
 // supply is a hub's part of a fill.
-func (b *box) supply(r *request, to *box, hop float64, ended *bool, end func(*made, string)) {
+func (b *box) supplyFill(r *request, to *box, hop float64, ended *bool, finish func(*objectCopy, string)) {
 	w := b.w
-	fails := func(word string) { w.after(hop, func() { end(nil, word) }) }
-	if b.asks(r.usual(), true); !b.up {
-		fails("BROKE")
+	reply := func(word string) { w.scheduleAfter(hop, func() { finish(nil, word) }) }
+	if b.countWork(r.expectedWork(), true); !b.up {
+		reply("BROKE")
 		return
 	}
-	if b.cpu.open() >= int(float64(b.spec.Queue)*b.cores) {
-		fails("WAIT")
+	if b.cpu.jobCount() >= int(float64(b.spec.Queue)*b.cores) {
+		reply("WAIT")
 		return
 	}
-	if u := w.draws.below("error", r.id, b.id); u < b.fail {
-		fails("BROKE")
+	if u := w.random.uniform("error", r.id, b.id); u < b.failShare {
+		reply("BROKE")
 		return
 	}
-	out := func(m *made) {
+	out := func(m *objectCopy) {
 		if m == nil {
-			fails("BROKE")
+			reply("BROKE")
 		} else if !*ended {
-			j := b.cpu.add(r.work, func() { w.carry(to, r, m, hop, ended, end) })
-			r.stop = func() { b.cpu.remove(j); end(nil, "") }
+			j := b.cpu.add(r.work, func() { w.transferFill(to, r, m, hop, ended, finish) })
+			r.cancel = func() { b.cpu.remove(j); finish(nil, "") }
 		}
 	}
-	if c := b.held(r); c != nil {
-		m := c.made
+	if c := b.lookUp(r); c != nil {
+		m := c.objectCopy
 		out(&m)
 		return
 	}
-	if strings.Contains(r.ways, "h") {
-		fails("LACK")
+	if strings.Contains(r.options, "h") {
+		reply("LACK")
 		return
 	}
 	f := b.fetching[r.key]
-	if f == nil || f.born < max(r.least, w.settled(r.key.object, r.typ.group(w, r.key.object))) {
-		f = &fetch{born: w.now}
+	if f == nil || f.createdAt < max(r.minCreatedAt, w.lastSettledPurge(r.key.object, r.typ.group(w, r.key.object))) {
+		f = &fetch{createdAt: w.now}
 		b.fetching[r.key] = f
 		from := w.core()
 		far := w.script.Far
-		w.after(far, func() {
-			f.born = w.now
-			from.makes(r, func(m *made) {
-				w.after(far, func() {
+		w.scheduleAfter(far, func() {
+			f.createdAt = w.now
+			from.produce(r, func(m *objectCopy) {
+				w.scheduleAfter(far, func() {
 					if b.fetching[r.key] == f {
 						delete(b.fetching, r.key)
 					}
@@ -377,7 +377,7 @@
 						return
 					}
 					if m != nil {
-						w.moved("up "+b.id, m.size)
+						w.reportTransfer("up "+b.id, m.size)
 						if f.keep {
 							b.store.put(*m, 1)
 						}
@@ -389,15 +389,15 @@
 			})
 		})
 	}
-	f.keep = f.keep || !strings.Contains(r.ways, "n")
+	f.keep = f.keep || !strings.Contains(r.options, "n")
 	f.waiting = append(f.waiting, out)
 }
 
 // makes is the core's part: an object as it is now.
-func (b *box) makes(r *request, done func(*made)) {
+func (b *box) produce(r *request, done func(*objectCopy)) {
 	w := b.w
-	w.tell(Made{At: w.now})
-	b.asks(r.usual(), true)
+	w.report(Made{At: w.now})
+	b.countWork(r.expectedWork(), true)
 	if !b.up || b.vanished || b.silent {
 		if b.up {
 			return
@@ -405,65 +405,65 @@
 		done(nil)
 		return
 	}
-	m := &made{key: r.key, group: r.typ.group(w, r.key.object), typ: r.typ, born: w.now, size: r.bytes}
-	m.tag = w.tag(m.key, m.group, m.born)
-	b.cpu.add(r.work, func() { w.after(w.script.Core.Answers, func() { done(m) }) })
+	m := &objectCopy{key: r.key, group: r.typ.group(w, r.key.object), typ: r.typ, createdAt: w.now, size: r.bytes}
+	m.tag = w.tag(m.key, m.group, m.createdAt)
+	b.cpu.add(r.work, func() { w.scheduleAfter(w.script.Core.Answers, func() { done(m) }) })
 }
 
 // carry brings a fill over the link into a club.
-func (w *World) carry(to *box, r *request, m *made, hop float64, ended *bool, end func(*made, string)) {
+func (w *World) transferFill(to *box, r *request, m *objectCopy, hop float64, ended *bool, finish func(*objectCopy, string)) {
 	if m == nil {
-		end(nil, "BROKE")
+		finish(nil, "BROKE")
 		return
 	}
 	if *ended {
 		return
 	}
-	link := w.links[to.zone]
+	link := w.clubLinks[to.zone]
 	j := link.add(m.size, func() {
-		w.moved("into "+to.zone, m.size)
-		w.after(hop, func() { end(m, "") })
+		w.reportTransfer("into "+to.zone, m.size)
+		w.scheduleAfter(hop, func() { finish(m, "") })
 	})
-	r.stop = func() { link.remove(j); end(nil, "") }
+	r.cancel = func() { link.remove(j); finish(nil, "") }
 }
 
 // write passes a write on to the core, which runs it whenever it is told to: that it is told once is the gateways' task.
-func (b *box) write(r *request) {
+func (b *box) forwardWrite(r *request) {
 	w := b.w
-	from := w.boxes[r.next]
+	from := w.boxes[r.source]
 	if from == nil {
-		b.trifle(r, "LACK")
+		b.answerBriefly(r, "LACK")
 		return
 	}
-	to, hop := w.core(), w.hop(b.zone, w.core().zone)
+	to, hop := w.core(), w.latency(b.zone, w.core().zone)
 	over := false
-	r.timer = w.after(b.spec.FillTimeout, func() { over = true; b.trifle(r, "BROKE") })
-	w.after(hop, func() {
+	r.timer = w.scheduleAfter(b.spec.FillTimeout, func() { over = true; b.answerBriefly(r, "BROKE") })
+	w.scheduleAfter(hop, func() {
 		if to.vanished || to.silent {
 			return
 		}
-		if to.asks(r.usual(), true); !to.up {
-			w.after(hop, func() {
+		if to.countWork(r.expectedWork(), true); !to.up {
+			w.scheduleAfter(hop, func() {
 				if !over && b.up {
 					w.agenda.Remove(r.timer)
-					b.trifle(r, "BROKE")
+					b.answerBriefly(r, "BROKE")
 				}
 			})
 			return
 		}
 		to.cpu.add(r.work, func() {
-			w.tell(Ran{At: w.now, ID: r.id})
-			w.ran[r.id]++
-			if w.draws.below("lost", r.id, to.id) < to.lose {
+			w.report(Ran{At: w.now, ID: r.id})
+			w.writeRuns[r.id]++
+			if w.random.uniform("lost", r.id, to.id) < to.loseShare {
 				return
 			}
-			w.after(hop+w.script.Core.Answers, func() {
+			w.scheduleAfter(hop+w.script.Core.Answers, func() {
 				if !over && b.up {
 					w.agenda.Remove(r.timer)
 					j := b.cpu.add(r.work, func() {
-						b.end(r, "DONE", "fill", &made{key: r.key, tag: w.draws.id("ran", r.id), born: w.now, size: 64})
+						b.answer(r, "DONE", "fill", &objectCopy{key: r.key, tag: w.random.id("ran", r.id), createdAt: w.now, size: 64})
 					})
-					r.stop = func() { b.cpu.remove(j) }
+					r.cancel = func() { b.cpu.remove(j) }
 				}
 			})
 		})
@@ -471,46 +471,46 @@
 }
 
 // end answers a GET.
-func (b *box) end(r *request, word, note string, m *made) {
+func (b *box) answer(r *request, word, note string, m *objectCopy) {
 	w := b.w
-	if r.over || !b.up || b.vanished {
+	if r.done || !b.up || b.vanished {
 		return
 	}
-	r.over = true
-	delete(r.conn.open, r.id)
+	r.done = true
+	delete(r.conn.requests, r.id)
 	w.agenda.Remove(r.timer)
-	a := Reply{Conn: r.conn.id, Tag: r.id, Word: word, Fields: "gauges=" + b.gauges()}
+	a := Reply{Conn: r.conn.id, Tag: r.id, Word: word, Fields: "gauges=" + b.loadReport()}
 	f := Served{At: w.now, ID: r.id, Box: b.id, Word: word, Note: note}
 	if m != nil {
-		a.Fields = fmt.Sprintf("res=%s,sum=%s,t0=%.0f,%s", note, m.tag, w.epoch+m.born, a.Fields)
-		if f.Born, f.Copy = m.born, !r.typ.Write; r.cached != "" && r.cached == m.tag {
+		a.Fields = fmt.Sprintf("res=%s,sum=%s,t0=%.0f,%s", note, m.tag, w.epoch+m.createdAt, a.Fields)
+		if f.Born, f.Copy = m.createdAt, !r.typ.Write; r.cachedTag != "" && r.cachedTag == m.tag {
 			a.Word, f.Word = "KEEP", "KEEP"
 		} else {
-			a.Body = w.body(m, r)
+			a.Body = w.copyBody(m, r)
 		}
-		if u := w.draws.below("spoilt", r.id, b.id); u < b.lose {
-			w.tell(Served{At: w.now, ID: r.id, Box: b.id, Word: "lost"})
+		if u := w.random.uniform("spoilt", r.id, b.id); u < b.loseShare {
+			w.report(Served{At: w.now, ID: r.id, Box: b.id, Word: "lost"})
 			return
-		} else if u < b.cut {
+		} else if u < b.cutShare {
 			a.Cut, f.Word = true, "cut"
 		}
 	}
-	w.tell(f)
-	w.act(a)
+	w.report(f)
+	w.emit(a)
 	if a.Cut {
-		w.hung(r.conn.id)
+		w.closeConn(r.conn.id)
 	}
 }
 
 // body is what a copy's bytes are: a line that says which it is, and as much more as its size is thinned to.
-func (w *World) body(m *made, r *request) []byte {
-	head := fmt.Sprintf("%s %d %s %.3f\n", m.object, m.part, m.tag, m.born)
+func (w *World) copyBody(m *objectCopy, r *request) []byte {
+	head := fmt.Sprintf("%s %d %s %.3f\n", m.object, m.part, m.tag, m.createdAt)
 	if r.typ.Write {
 		head = fmt.Sprintf("ran %s\n", r.id)
 	}
 	size := len(head)
-	if w.thin > 0 {
-		size = max(size, min(240_000, int(m.size)/w.thin))
+	if w.bodyDivisor > 0 {
+		size = max(size, min(240_000, int(m.size)/w.bodyDivisor))
 	}
 	b := make([]byte, size)
 	for n := 0; n < size; {
@@ -520,31 +520,31 @@
 }
 
 // gauges is the load report, as it was a report or two ago.
-func (b *box) gauges() string {
-	if now := b.w.now; b.report == "" || now >= b.reportAt+b.spec.Report {
-		b.last = b.report
-		b.report = "inflight:" + strconv.Itoa(b.cpu.open()) + ";util:" +
-			strconv.FormatFloat(min(1, float64(b.cpu.open())/max(0.001, b.cpu.capacity)), 'f', 2, 64)
-		if b.last == "" {
-			b.last = b.report
+func (b *box) loadReport() string {
+	if now := b.w.now; b.currentReport == "" || now >= b.reportAt+b.spec.Report {
+		b.previousReport = b.currentReport
+		b.currentReport = "inflight:" + strconv.Itoa(b.cpu.jobCount()) + ";util:" +
+			strconv.FormatFloat(min(1, float64(b.cpu.jobCount())/max(0.001, b.cpu.capacity)), 'f', 2, 64)
+		if b.previousReport == "" {
+			b.previousReport = b.currentReport
 		}
 		b.reportAt = now
 	}
-	return b.last
+	return b.previousReport
 }
 
 // probe answers PING and LOAD, for some work.
-func (b *box) probe(c *conn, verb, tag string) {
+func (b *box) answerProbe(c *conn, verb, tag string) {
 	if b.silent || b.vanished {
 		return
 	}
 	b.cpu.add(max(b.spec.Probe, 1e-3), func() {
 		fields := "-"
 		if verb == "LOAD" {
-			fields = "gauges=" + b.gauges()
+			fields = "gauges=" + b.loadReport()
 		}
 		if b.up && !b.vanished && b.w.conns[c.id] == c {
-			b.w.act(Reply{Conn: c.id, Tag: tag, Word: "FIT", Fields: fields})
+			b.w.emit(Reply{Conn: c.id, Tag: tag, Word: "FIT", Fields: fields})
 		}
 	})
 }
--- a/internal/rehearsal/world/clients.go
+++ b/internal/rehearsal/world/clients.go
@@ -10,15 +10,17 @@
 )
 
 // kind is a content type in use.
-type kind struct {
+type contentType struct {
 	script.Type
-	ranks zipf
+	popularity zipf
 }
 
-func (k *kind) group(w *World, object string) int { return int(w.draws.key("group", object) % 256) }
+func (k *contentType) group(w *World, object string) int {
+	return int(w.random.hash("group", object) % 256)
+}
 
 // large are new objects of many times the usual size that are asked for during a time.
-type large struct{ share, factor float64 }
+type largePeriod struct{ share, factor float64 }
 
 // What the ids of large objects begin with, so that whoever meets one knows its size without a table.
 const (
@@ -32,63 +34,63 @@
 	zone           string
 	up, ready      bool    // its process runs; it takes clients
 	ending         bool    // it was told to end
-	until          float64 // the front still sends to it, though it is gone
+	routedUntil    float64 // the front still sends to it, though it is gone
 	cursor         int     // of the channel's events that it was told
-	open           map[string]*asked
+	openRequests   map[string]*openRequest
 }
 
 // want is what a client is after, over all its tries.
-type want struct {
-	n, tries  int
-	typ       *kind
-	object    string
-	part      int
-	club      string
-	at, until float64
-	kiosk     bool
-	stop      float64 // of a kiosk
-	holds     *holding
-	member    string // of whom its client is
-	ticket    string // of the appointment that it was given last
-	twin      bool   // a second request under the link of another
-	last      Verdict
+type operation struct {
+	number, attempts    int
+	typ                 *contentType
+	object              string
+	part                int
+	club                string
+	startedAt, deadline float64
+	kiosk               bool
+	stopAt              float64 // of a kiosk
+	link                *heldLink
+	member              string // of whom its client is
+	ticket              string // of the appointment that it was given last
+	duplicate           bool   // a second request under the link of another
+	lastVerdict         Verdict
 }
 
 // asked is one request that is open.
-type asked struct {
+type openRequest struct {
 	Request
-	want    *want
-	gateway int
-	at      float64
-	expiry  *Entry
-	leaves  *Entry
+	op          *operation
+	gateway     int
+	sentAt      float64
+	expiryTimer *Entry
+	leaveTimer  *Entry
 }
 
 // slack is what a client allows a gateway beyond its time before it counts the request as never answered.
-const slack = 50.0
+const clientSlack = 50.0
 
-func (w *World) clients() {
+func (w *World) startTraffic() {
 	factor := 1.0
 	for _, e := range w.script.Events {
 		if e.Do == "traffic" {
 			factor *= max(1, e.Factor)
 		}
 	}
-	most := 0.0
+	peak := 0.0
 	for _, p := range w.script.Phases {
-		most = max(most, p.Rate*factor)
+		peak = max(peak, p.Rate*factor)
 	}
 	for i := range w.script.Types {
-		t := &kind{Type: w.script.Types[i]}
-		t.ranks = newZipf(t.Objects, t.Skew)
-		w.kinds[t.Name] = t
+		t := &contentType{Type: w.script.Types[i]}
+		t.popularity = newZipf(t.Objects, t.Skew)
+		w.typesByName[t.Name] = t
 		w.types = append(w.types, t)
-		if rate := most * t.Share / float64(t.Parts) / 1000; rate > 0 {
+		if rate := peak * t.Share / float64(t.Parts) / 1000; rate > 0 {
 			// Those who are amid an object when the day begins came before it.
-			w.arrivals(i, 0, -float64(t.Parts-1)*t.Gap, rate)
+			w.scheduleArrivals(i, 0, -float64(t.Parts-1)*t.Gap, rate)
 		}
 	}
-	w.at(w.script.Length(), func() { w.over = true })
+	w.scheduleAt(w.script.Length(), func() { w.trafficEnded = true })
 }
 
 // rate is how many downloads a second are asked for at a time.
@@ -96,8 +98,8 @@
 	for _, p := range w.script.Phases {
 		if at < p.From+p.For {
 			rate := p.Rate
-			for _, f := range w.traffic {
-				rate *= f
+			for _, factor := range w.trafficFactors {
+				rate *= factor
 			}
 			return rate
 		}
@@ -106,109 +108,109 @@
 }
 
 // arrivals draws who comes next for a type: at the highest rate there will be, of which a part is left out.
-func (w *World) arrivals(typ, n int, from, most float64) {
-	c := w.draws.chance("arrival", typ, n)
-	at := from + pause(&c, most)
+func (w *World) scheduleArrivals(typ, n int, from, peak float64) {
+	c := w.random.generator("arrival", typ, n)
+	at := from + interarrival(&c, peak)
 	t := w.types[typ]
-	come := func() {
-		share := w.rate(max(0, at)) * t.Share / float64(t.Parts) / 1000 / most
+	admit := func() {
+		share := w.rate(max(0, at)) * t.Share / float64(t.Parts) / 1000 / peak
 		if c.Below() < share {
-			w.visit(typ, n, at)
+			w.startDownload(typ, n, at)
 		}
 	}
 	if at < 0 {
-		come()
-		w.arrivals(typ, n+1, at, most)
+		admit()
+		w.scheduleArrivals(typ, n+1, at, peak)
 		return
 	}
-	w.at(at, func() {
-		if !w.over {
-			come()
-			w.arrivals(typ, n+1, at, most)
+	w.scheduleAt(at, func() {
+		if !w.trafficEnded {
+			admit()
+			w.scheduleArrivals(typ, n+1, at, peak)
 		}
 	})
 }
 
 // visit is one client with one object, part after part.
-func (w *World) visit(typ, n int, at float64) {
+func (w *World) startDownload(typ, n int, at float64) {
 	t := w.types[typ]
-	c := w.draws.chance("visit", typ, n)
+	c := w.random.generator("visit", typ, n)
 	club := w.script.Clubs[int(c.Below()*float64(len(w.script.Clubs)))]
-	object, member := w.pick(t, typ, n, club, &c), club
+	object, member := w.pickObject(t, typ, n, club, &c), club
 	if names := w.script.Clients.Members; len(names) > 0 {
-		member = names[w.draws.key("member", typ, n)%uint64(len(names))]
+		member = names[w.random.hash("member", typ, n)%uint64(len(names))]
 	}
-	var first *want
+	var first *operation
 	for part := range t.Parts {
 		when := at + float64(part)*t.Gap*between(&c, 0.9, 1.1)
 		if when < 0 || when >= w.script.Length() {
 			continue
 		}
-		w.at(when, func() {
-			if !w.over {
-				x := &want{n: n*1000 + part, typ: t, object: object, part: part, club: club, member: member, at: w.now, until: w.now + t.Expiry}
+		w.scheduleAt(when, func() {
+			if !w.trafficEnded {
+				op := &operation{number: n*1000 + part, typ: t, object: object, part: part, club: club, member: member, startedAt: w.now, deadline: w.now + t.Expiry}
 				if first == nil {
-					first = x
+					first = op
 				}
-				x.holds = first.holds
-				w.ask(x)
-				first.holds = x.holds
-				if t.Write && w.draws.below("doubled", typ, n) < w.script.Links.Doubled {
-					w.ask(&want{n: n*1000 + 999, typ: t, object: object, part: part, club: club, at: w.now, until: x.until, holds: x.holds, twin: true})
+				op.link = first.link
+				w.sendAttempt(op)
+				first.link = op.link
+				if t.Write && w.random.uniform("doubled", typ, n) < w.script.Links.Doubled {
+					w.sendAttempt(&operation{number: n*1000 + 999, typ: t, object: object, part: part, club: club, startedAt: w.now, deadline: op.deadline, link: op.link, duplicate: true})
 				}
 			}
 		})
 	}
 }
 
-func (w *World) pick(t *kind, typ, n int, club string, c *chance) string {
+func (w *World) pickObject(t *contentType, typ, n int, club string, c *randomSource) string {
 	once, big, local, rank := c.Below(), c.Below(), c.Below(), c.Below()
 	switch {
 	case w.large != nil && big < w.large.share:
-		return largeMark + w.draws.id("large", typ, n)[len(largeMark):]
-	case once < t.Once+w.once:
-		return onceMark + w.draws.id("once", typ, n)[len(onceMark):]
+		return largeMark + w.random.id("large", typ, n)[len(largeMark):]
+	case once < t.Once+w.onceShare:
+		return onceMark + w.random.id("once", typ, n)[len(onceMark):]
 	case local < t.Local:
-		return w.draws.id("local", typ, club, t.ranks.pick(rank))
+		return w.random.id("local", typ, club, t.popularity.pick(rank))
 	}
-	return w.draws.id("object", typ, t.ranks.pick(rank))
+	return w.random.id("object", typ, t.popularity.pick(rank))
 }
 
 // size is the work and the bytes of a part of an object.
-func (w *World) size(t *kind, k key) (work, bytes float64) {
-	c := w.draws.chance("size", k.object, k.part)
-	work = t.Work * skewed(&c, t.Spread)
-	if strings.HasPrefix(k.object, largeMark) {
-		work *= between(&c, 0.5, 1) * w.largest()
+func (w *World) size(t *contentType, partKey key) (work, bytes float64) {
+	c := w.random.generator("size", partKey.object, partKey.part)
+	work = t.Work * logNormal(&c, t.Spread)
+	if strings.HasPrefix(partKey.object, largeMark) {
+		work *= between(&c, 0.5, 1) * w.largestFactor()
 	}
 	return work, work / 1000 * w.script.Flow
 }
 
-func (w *World) largest() float64 {
-	most := 1.0
+func (w *World) largestFactor() float64 {
+	largest := 1.0
 	for _, e := range w.script.Events {
 		if e.Do == "large" {
-			most = max(most, e.Factor)
+			largest = max(largest, e.Factor)
 		}
 	}
-	return most
+	return largest
 }
 
 // choose finds the gateway that a client is sent to: one of its club, else any; the front goes on sending to one that
 // died until it has found out.
-func (w *World) choose(x *want) *gateway {
-	if x.holds != nil && x.typ.Write && !x.twin {
+func (w *World) chooseGateway(op *operation) *gateway {
+	if op.link != nil && op.typ.Write && !op.duplicate {
 		// A write's link names the one gateway that may spend it.
-		if g := w.gateways[x.holds.gateway]; g.ready && !g.ending {
+		if g := w.gateways[op.link.gateway]; g.ready && !g.ending {
 			return g
 		}
-		x.holds = nil
+		op.link = nil
 	}
 	var own, all []*gateway
 	for _, g := range w.gateways {
-		if g.ready && !g.ending || w.now < g.until {
+		if g.ready && !g.ending || w.now < g.routedUntil {
 			all = append(all, g)
-			if g.zone == x.club {
+			if g.zone == op.club {
 				own = append(own, g)
 			}
 		}
@@ -219,209 +221,209 @@
 	if len(own) == 0 {
 		return nil
 	}
-	return own[int(w.draws.below("front", x.typ.Name, x.n, x.tries)*float64(len(own)))]
+	return own[int(w.random.uniform("front", op.typ.Name, op.number, op.attempts)*float64(len(own)))]
 }
 
-func (w *World) ask(x *want) {
-	if !w.began {
+func (w *World) sendAttempt(op *operation) {
+	if !w.anyReady {
 		// Clients come once there is somebody to come to: what is wanted while the first gateway starts is no gateway's loss.
-		w.after(10, func() {
-			x.at, x.until = x.at+10, x.until+10
-			w.ask(x)
+		w.scheduleAfter(10, func() {
+			op.startedAt, op.deadline = op.startedAt+10, op.deadline+10
+			w.sendAttempt(op)
 		})
 		return
 	}
-	t := x.typ
-	if x.tries == 0 {
-		w.open++
+	typ := op.typ
+	if op.attempts == 0 {
+		w.openOperations++
 	}
-	g := w.choose(x)
-	first := x.tries == 0
-	x.tries++
+	g := w.chooseGateway(op)
+	first := op.attempts == 0
+	op.attempts++
 	if g == nil {
-		w.again(x, Lost, w.script.Clients.Wait, true)
+		w.retry(op, Lost, w.script.Clients.Wait, true)
 		return
 	}
-	c := w.draws.chance("try", t.Name, x.n, x.tries)
-	cl := w.script.Clients
-	allow := min(math.Floor(t.Expiry*between(&c, cl.Patience[0], cl.Patience[1])), math.Floor(x.until-w.now))
+	c := w.random.generator("try", typ.Name, op.number, op.attempts)
+	clients := w.script.Clients
+	allow := min(math.Floor(typ.Expiry*between(&c, clients.Patience[0], clients.Patience[1])), math.Floor(op.deadline-w.now))
 	if allow < 1 {
-		w.ended(x, x.last)
+		w.finish(op, op.lastVerdict)
 		return
 	}
-	a := &asked{want: x, gateway: g.number, at: w.now, Request: Request{ID: w.draws.id("id", t.Name, x.n, x.tries, int(x.at*1000)), Type: t.Name,
-		Object: x.object, Part: x.part, Group: t.group(w, x.object), Allow: allow, Club: x.member, Client: x.client(), Ticket: x.ticket}}
-	if t.Write {
+	a := &openRequest{op: op, gateway: g.number, sentAt: w.now, Request: Request{ID: w.random.id("id", typ.Name, op.number, op.attempts, int(op.startedAt*1000)), Type: typ.Name,
+		Object: op.object, Part: op.part, Group: typ.group(w, op.object), Allow: allow, Club: op.member, Client: op.clientName(), Ticket: op.ticket}}
+	if typ.Write {
 		a.Body = 100
-	} else if c.Below() < cl.Holds {
-		a.Mine = w.tag(key{x.object, x.part}, a.Group, w.now)
+	} else if c.Below() < clients.Holds {
+		a.Mine = w.tag(key{op.object, op.part}, a.Group, w.now)
 	}
-	w.link(x, &a.Request, g)
+	w.attachLink(op, &a.Request, g)
 	if !g.up { // the front still sends to it, and is refused
-		w.again(x, Lost, cl.Wait, true)
+		w.retry(op, Lost, clients.Wait, true)
 		return
 	}
-	w.send(a, g, first)
-	if !x.kiosk && c.Below() < cl.Impatient {
-		a.leaves = w.after(allow*c.Below(), func() {
-			w.close(a)
-			w.tell(Ended{At: w.now, ID: a.ID, Why: "left"})
-			w.act(Abort{Gateway: a.gateway, ID: a.ID})
-			w.ended(x, Left)
+	w.sendRequest(a, g, first)
+	if !op.kiosk && c.Below() < clients.Impatient {
+		a.leaveTimer = w.scheduleAfter(allow*c.Below(), func() {
+			w.closeRequest(a)
+			w.report(Ended{At: w.now, ID: a.ID, Why: "left"})
+			w.emit(Abort{Gateway: a.gateway, ID: a.ID})
+			w.finish(op, Left)
 		})
 	}
 }
 
 // client names who wants it: kiosks are few, members many.
-func (x *want) client() string {
-	if x.kiosk {
-		return "kiosk " + strconv.Itoa(x.n>>12)
+func (op *operation) clientName() string {
+	if op.kiosk {
+		return "kiosk " + strconv.Itoa(op.number>>12)
 	}
-	return "member " + strconv.Itoa(x.n/1000)
+	return "member " + strconv.Itoa(op.number/1000)
 }
 
 // send puts a request on its way.
-func (w *World) send(a *asked, g *gateway, first bool) {
-	w.asks[a.ID] = a
-	if g.open == nil {
-		g.open = map[string]*asked{}
-	}
-	g.open[a.ID] = a
-	w.tell(Asked{At: w.now, Expiry: w.now + a.Allow, Gateway: g.number, Repeat: a.want.typ.Repeat, First: first, Request: a.Request})
-	w.act(Ask{Gateway: g.number, Request: a.Request})
-	a.expiry = w.after(a.Allow+slack, func() { w.unanswered(a, "expired") })
+func (w *World) sendRequest(a *openRequest, g *gateway, first bool) {
+	w.openRequests[a.ID] = a
+	if g.openRequests == nil {
+		g.openRequests = map[string]*openRequest{}
+	}
+	g.openRequests[a.ID] = a
+	w.report(Asked{At: w.now, Expiry: w.now + a.Allow, Gateway: g.number, Repeat: a.op.typ.Repeat, First: first, Request: a.Request})
+	w.emit(Ask{Gateway: g.number, Request: a.Request})
+	a.expiryTimer = w.scheduleAfter(a.Allow+clientSlack, func() { w.requestFailed(a, "expired") })
 }
 
-func (w *World) close(a *asked) {
-	w.agenda.Remove(a.expiry)
-	w.agenda.Remove(a.leaves)
-	delete(w.asks, a.ID)
-	delete(w.gateways[a.gateway].open, a.ID)
+func (w *World) closeRequest(a *openRequest) {
+	w.agenda.Remove(a.expiryTimer)
+	w.agenda.Remove(a.leaveTimer)
+	delete(w.openRequests, a.ID)
+	delete(w.gateways[a.gateway].openRequests, a.ID)
 }
 
 // unanswered is a request that ends without an answer.
-func (w *World) unanswered(a *asked, why string) {
-	if w.asks[a.ID] != a {
+func (w *World) requestFailed(a *openRequest, why string) {
+	if w.openRequests[a.ID] != a {
 		return
 	}
-	w.close(a)
-	w.tell(Ended{At: w.now, ID: a.ID, Why: why})
+	w.closeRequest(a)
+	w.report(Ended{At: w.now, ID: a.ID, Why: why})
 	// What was refused never ran; of the rest nobody knows.
-	w.again(a.want, Lost, w.script.Clients.Wait, why == "refused")
+	w.retry(a.op, Lost, w.script.Clients.Wait, why == "refused")
 }
 
 // answered judges what a client got.
-func (w *World) answered(e Answer) {
-	w.tell(Answered{At: w.now, Answer: e})
-	a := w.asks[e.ID]
-	if a == nil || a.gateway != e.Gateway {
+func (w *World) handleAnswer(answer Answer) {
+	w.report(Answered{At: w.now, Answer: answer})
+	a := w.openRequests[answer.ID]
+	if a == nil || a.gateway != answer.Gateway {
 		return
 	}
-	w.close(a)
-	x := a.want
-	x.ticket = e.Ticket
-	x.successor(e.Token, w.script.Links.Renew)
-	if e.Status == 403 && !x.twin {
-		x.holds = nil // it has itself given a new one
+	w.closeRequest(a)
+	op := a.op
+	op.ticket = answer.Ticket
+	op.takeRenewal(answer.Token, w.script.Links.Renew)
+	if answer.Status == 403 && !op.duplicate {
+		op.link = nil // it has itself given a new one
 	}
 	switch {
-	case x.twin:
-		w.open--
-	case e.Status == 403 && w.script.Links.Life > 0 && !x.typ.Write:
-		w.again(x, Abandoned, 1, true)
-	case e.Status == 200:
-		work, _ := w.size(x.typ, key{x.object, x.part})
+	case op.duplicate:
+		w.openOperations--
+	case answer.Status == 403 && w.script.Links.Life > 0 && !op.typ.Write:
+		w.retry(op, Abandoned, 1, true)
+	case answer.Status == 200:
+		work, _ := w.size(op.typ, key{op.object, op.part})
 		verdict := InTime
-		if w.now > x.at+x.typ.Target+x.typ.Stretch*work {
+		if w.now > op.startedAt+op.typ.Target+op.typ.Stretch*work {
 			verdict = Late
 		}
-		w.ended(x, verdict)
-	case e.Status == 429 || e.Status == 503:
+		w.finish(op, verdict)
+	case answer.Status == 429 || answer.Status == 503:
 		wait := w.script.Clients.Wait
-		if w.draws.below("heeds", x.typ.Name, x.n, x.tries) < w.script.Clients.Heeds {
-			wait = max(wait, e.Wait)
+		if w.random.uniform("heeds", op.typ.Name, op.number, op.attempts) < w.script.Clients.Heeds {
+			wait = max(wait, answer.Wait)
 		}
-		w.again(x, Throttled, wait, true)
+		w.retry(op, Throttled, wait, true)
 	default:
-		w.again(x, Abandoned, w.script.Clients.Wait, false)
+		w.retry(op, Abandoned, w.script.Clients.Wait, false)
 	}
 }
 
 // again tries once more, where the client does and it does no harm.
-func (w *World) again(x *want, last Verdict, wait float64, harmless bool) {
-	if x.last = last; x.twin {
-		w.open--
+func (w *World) retry(op *operation, last Verdict, wait float64, harmless bool) {
+	if op.lastVerdict = last; op.duplicate {
+		w.openOperations--
 		return
 	}
-	wait *= 0.8 + 0.4*w.draws.below("wait", x.typ.Name, x.n, x.tries)
-	if x.tries > w.script.Clients.Retries || !harmless && x.typ.Repeat != "retriable" || w.now+wait >= x.until {
-		w.ended(x, last)
+	wait *= 0.8 + 0.4*w.random.uniform("wait", op.typ.Name, op.number, op.attempts)
+	if op.attempts > w.script.Clients.Retries || !harmless && op.typ.Repeat != "retriable" || w.now+wait >= op.deadline {
+		w.finish(op, last)
 		return
 	}
-	w.after(wait, func() { w.ask(x) })
+	w.scheduleAfter(wait, func() { w.sendAttempt(op) })
 }
 
-func (w *World) ended(x *want, v Verdict) {
-	if w.open--; x.twin {
+func (w *World) finish(op *operation, v Verdict) {
+	if w.openOperations--; op.duplicate {
 		return
 	}
-	if x.kiosk {
+	if op.kiosk {
 		// A kiosk in a loop asks again whatever it was told.
-		if w.now+20 < x.stop && !w.over {
-			next := &want{n: x.n + 1, typ: x.typ, object: x.object, part: x.part, club: x.club, member: x.member, at: w.now + 20, kiosk: true, stop: x.stop}
-			next.until = next.at + x.typ.Expiry
-			w.at(next.at, func() { w.ask(next) })
+		if w.now+20 < op.stopAt && !w.trafficEnded {
+			next := &operation{number: op.number + 1, typ: op.typ, object: op.object, part: op.part, club: op.club, member: op.member, startedAt: w.now + 20, kiosk: true, stopAt: op.stopAt}
+			next.deadline = next.startedAt + op.typ.Expiry
+			w.scheduleAt(next.startedAt, func() { w.sendAttempt(next) })
 		}
 		return
 	}
-	w.tell(Wanted{At: w.now, Asked: x.at, Type: x.typ.Name, Member: x.member, Verdict: v, Tries: x.tries})
+	w.report(Wanted{At: w.now, Asked: op.startedAt, Type: op.typ.Name, Member: op.member, Verdict: v, Tries: op.attempts})
 }
 
 // ready takes a gateway into the front.
-func (w *World) ready(g *gateway) {
+func (w *World) gatewayReady(g *gateway) {
 	if g.up {
 		g.ready = true
 	}
 }
 
 // exited is a gateway whose process is gone: what was open on it is void.
-func (w *World) exited(g *gateway, crashed bool) {
+func (w *World) gatewayExited(g *gateway, crashed bool) {
 	if !g.up {
 		return
 	}
-	w.tell(Down{At: w.now, Gateway: g.number, Crashed: crashed})
+	w.report(Down{At: w.now, Gateway: g.number, Crashed: crashed})
 	told := g.ending
-	if g.until = 0; !told {
-		g.until = w.now + w.script.Clients.Notices
+	if g.routedUntil = 0; !told {
+		g.routedUntil = w.now + w.script.Clients.Notices
 	}
 	g.up, g.ready, g.ending = false, false, false
-	var open []*asked
-	for _, a := range g.open {
+	var open []*openRequest
+	for _, a := range g.openRequests {
 		open = append(open, a)
 	}
-	slices.SortFunc(open, func(a, b *asked) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(open, func(a, b *openRequest) int { return strings.Compare(a.ID, b.ID) })
 	for _, a := range open {
-		w.unanswered(a, "broken")
+		w.requestFailed(a, "broken")
 	}
 }
 
 // thaw has a process that was frozen go on, with all that it had in hand; what the channel told meanwhile comes now.
-func (w *World) thaw(g *gateway) {
+func (w *World) thawGateway(g *gateway) {
 	if g.up {
 		return
 	}
-	g.up, g.until = true, 0
-	w.act(Freeze{Gateway: g.number, Thaw: true})
-	w.after(latest, func() { w.list.heard(w, g, len(w.list.log)) })
+	g.up, g.routedUntil = true, 0
+	w.emit(Freeze{Gateway: g.number, Thaw: true})
+	w.scheduleAfter(assumedDelivery, func() { w.directory.deliver(w, g, len(w.directory.log)) })
 }
 
 // start brings a gateway's process up, anew and with nothing but what the channel has told so far.
-func (w *World) start(g *gateway) {
+func (w *World) startGateway(g *gateway) {
 	if g.up {
 		return
 	}
-	g.up, g.starts, g.cursor, g.until = true, g.starts+1, 0, 0
-	w.tell(Restarted{At: w.now, Gateway: g.number})
-	w.act(Start{Gateway: g.number})
-	w.list.heard(w, g, len(w.list.log))
+	g.up, g.starts, g.cursor, g.routedUntil = true, g.starts+1, 0, 0
+	w.report(Restarted{At: w.now, Gateway: g.number})
+	w.emit(Start{Gateway: g.number})
+	w.directory.deliver(w, g, len(w.directory.log))
 }
--- a/internal/rehearsal/world/config.go
+++ b/internal/rehearsal/world/config.go
@@ -13,10 +13,10 @@
 	if more := number / 26; more > 0 {
 		name += fmt.Sprint("-", more)
 	}
-	seed = w.draws.id("gateway", number, g.starts)
+	seed = w.random.id("gateway", number, g.starts)
 	zones, seats, attached, pipes := []any{}, []any{}, []any{}, []any{}
 	hubs := map[string]int{}
-	for _, b := range w.order {
+	for _, b := range w.boxOrder {
 		if b.role == edge {
 			continue
 		}
--- a/internal/rehearsal/world/draw.go
+++ b/internal/rehearsal/world/random.go
@@ -13,12 +13,12 @@
 
 // draws makes chance from one seed. Each draw is keyed by what it is for, so that the order in which gateways happen to
 // arrive, or one more retry, changes nothing else of the day.
-type draws uint64
+type seededRandom uint64
 
-func (d draws) key(words ...any) uint64 {
+func (d seededRandom) hash(parts ...any) uint64 {
 	h := xxhash.NewWithSeed(uint64(d))
-	for _, w := range words {
-		switch w := w.(type) {
+	for _, part := range parts {
+		switch w := part.(type) {
 		case string:
 			h.WriteString(w)
 			h.Write([]byte{0})
@@ -34,27 +34,27 @@
 }
 
 // chance is a generator for what the words name.
-func (d draws) chance(words ...any) router.Chance {
-	c := router.Chance(d.key(words...)>>1 | 1)
+func (d seededRandom) generator(parts ...any) router.Chance {
+	c := router.Chance(d.hash(parts...)>>1 | 1)
 	c.Next()
 	return c
 }
 
-func (d draws) below(words ...any) float64 {
-	c := d.chance(words...)
+func (d seededRandom) uniform(parts ...any) float64 {
+	c := d.generator(parts...)
 	return c.Below()
 }
 
-func (d draws) id(words ...any) string { return fmt.Sprintf("%016x", d.key(words...)) }
+func (d seededRandom) id(parts ...any) string { return fmt.Sprintf("%016x", d.hash(parts...)) }
 
 // between is a number from a to b.
 func between(c *router.Chance, a, b float64) float64 { return a + (b-a)*c.Below() }
 
 // pause is a time between events that come at random at a rate.
-func pause(c *router.Chance, rate float64) float64 { return -math.Log(1-c.Below()) / rate }
+func interarrival(c *router.Chance, rate float64) float64 { return -math.Log(1-c.Below()) / rate }
 
 // skewed is log-normal with mean 1.
-func skewed(c *router.Chance, sigma float64) float64 {
+func logNormal(c *router.Chance, sigma float64) float64 {
 	u, v := 1-c.Below(), c.Below()
 	return math.Exp(sigma*math.Sqrt(-2*math.Log(u))*math.Cos(2*math.Pi*v) - sigma*sigma/2)
 }
@@ -77,4 +77,4 @@
 }
 
 // ring sums what was noted in the last span, in fixed buckets.
-func newRing(span float64) router.Ring { return router.NewRing(span*1.1, 11) }
+func newRecentSum(span float64) router.Ring { return router.NewRing(span*1.1, 11) }
--- /dev/null
+++ b/internal/rehearsal/world/shared_resource.go
@@ -0,0 +1,138 @@
+package world
+
+import "slices"
+
+// station shares a capacity among jobs: cores among downloads, a link among transfers. Jobs in service share alike, none
+// gets more than the most for one; past the slots they wait in their order.
+type sharedResource struct {
+	agenda              *Agenda
+	now                 func() float64
+	capacity, maxPerJob float64 // work a ms: of all, of one
+	crowding            float64 // how much of the capacity each multiple of it that is open costs
+	slots               int     // 0: no bound
+	workPerJob          float64 // work that each job in service since the start would have got
+	updatedAt           float64
+	serving             entries // by when they are done, as a value of done
+	waiting             []*job
+	timer               *Entry
+	sequence            uint64
+}
+
+type job struct {
+	Entry
+	work    float64
+	removed bool // it was called off
+}
+
+func newSharedResource(a *Agenda, now func() float64, capacity, most float64, slots int) *sharedResource {
+	s := &sharedResource{agenda: a, now: now, capacity: capacity, maxPerJob: most, slots: slots, updatedAt: now()}
+	s.timer = &Entry{index: -1, run: s.completeDue}
+	return s
+}
+
+// pace is what one job gets.
+func (s *sharedResource) ratePerJob() float64 {
+	n := float64(len(s.serving))
+	if n == 0 {
+		return 0
+	}
+	whole := s.capacity
+	if s.crowding > 0 && whole > 0 {
+		whole /= 1 + s.crowding*max(0, (n+float64(len(s.waiting)))*s.maxPerJob/whole-1)
+	}
+	return min(s.maxPerJob, whole/n)
+}
+
+func (s *sharedResource) advance() {
+	now := s.now()
+	s.workPerJob += (now - s.updatedAt) * s.ratePerJob()
+	s.updatedAt = now
+}
+
+// open counts the jobs.
+func (s *sharedResource) jobCount() int { return len(s.serving) + len(s.waiting) }
+
+// add begins a job; done is called when its work is done.
+func (s *sharedResource) add(work float64, done func()) *job {
+	s.advance()
+	j := &job{work: max(work, 1e-6)}
+	j.run = done
+	j.index = -1
+	if s.slots > 0 && len(s.serving) >= s.slots {
+		s.waiting = append(s.waiting, j)
+	} else {
+		s.serve(j)
+	}
+	s.reschedule()
+	return j
+}
+
+func (s *sharedResource) serve(j *job) {
+	s.sequence++
+	j.at, j.sequence = s.workPerJob+j.work, s.sequence
+	pushEntry(&s.serving, &j.Entry)
+}
+
+// remove calls a job off.
+func (s *sharedResource) remove(j *job) {
+	if j == nil || j.removed {
+		return
+	}
+	s.advance()
+	j.removed = true
+	if j.index >= 0 {
+		removeEntry(&s.serving, &j.Entry)
+	} else if i := slices.Index(s.waiting, j); i >= 0 {
+		s.waiting = slices.Delete(s.waiting, i, i+1)
+	}
+	s.admitWaiting()
+	s.reschedule()
+}
+
+// fill brings what waits into service.
+func (s *sharedResource) admitWaiting() {
+	for len(s.waiting) > 0 && len(s.serving) < s.slots {
+		s.serve(s.waiting[0])
+		s.waiting = slices.Delete(s.waiting, 0, 1)
+	}
+}
+
+// set changes the capacity; what is under way goes on at the new pace.
+func (s *sharedResource) setCapacity(capacity, most float64) {
+	s.advance()
+	s.capacity, s.maxPerJob = capacity, most
+	s.reschedule()
+}
+
+// clear calls all off.
+func (s *sharedResource) clear() {
+	s.advance()
+	for _, e := range s.serving {
+		e.index = -1
+	}
+	s.serving, s.waiting = nil, nil
+	s.reschedule()
+}
+
+func (s *sharedResource) reschedule() {
+	if pace := s.ratePerJob(); pace > 0 {
+		s.agenda.Move(s.timer, s.now()+max(0, s.serving[0].at-s.workPerJob)/pace)
+	} else {
+		s.agenda.Remove(s.timer)
+	}
+}
+
+func (s *sharedResource) completeDue() {
+	s.advance()
+	var over []func()
+	// What is left of a job may be less than the clock can tell apart from nothing, and would be due for ever.
+	for len(s.serving) > 0 && s.serving[0].at <= s.workPerJob+1e-9*(1+s.workPerJob) {
+		over = append(over, s.serving[0].run)
+		removeEntry(&s.serving, s.serving[0])
+	}
+	s.admitWaiting()
+	s.reschedule()
+	for _, do := range over {
+		do()
+	}
+}
--- a/internal/rehearsal/world/link.go
+++ b/internal/rehearsal/world/signed_links.go
@@ -14,10 +14,10 @@
 
 // issuer is the club's desk that gives members their links, and changes its keys.
 type issuer struct {
-	keys  []links.Key
-	ring  *links.Ring
-	boxes *links.Ring // as the boxes have it, which take up keys after the gateways have
-	made  int
+	keys     []links.Key
+	ring     *links.Ring
+	boxRing  *links.Ring // as the boxes have it, which take up keys after the gateways have
+	keysMade int
 }
 
 // The gateways don't talk, so a write's link names the one that may spend it: aud is "club" or a gateway's own name.
@@ -39,26 +39,26 @@
 func (w *World) LinkKeys() []links.Key { return w.issuer.keys }
 
 func (w *World) newKey(s links.State) links.Key {
-	w.issuer.made++
-	secret := []byte(w.draws.id("key", w.issuer.made) + w.draws.id("more of it", w.issuer.made))
-	return links.Key{ID: kindID("key", w.issuer.made), Issuer: "club", Algorithm: "HS256", State: s, Private: secret, Public: secret}
+	w.issuer.keysMade++
+	secret := []byte(w.random.id("key", w.issuer.keysMade) + w.random.id("more of it", w.issuer.keysMade))
+	return links.Key{ID: numberedID("key", w.issuer.keysMade), Issuer: "club", Algorithm: "HS256", State: s, Private: secret, Public: secret}
 }
 
-func (w *World) rekey(keys ...links.Key) {
+func (w *World) setKeys(keys ...links.Key) {
 	w.issuer.keys = keys
 	ring, err := links.NewRing(keys, nil)
 	if err != nil {
 		panic(err) // the world's own
 	}
 	w.issuer.ring = ring
-	if w.issuer.boxes == nil {
-		w.issuer.boxes = ring
+	if w.issuer.boxRing == nil {
+		w.issuer.boxRing = ring
 	}
-	w.after(1000, func() { w.issuer.boxes = ring })
+	w.scheduleAfter(1000, func() { w.issuer.boxRing = ring })
 }
 
 // rotate has the upcoming key sign; a withdrawn one stays in the file as such.
-func (w *World) rotate(old links.State) {
+func (w *World) rotateKeys(old links.State) {
 	next := slices.Clone(w.issuer.keys)
 	for i := range next {
 		switch next[i].State {
@@ -73,43 +73,43 @@
 		next = next[1:]
 	}
 	// The gateways take the file up before the desk signs with the new key, as the operators' page has it; a leak can't wait.
-	w.act(Keys{Keys: next})
+	w.emit(Keys{Keys: next})
 	if old == links.Withdrawn {
-		w.rekey(next...)
+		w.setKeys(next...)
 	} else {
-		w.after(1000, func() { w.rekey(next...) })
+		w.scheduleAfter(1000, func() { w.setKeys(next...) })
 	}
 }
 
 // link gives a want its link: the one that it holds as long as that is good, else a new one.
-func (w *World) link(x *want, r *Request, g *gateway) {
+func (w *World) attachLink(op *operation, r *Request, g *gateway) {
 	l := w.script.Links
 	if l.Life == 0 {
 		return
 	}
-	if x.holds == nil || w.now >= x.holds.until {
-		c := links.Claims{Issuer: "club", Subject: "member", Issued: (w.epoch + w.now) / 1000, ID: w.draws.id("jti", x.typ.Name, x.n, x.tries),
-			Audience: []string{"club"}, URI: "regex:" + LinkBase + "/" + x.typ.Name + "/" + x.object + "/[0-9]+"}
+	if op.link == nil || w.now >= op.link.expiresAt {
+		c := links.Claims{Issuer: "club", Subject: "member", Issued: (w.epoch + w.now) / 1000, ID: w.random.id("jti", op.typ.Name, op.number, op.attempts),
+			Audience: []string{"club"}, URI: "regex:" + LinkBase + "/" + op.typ.Name + "/" + op.object + "/[0-9]+"}
 		c.Expires = c.Issued + l.Life/1000
 		if l.Renew > 0 {
 			c.Renew, c.Transport = l.Renew/1000, 1
 		}
-		if x.typ.Write {
+		if op.typ.Write {
 			name, _, _ := w.Config(g.number)
 			c.Audience = []string{name}
-			c.Write, c.Critical, c.URI = true, links.CriticalWrite, links.Hash(links.URI(LinkBase, x.typ.Name, x.object, int64(x.part)))
+			c.Write, c.Critical, c.URI = true, links.CriticalWrite, links.Hash(links.URI(LinkBase, op.typ.Name, op.object, int64(op.part)))
 		}
 		token, err := w.issuer.ring.Sign(c)
 		if err != nil {
 			panic(err)
 		}
-		x.holds = &holding{gateway: g.number, token: token, chain: c.ID, until: 1000*c.Expires - w.epoch - 100}
+		op.link = &heldLink{gateway: g.number, token: token, chain: c.ID, expiresAt: 1000*c.Expires - w.epoch - 100}
 	}
-	r.Token, r.Chain, r.Source = x.holds.token, x.holds.chain, "10.0.0."+string(rune('0'+x.n%10))
+	r.Token, r.Chain, r.Source = op.link.token, op.link.chain, "10.0.0."+string(rune('0'+op.number%10))
 }
 
 // signed tells whether a GET carries a link of a gateway's that is good for this box and part.
-func (b *box) signed(r *request, token string) bool {
+func (b *box) acceptsLink(r *request, token string) bool {
 	w := b.w
 	if w.script.Links.Boxes == 0 {
 		return true
@@ -118,50 +118,50 @@
 	s.Audience, s.Stored = []string{b.id}, true
 	s.Memory = 1 << 10
 	a := links.Ask{At: w.epoch + w.now, Token: token, ID: r.id, Type: r.typ.Name, Object: r.key.object, Part: int64(r.key.part), Write: r.typ.Write}
-	return links.New(s, w.issuer.boxes, []byte(b.id), 0).Admit(a).Reason == links.Admitted
+	return links.New(s, w.issuer.boxRing, []byte(b.id), 0).Admit(a).Reason == links.Admitted
 }
 
 // holding is a link as a client holds it, for all parts of what it watches.
-type holding struct {
+type heldLink struct {
 	token, chain string
 	gateway      int // that may spend it, where it is a write's
-	until        float64
+	expiresAt    float64
 }
 
 // successor takes up what came with an answer.
-func (x *want) successor(token string, by float64) {
-	if token != "" && x.holds != nil {
-		x.holds.token, x.holds.until = token, x.holds.until+by
+func (op *operation) takeRenewal(token string, extension float64) {
+	if token != "" && op.link != nil {
+		op.link.token, op.link.expiresAt = token, op.link.expiresAt+extension
 	}
 }
 
 // forge sends requests whose links are not good, so many times as often as honest ones come.
-func (w *World) forge(e *script.Event, n int, end float64) {
-	c := w.draws.chance("forge", e.Number, n)
-	w.after(pause(&c, e.Factor*w.rate(w.now)/1000), func() {
-		if w.now >= end || w.over {
+func (w *World) scheduleForgery(e *script.Event, n int, end float64) {
+	c := w.random.generator("forge", e.Number, n)
+	w.scheduleAfter(interarrival(&c, e.Factor*w.rate(w.now)/1000), func() {
+		if w.now >= end || w.trafficEnded {
 			return
 		}
-		w.forged(n, &c)
-		w.forge(e, n+1, end)
+		w.sendForged(n, &c)
+		w.scheduleForgery(e, n+1, end)
 	})
 }
 
-func (w *World) forged(n int, c *chance) {
+func (w *World) sendForged(n int, c *randomSource) {
 	t := w.types[int(c.Below()*float64(len(w.types)))]
-	x := &want{n: -n - 1, typ: t, object: w.draws.id("object", 0, n%50), club: w.script.Clubs[n%len(w.script.Clubs)], at: w.now, tries: 1, twin: true}
-	g := w.choose(x)
+	op := &operation{number: -n - 1, typ: t, object: w.random.id("object", 0, n%50), club: w.script.Clubs[n%len(w.script.Clubs)], startedAt: w.now, attempts: 1, duplicate: true}
+	g := w.chooseGateway(op)
 	if g == nil || !g.up {
 		return
 	}
-	r := Request{ID: w.draws.id("forged", n), Type: t.Name, Object: x.object, Group: t.group(w, x.object), Allow: t.Expiry, Forged: true}
-	w.link(x, &r, g)
+	r := Request{ID: w.random.id("forged", n), Type: t.Name, Object: op.object, Group: t.group(w, op.object), Allow: t.Expiry, Forged: true}
+	w.attachLink(op, &r, g)
 	parts := strings.Split(r.Token, ".")
 	switch n % 4 {
 	case 0: // a signature that does not fit
 		parts[2] = strings.Repeat("A", len(parts[2]))
 	case 1: // for another object
-		r.Object = w.draws.id("object", 0, n%50+1)
+		r.Object = w.random.id("object", 0, n%50+1)
 	case 2:
 		parts[0] = "eyJhbGciOiJub25lIiwia2lkIjoia2V5LTEifQ" // {"alg":"none","kid":"key-1"}
 	case 3:
@@ -174,12 +174,12 @@
 	if t.Write {
 		r.Body = 100
 	}
-	w.open++
-	w.send(&asked{want: x, gateway: g.number, at: w.now, Request: r}, g, false)
+	w.openOperations++
+	w.sendRequest(&openRequest{op: op, gateway: g.number, sentAt: w.now, Request: r}, g, false)
 }
 
 // LinkTakes is how long, in ms, a gateway takes until it has read other keys.
 func (w *World) LinkTakes(gateway int) float64 {
-	c := w.draws.chance("keys", gateway, w.issuer.made)
+	c := w.random.generator("keys", gateway, w.issuer.keysMade)
 	return cmp.Or(c.Below()*500, 1)
 }
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -11,42 +11,42 @@
 
 // World is one deployment on its day.
 type World struct {
-	script    *script.Script
-	draws     draws
-	epoch     float64 // Unix ms of its start
-	strangers bool
-	thin      int // bytes of a body for one that is sent on a socket; 0: the first line alone
-	now       float64
-	agenda    Agenda
-	out       []Action
-	facts     func(Fact)
-	boxes     map[string]*box
-	order     []*box
-	links     map[string]*station // into each club
-	hubOf     map[string]string   // the hub location of a club
-	kinds     map[string]*kind
-	types     []*kind
-	conns     map[int64]*conn
-	gateways  []*gateway
-	asks      map[string]*asked
-	ran       map[string]int
-	list      directory
-	purged    map[string][]float64 // by object, when
-	groups    [256][]float64
-	began     bool      // a gateway has been ready
-	traffic   []float64 // factors in force
-	once      float64
-	large     *large
-	ids       int
-	issuer    issuer
-	over      bool // no more traffic
-	open      int  // wants that have not come to their end
+	script         *script.Script
+	random         seededRandom
+	epoch          float64 // Unix ms of its start
+	acceptUnknown  bool
+	bodyDivisor    int // bytes of a body for one that is sent on a socket; 0: the first line alone
+	now            float64
+	agenda         Agenda
+	actions        []Action
+	onFact         func(Fact)
+	boxes          map[string]*box
+	boxOrder       []*box
+	clubLinks      map[string]*sharedResource // into each club
+	hubOf          map[string]string          // the hub location of a club
+	typesByName    map[string]*contentType
+	types          []*contentType
+	conns          map[int64]*conn
+	gateways       []*gateway
+	openRequests   map[string]*openRequest
+	writeRuns      map[string]int
+	directory      directory
+	objectPurges   map[string][]float64 // by object, when
+	groupPurges    [256][]float64
+	anyReady       bool      // a gateway has been ready
+	trafficFactors []float64 // factors in force
+	onceShare      float64
+	large          *largePeriod
+	lastID         int
+	issuer         issuer
+	trafficEnded   bool // no more traffic
+	openOperations int  // wants that have not come to their end
 }
 
 type conn struct {
-	id   int64
-	box  *box
-	open map[string]*request
+	id       int64
+	box      *box
+	requests map[string]*request
 }
 
 // Options are what a driver chooses.
@@ -60,15 +60,15 @@
 
 // New makes a world; what it needs to start is in the first actions, which Ring brings.
 func New(s *script.Script, o Options) *World {
-	w := &World{script: s, draws: draws(s.Seed), epoch: o.Epoch, thin: o.Thin, strangers: o.Strangers, facts: o.Facts, boxes: map[string]*box{},
-		links: map[string]*station{}, hubOf: map[string]string{}, kinds: map[string]*kind{}, conns: map[int64]*conn{},
-		asks: map[string]*asked{}, ran: map[string]int{}, purged: map[string][]float64{}}
-	if w.facts == nil {
-		w.facts = func(Fact) {}
+	w := &World{script: s, random: seededRandom(s.Seed), epoch: o.Epoch, bodyDivisor: o.Thin, acceptUnknown: o.Strangers, onFact: o.Facts, boxes: map[string]*box{},
+		clubLinks: map[string]*sharedResource{}, hubOf: map[string]string{}, typesByName: map[string]*contentType{}, conns: map[int64]*conn{},
+		openRequests: map[string]*openRequest{}, writeRuns: map[string]int{}, objectPurges: map[string][]float64{}}
+	if w.onFact == nil {
+		w.onFact = func(Fact) {}
 	}
 	hubs := min(s.Hub.Count, max(1, (len(s.Clubs)+2)/3))
 	for i, c := range s.Clubs {
-		w.links[c] = newStation(&w.agenda, w.clock, s.Link/1000, fillPace*s.Flow/1000, 0)
+		w.clubLinks[c] = newSharedResource(&w.agenda, w.clock, s.Link/1000, fillSpeedup*s.Flow/1000, 0)
 		w.hubOf[c] = fmt.Sprintf("hub-%d", i%hubs)
 	}
 	for i := range s.Box.Count {
@@ -79,32 +79,32 @@
 	}
 	c := &script.Box{Cores: [2]float64{s.Core.Capacity, s.Core.Capacity}, Slots: 1, Queue: 1, Store: 0, ColdShare: 1, FallFor: s.Core.StopsPush,
 		Fills: 1, FillTimeout: s.Hub.FillTimeout, Report: s.Hub.Report, Probe: s.Hub.Probe}
-	w.newBox("core-1", w.address(), "hub-0", core, s.Core.Capacity, 0, c).begin(false)
+	w.newBox("core-1", w.nextAddress(), "hub-0", core, s.Core.Capacity, 0, c).start(false)
 	for i := range s.Gateways {
 		w.gateways = append(w.gateways, &gateway{number: i, zone: s.Clubs[i%len(s.Clubs)]})
 	}
-	w.list.start(w)
+	w.directory.start(w)
 	for _, g := range w.gateways {
-		w.start(g)
+		w.startGateway(g)
 	}
 	if s.Links.Life > 0 {
-		w.rekey(w.newKey(links.Signing), w.newKey(links.Upcoming))
+		w.setKeys(w.newKey(links.Signing), w.newKey(links.Upcoming))
 	}
-	w.clients()
+	w.startTraffic()
 	for _, j := range s.Jobs {
-		w.at(j.At, func() { w.act(Work{Job: j}) })
+		w.scheduleAt(j.At, func() { w.emit(Work{Job: j}) })
 	}
 	for _, e := range s.Events {
 		for i := range e.Times {
-			w.at(e.At+float64(i)*e.Every, func() { w.happens(&e, i) })
+			w.scheduleAt(e.At+float64(i)*e.Every, func() { w.applyEvent(&e, i) })
 		}
 	}
 	return w
 }
 
-func (w *World) address() string {
-	w.ids++
-	return fmt.Sprintf("box-%d:5050", w.ids)
+func (w *World) nextAddress() string {
+	w.lastID++
+	return fmt.Sprintf("box-%d:5050", w.lastID)
 }
 
 func (w *World) addBox(kind, zone string, cell int) *box {
@@ -112,25 +112,27 @@
 	if kind == "hub" {
 		spec = &w.script.Hub
 	}
-	addr := w.address()
-	id := kindID(kind, w.ids)
-	c := w.draws.chance("cores", id)
+	addr := w.nextAddress()
+	id := numberedID(kind, w.lastID)
+	c := w.random.generator("cores", id)
 	b := w.newBox(id, addr, zone, roles[kind], between(&c, spec.Cores[0], spec.Cores[1]), cell, spec)
-	b.begin(false)
+	b.start(false)
 	return b
 }
 
 func (w *World) clock() float64 { return w.now }
 
-func (w *World) at(t float64, do func()) *Entry     { return w.agenda.Add(max(t, w.now), do) }
-func (w *World) after(ms float64, do func()) *Entry { return w.agenda.Add(w.now+ms, do) }
-func (w *World) act(a Action)                       { w.out = append(w.out, a) }
-func (w *World) tell(f Fact)                        { w.facts(f) }
-func (w *World) moved(link string, bytes float64)   { w.tell(Moved{At: w.now, Link: link, Bytes: bytes}) }
-func (w *World) core() *box                         { return w.boxes["core-1"] }
+func (w *World) scheduleAt(t float64, do func()) *Entry     { return w.agenda.Add(max(t, w.now), do) }
+func (w *World) scheduleAfter(ms float64, do func()) *Entry { return w.agenda.Add(w.now+ms, do) }
+func (w *World) emit(a Action)                              { w.actions = append(w.actions, a) }
+func (w *World) report(f Fact)                              { w.onFact(f) }
+func (w *World) reportTransfer(link string, bytes float64) {
+	w.report(Moved{At: w.now, Link: link, Bytes: bytes})
+}
+func (w *World) core() *box { return w.boxes["core-1"] }
 
 // hop is how long a message takes from one location to another.
-func (w *World) hop(from, to string) float64 {
+func (w *World) latency(from, to string) float64 {
 	if from == to || w.hubOf[from] == to {
 		return w.script.Near
 	}
@@ -141,7 +143,7 @@
 func (w *World) Next() (float64, bool) { return w.agenda.Next() }
 
 // Over tells that the traffic has ended and all that was wanted has come to its end.
-func (w *World) Over() bool { return w.over && w.open == 0 }
+func (w *World) Over() bool { return w.trafficEnded && w.openOperations == 0 }
 
 // Ring does what is due up to a time and returns what comes of it.
 func (w *World) Ring(now float64) []Action {
@@ -154,8 +156,8 @@
 		w.agenda.Step()
 	}
 	w.now = max(w.now, now)
-	out := w.out
-	w.out = nil
+	out := w.actions
+	w.actions = nil
 	return out
 }
 
@@ -164,27 +166,27 @@
 	before := w.Ring(now)
 	switch e := e.(type) {
 	case Dialled:
-		w.dialled(e)
+		w.handleDial(e)
 	case Command:
-		w.command(e)
+		w.handleCommand(e)
 	case Hung:
-		w.hung(e.Conn)
+		w.closeConn(e.Conn)
 	case Answer:
-		w.answered(e)
+		w.handleAnswer(e)
 	case Unanswered:
-		if a := w.asks[e.ID]; a != nil {
-			w.unanswered(a, map[bool]string{true: "refused", false: "broken"}[e.Refused])
+		if a := w.openRequests[e.ID]; a != nil {
+			w.requestFailed(a, map[bool]string{true: "refused", false: "broken"}[e.Refused])
 		}
 	case Ready:
-		w.began = true
-		w.ready(w.gateways[e.Gateway])
+		w.anyReady = true
+		w.gatewayReady(w.gateways[e.Gateway])
 	case Exited:
-		w.exited(w.gateways[e.Gateway], e.Crashed)
+		w.gatewayExited(w.gateways[e.Gateway], e.Crashed)
 	case Heard:
-		w.list.heard(w, w.gateways[e.Gateway], e.Cursor)
+		w.directory.deliver(w, w.gateways[e.Gateway], e.Cursor)
 	}
-	out := append(before, w.out...)
-	w.out = nil
+	out := append(before, w.actions...)
+	w.actions = nil
 	return out
 }
 
@@ -194,37 +196,37 @@
 	Action any
 )
 
-func (w *World) dialled(e Dialled) {
+func (w *World) handleDial(e Dialled) {
 	var at *box
-	for _, b := range w.order { // of several that had one address the last is there
+	for _, b := range w.boxOrder { // of several that had one address the last is there
 		if b.addr == e.Address && b.up {
 			at = b
 		}
 	}
 	switch {
 	case at == nil:
-		w.act(Refuse{Conn: e.Conn})
+		w.emit(Refuse{Conn: e.Conn})
 	case !at.vanished:
-		w.conns[e.Conn] = &conn{id: e.Conn, box: at, open: map[string]*request{}}
+		w.conns[e.Conn] = &conn{id: e.Conn, box: at, requests: map[string]*request{}}
 		at.conns[e.Conn] = true
-		w.act(Accept{Conn: e.Conn})
+		w.emit(Accept{Conn: e.Conn})
 	}
 }
 
 // hung ends a connection and gives up all that is open on it.
-func (w *World) hung(id int64) {
+func (w *World) closeConn(id int64) {
 	c := w.conns[id]
 	if c == nil {
 		return
 	}
 	delete(w.conns, id)
 	delete(c.box.conns, id)
-	for _, r := range sortedOpen(c.open) {
-		w.drop(r)
+	for _, r := range sortedRequests(c.requests) {
+		w.dropRequest(r)
 	}
 }
 
-func sortedOpen(open map[string]*request) (all []*request) {
+func sortedRequests(open map[string]*request) (all []*request) {
 	for _, r := range open {
 		all = append(all, r)
 	}
@@ -237,85 +239,85 @@
 	return all
 }
 
-func (w *World) drop(r *request) {
-	if r.over {
+func (w *World) dropRequest(r *request) {
+	if r.done {
 		return
 	}
-	r.over = true
-	delete(r.conn.open, r.id)
+	r.done = true
+	delete(r.conn.requests, r.id)
 	if r.timer != nil && !r.typ.Write { // a write that is on its way to the core runs
 		w.agenda.Remove(r.timer)
 	}
-	if r.stop != nil {
-		r.stop()
+	if r.cancel != nil {
+		r.cancel()
 	}
 }
 
-func (w *World) command(e Command) {
+func (w *World) handleCommand(e Command) {
 	c := w.conns[e.Conn]
 	if c == nil {
 		return
 	}
 	switch e.Verb {
 	case "PING", "LOAD":
-		w.after(way, func() { c.box.probe(c, e.Verb, e.ID) })
+		w.scheduleAfter(roundTrip, func() { c.box.answerProbe(c, e.Verb, e.ID) })
 	case "DROP":
-		if r := c.open[e.ID]; r != nil {
-			w.drop(r)
+		if r := c.requests[e.ID]; r != nil {
+			w.dropRequest(r)
 		}
 	case "GET":
-		r := w.read(c, e)
-		if c.open[r.id] != nil {
-			w.act(Reset{Conn: c.id})
-			w.hung(c.id)
+		r := w.parseGet(c, e)
+		if c.requests[r.id] != nil {
+			w.emit(Reset{Conn: c.id})
+			w.closeConn(c.id)
 			return
 		}
-		c.open[r.id] = r
+		c.requests[r.id] = r
 		known := false
-		if r.ask != nil {
+		if r.clientRequest != nil {
 			b := c.box
-			known = b.listed > 0 && w.gateways[r.ask.gateway].cursor >= b.listed
-			w.tell(Pulled{At: w.now, Gateway: r.ask.gateway, ID: r.id, Object: r.key.object, Part: r.key.part, Type: e.Fields["kind"],
-				Group: r.ask.Group, Box: b.id, Zone: b.zone, Cell: b.cell, Source: r.next})
+			known = b.listedCursor > 0 && w.gateways[r.clientRequest.gateway].cursor >= b.listedCursor
+			w.report(Pulled{At: w.now, Gateway: r.clientRequest.gateway, ID: r.id, Object: r.key.object, Part: r.key.part, Type: e.Fields["kind"],
+				Group: r.clientRequest.Group, Box: b.id, Zone: b.zone, Cell: b.cell, Source: r.source})
 		}
-		if r.ask != nil && !c.box.signed(r, e.Fields["link"]) {
+		if r.clientRequest != nil && !c.box.acceptsLink(r, e.Fields["link"]) {
 			if known { // else it is for who was at this address before
-				w.tell(Unsigned{At: w.now, ID: r.id, Box: c.box.id})
+				w.report(Unsigned{At: w.now, ID: r.id, Box: c.box.id})
 			}
-			r.ask = nil // and it is turned down as what nobody asked for
+			r.clientRequest = nil // and it is turned down as what nobody asked for
 		}
-		work := r.usual()
-		if r.next == "" {
-			work = trifle // a look
+		work := r.expectedWork()
+		if r.source == "" {
+			work = minorWork // a look
 		}
-		if c.box.asks(work, known); c.box.up {
-			w.after(way, func() { c.box.get(r) })
+		if c.box.countWork(work, known); c.box.up {
+			w.scheduleAfter(roundTrip, func() { c.box.handleGet(r) })
 		}
 	}
 }
 
 // read takes a GET out of its fields. What no client asked for in this form keeps no ask.
-func (w *World) read(c *conn, e Command) *request {
+func (w *World) parseGet(c *conn, e Command) *request {
 	f := e.Fields
 	part, _ := strconv.Atoi(f["seg"])
-	r := &request{conn: c, id: e.ID, key: key{f["obj"], part}, typ: w.kinds[f["kind"]], next: f["next"], ways: f["ways"], cached: f["cached"]}
-	if a := w.asks[e.ID]; a != nil && r.typ != nil && a.Type == r.typ.Name && a.Object == r.key.object && a.Part == part && a.Body == e.Body {
-		r.ask = a
+	r := &request{conn: c, id: e.ID, key: key{f["obj"], part}, typ: w.typesByName[f["kind"]], source: f["next"], options: f["ways"], cachedTag: f["cached"]}
+	if a := w.openRequests[e.ID]; a != nil && r.typ != nil && a.Type == r.typ.Name && a.Object == r.key.object && a.Part == part && a.Body == e.Body {
+		r.clientRequest = a
 		r.work, r.bytes = w.size(r.typ, r.key)
 	}
-	if r.ask == nil && w.strangers && r.typ != nil {
-		r.ask = w.stranger(r, e.Body)
+	if r.clientRequest == nil && w.acceptUnknown && r.typ != nil {
+		r.clientRequest = w.unknownRequest(r, e.Body)
 		r.work, r.bytes = w.size(r.typ, r.key)
 	}
-	r.admit, _ = strconv.Atoi(f["admit"])
+	r.admitRank, _ = strconv.Atoi(f["admit"])
 	if limit, err := strconv.ParseFloat(f["agelim"], 64); err == nil && limit > 0 {
-		r.least = w.now - limit
+		r.minCreatedAt = w.now - limit
 	} else if r.typ != nil && r.typ.Fresh > 0 {
-		r.least = w.now - r.typ.Fresh
+		r.minCreatedAt = w.now - r.typ.Fresh
 	} else {
-		r.least = -1e18
+		r.minCreatedAt = -1e18
 	}
 	return r
 }
 
-func kindID(kind string, n int) string { return kind + "-" + strconv.Itoa(n) }
+func numberedID(kind string, n int) string { return kind + "-" + strconv.Itoa(n) }
--- a/internal/rehearsal/world/world_test.go
+++ b/internal/rehearsal/world/world_test.go
@@ -11,7 +11,7 @@
 )
 
 // A station shares its capacity as a plain model does that looks at each small step of time.
-func TestStation(t *testing.T) {
+func TestSharedResource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity, most := rapid.Float64Range(0.5, 8).Draw(t, "capacity"), rapid.Float64Range(0.5, 3).Draw(t, "most")
 		slots := rapid.IntRange(0, 5).Draw(t, "slots")
@@ -24,7 +24,7 @@
 
 		var agenda Agenda
 		now := 0.0
-		s := newStation(&agenda, func() float64 { return now }, capacity, most, slots)
+		s := newSharedResource(&agenda, func() float64 { return now }, capacity, most, slots)
 		got := make([]float64, len(jobs))
 		for i, j := range jobs {
 			got[i] = -1
@@ -78,7 +78,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStore(10)
 		type plain struct {
-			made
+			objectCopy
 			rank, used int
 		}
 		var all []*plain
@@ -94,7 +94,7 @@
 				}
 				continue
 			}
-			m := made{key: k, born: float64(step), size: float64(rapid.IntRange(1, 6).Draw(t, "size"))}
+			m := objectCopy{key: k, createdAt: float64(step), size: float64(rapid.IntRange(1, 6).Draw(t, "size"))}
 			rank := rapid.IntRange(0, 3).Draw(t, "rank")
 			s.put(m, rank)
 			if i >= 0 {
@@ -116,14 +116,14 @@
 			if used <= 10 {
 				all = append(slices.Delete(all, 0, going), &plain{m, rank, step})
 			}
-			if s.used > s.room {
-				t.Fatalf("step %d: %v of %v", step, s.used, s.room)
+			if s.used > s.capacity {
+				t.Fatalf("step %d: %v of %v", step, s.used, s.capacity)
 			}
 		}
 	})
 }
 
-const two = `
+const twoClubs = `
 about = "two clubs"
 deployment {
   clubs = ["a", "b"]
@@ -149,8 +149,8 @@
 `
 
 // alone runs a world whose gateways never answer, and returns what was first asked for.
-func alone(t *testing.T, gateways int) (asked []Asked) {
-	s, err := script.Parse([]byte(two), "two.hcl")
+func playUnanswered(t *testing.T, gateways int) (asked []Asked) {
+	s, err := script.Parse([]byte(twoClubs), "two.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,7 +171,7 @@
 
 // What clients ask for is drawn ahead: neither how many gateways there are nor what they answer changes it.
 func TestArrivalsAreDrawnAhead(t *testing.T) {
-	a, b := alone(t, 2), alone(t, 5)
+	a, b := playUnanswered(t, 2), playUnanswered(t, 5)
 	if len(a) < 200 || len(a) != len(b) {
 		t.Fatalf("%d and %d", len(a), len(b))
 	}
