--- a/internal/rehearsal/world/agenda.go
+++ b/internal/rehearsal/world/agenda.go
@@ -2,21 +2,21 @@
 
 import "container/heap"
 
-// Agenda is what is due, the next first; of two at one time the one that was noted first.
+// Agenda is a queue of timed callbacks, ordered by due time and then by insertion order.
 type Agenda struct {
 	entries  entries
 	sequence uint64
 }
 
-// Entry is one thing that is due.
+// Entry is one scheduled callback.
 type Entry struct {
 	at       float64
 	sequence uint64
 	run      func()
-	index    int // in the heap; -1: it is not there
+	index    int // position in the heap; -1: not queued
 }
 
-// Add notes what is due at a time.
+// Add schedules a callback.
 func (a *Agenda) Add(at float64, do func()) *Entry {
 	a.sequence++
 	e := &Entry{at: at, sequence: a.sequence, run: do}
@@ -24,7 +24,7 @@
 	return e
 }
 
-// Move changes when an entry is due; one that has left comes back.
+// Move reschedules an entry; one that is no longer queued is queued again.
 func (a *Agenda) Move(e *Entry, at float64) {
 	if a.sequence++; e.index < 0 {
 		e.at, e.sequence = at, a.sequence
@@ -37,14 +37,14 @@
 	}
 }
 
-// Remove takes one out; nothing happens where it has left.
+// Remove cancels an entry; it does nothing if the entry is nil or no longer queued.
 func (a *Agenda) Remove(e *Entry) {
 	if e != nil && e.index >= 0 {
 		heap.Remove(&a.entries, e.index)
 	}
 }
 
-// Next is when something is due next; false where nothing is.
+// Next returns the time of the earliest entry, and false if the queue is empty.
 func (a *Agenda) Next() (float64, bool) {
 	if len(a.entries) == 0 {
 		return 0, false
@@ -52,7 +52,7 @@
 	return a.entries[0].at, true
 }
 
-// Step does what is due next.
+// Step runs the earliest entry.
 func (a *Agenda) Step() {
 	heap.Pop(&a.entries).(*Entry).run()
 }
--- a/internal/rehearsal/world/box.go
+++ b/internal/rehearsal/world/box.go
@@ -22,8 +22,8 @@
 
 var roles = map[string]role{"edge": edge, "hub": hub, "core": core}
 
-// What a box does beside its downloads, in ms of work; how long a command and its answer are on their way together, in
-// ms; how much faster a fill may run than an answer.
+// Work of a command other than a download, in ms; time that a command and its reply spend on the network together, in
+// ms; and how many times faster a fill may run than a reply to a gateway.
 const (
 	minorWork   = 0.2
 	roundTrip   = 0.6
@@ -38,29 +38,29 @@
 	spec                          *script.Box
 	cores                         float64
 	cell                          int
-	startedAt                     float64 // when it started; under 0: long ago
-	state                         string  // as the list will say
-	listedCursor                  int     // number of the event that told of it
+	startedAt                     float64 // start time; negative: long before the rehearsal
+	state                         string  // as it is published in the directory
+	listedCursor                  int     // cursor of the channel event that announced it
 	up                            bool
 	vanished                      bool
 	silent                        bool
 	pauses                        int
 	slowdown                      float64
-	failShare                     float64 // share that it fails quickly,
-	loseShare                     float64 // share whose answer is lost after it ran,
-	cutShare                      float64 // and share that is cut amid its answer
+	failShare                     float64 // share of requests that fail at once
+	loseShare                     float64 // share of requests whose reply is lost after they ran
+	cutShare                      float64 // share of replies that are cut off in the middle
 	cpu                           *sharedResource
 	store                         *store
-	requested                     map[key]bool // of one that holds things when the rehearsal begins: what was asked of it since
+	requested                     map[key]bool // keys that were requested so far, if the box begins with content; else nil
 	activeFills                   int
 	fetching                      map[key]*fetch
-	sentWork, informedWork        router.Ring // work that was asked of it, in all and by those who knew who it is
+	sentWork, informedWork        router.Ring // work requested in the last span: in all, and by senders that knew this box
 	conns                         map[int64]bool
 	currentReport, previousReport string
 	reportAt                      float64
 }
 
-// fetch is one object on its way from the core to a hub, for all who wait for it.
+// fetch is an object under way from the core to a hub, shared by all requests that wait for it.
 type fetch struct {
 	createdAt float64
 	waiting   []func(*objectCopy)
@@ -78,15 +78,15 @@
 	bytes         float64
 	source        string
 	admitRank     int
-	minCreatedAt  float64 // the earliest birth of a copy that will do
+	minCreatedAt  float64 // earliest creation time of an acceptable copy
 	options       string
 	cachedTag     string
 	done          bool
-	cancel        func() // calls off what is under way for it
+	cancel        func() // cancels the work under way for it
 	timer         *Entry
 }
 
-// usual is the work of a download as far as anybody can know it who sends one: the mean of its type.
+// expectedWork is the best estimate of a download's work that its sender can have: the mean of its content type.
 func (r *request) expectedWork() float64 {
 	if r.clientRequest == nil || r.typ == nil {
 		return minorWork
@@ -114,7 +114,7 @@
 	return b
 }
 
-// warmth is the share of its capacity that it has by now.
+// warmFraction is the share of its capacity that the box has reached since its start.
 func (b *box) warmFraction() float64 {
 	if b.startedAt < 0 || b.role == core {
 		return 1
@@ -122,7 +122,7 @@
 	return min(1, b.spec.ColdShare+(1-b.spec.ColdShare)*(b.w.now-b.startedAt)/max(1, b.spec.ColdFor))
 }
 
-// pace sets its capacity anew, as long as it warms.
+// updateCapacity recomputes the capacity, repeatedly while the box warms up.
 func (b *box) updateCapacity() {
 	most := 1.0
 	if b.role != edge {
@@ -138,7 +138,7 @@
 	}
 }
 
-// begin starts its process, empty; cold where it is not the start of the rehearsal.
+// start starts the box's process with an empty store; cold: after the start of the rehearsal, at reduced capacity.
 func (b *box) start(cold bool) {
 	if b.startedAt = -1; cold {
 		b.startedAt = b.w.now
@@ -154,7 +154,7 @@
 	b.updateCapacity()
 }
 
-// die ends its process: connections are reset, new ones refused.
+// stop ends the box's process: its connections are reset and new ones refused.
 func (b *box) stop() {
 	if !b.up {
 		return
@@ -170,8 +170,9 @@
 	b.updateCapacity()
 }
 
-// asks counts work that was asked of it. Past what it can bear it falls over; that it should not have been asked, as it
-// had started just before, is told by Pushed, for work of those who knew.
+// countWork adds requested work and brings the box down when it exceeds what the box can take. If the box was still warming
+// up and the work sent by those who knew that is too much on its own, it also reports Pushed: that load should not have
+// been sent.
 func (b *box) countWork(work float64, knows bool) {
 	w := b.w
 	multiple, span := b.spec.FallMultiple, b.spec.FallFor
@@ -202,13 +203,13 @@
 	}
 }
 
-// get takes a GET that has come whole.
+// handleGet processes a complete GET.
 func (b *box) handleGet(r *request) {
 	w := b.w
 	if b.silent || b.vanished || r.done {
 		return
 	}
-	if r.clientRequest == nil || r.typ == nil { // what nobody asked for is no work
+	if r.clientRequest == nil || r.typ == nil { // a request of no known client costs no work
 		b.answerBriefly(r, "BROKE")
 		return
 	}
@@ -248,8 +249,8 @@
 	})
 }
 
-// held finds a copy that will do. What a box holds when the rehearsal begins is drawn when it is first asked for, since
-// nobody can tell beforehand which box the gateways will ask.
+// lookUp finds an acceptable copy. Whether the box held an object from the start is drawn when the object is first
+// requested, since it cannot be known beforehand which box the gateways will ask.
 func (b *box) lookUp(r *request) *storedCopy {
 	w := b.w
 	if b.requested != nil && !b.requested[r.key] {
@@ -262,11 +263,11 @@
 			b.store.put(m, 1)
 		}
 	}
-	// By the time that the settings give for it, a purge has gone through to every box.
+	// Once the settle time of the settings has passed, a purge has reached every box.
 	return b.store.get(r.key, max(r.minCreatedAt, w.lastSettledPurge(r.key.object, r.typ.group(w, r.key.object))))
 }
 
-// send is a copy's way out of an edge cache.
+// sendCopy serves a copy to the gateway; a copy that the gateway already holds costs a twentieth of the work.
 func (b *box) sendCopy(r *request, m objectCopy, note string) {
 	work := r.work
 	if r.cachedTag == m.tag {
@@ -281,7 +282,7 @@
 	r.cancel = func() { b.cpu.remove(j) }
 }
 
-// fill gets a miss from its source, or gives up.
+// fill fetches a missing object from the request's source; done gets nil and a reply word if that fails.
 func (b *box) fill(r *request, done func(*objectCopy, string)) {
 	w := b.w
 	if b.activeFills >= max(1, int(float64(b.spec.Fills)*b.cores)) {
@@ -327,7 +328,7 @@
 	})
 }
 
-// supply is a hub's part of a fill.
+// supplyFill is the hub's side of a fill.
 func (b *box) supplyFill(r *request, to *box, hop float64, ended *bool, finish func(*objectCopy, string)) {
 	w := b.w
 	reply := func(word string) { w.scheduleAfter(hop, func() { finish(nil, word) }) }
@@ -393,7 +394,7 @@
 	f.waiting = append(f.waiting, out)
 }
 
-// makes is the core's part: an object as it is now.
+// produce is the core's side of a fill: it makes the object in its present version.
 func (b *box) produce(r *request, done func(*objectCopy)) {
 	w := b.w
 	w.report(Made{At: w.now})
@@ -410,7 +411,7 @@
 	b.cpu.add(r.work, func() { w.scheduleAfter(w.script.Core.Answers, func() { done(m) }) })
 }
 
-// carry brings a fill over the link into a club.
+// transferFill sends a fill over the link into a club.
 func (w *World) transferFill(to *box, r *request, m *objectCopy, hop float64, ended *bool, finish func(*objectCopy, string)) {
 	if m == nil {
 		finish(nil, "BROKE")
@@ -427,7 +428,7 @@
 	r.cancel = func() { link.remove(j); finish(nil, "") }
 }
 
-// write passes a write on to the core, which runs it whenever it is told to: that it is told once is the gateways' task.
+// forwardWrite passes a write on to the core, which runs it each time it arrives: sending it only once is up to the gateways.
 func (b *box) forwardWrite(r *request) {
 	w := b.w
 	from := w.boxes[r.source]
@@ -470,7 +471,7 @@
 	})
 }
 
-// end answers a GET.
+// answer replies to a GET.
 func (b *box) answer(r *request, word, note string, m *objectCopy) {
 	w := b.w
 	if r.done || !b.up || b.vanished {
@@ -502,7 +503,7 @@
 	}
 }
 
-// body is what a copy's bytes are: a line that says which it is, and as much more as its size is thinned to.
+// copyBody builds the bytes of a copy: a line that identifies it, repeated up to its size divided by bodyDivisor.
 func (w *World) copyBody(m *objectCopy, r *request) []byte {
 	head := fmt.Sprintf("%s %d %s %.3f\n", m.object, m.part, m.tag, m.createdAt)
 	if r.typ.Write {
@@ -519,7 +520,7 @@
 	return b
 }
 
-// gauges is the load report, as it was a report or two ago.
+// loadReport returns the load gauges as of one or two report intervals ago.
 func (b *box) loadReport() string {
 	if now := b.w.now; b.currentReport == "" || now >= b.reportAt+b.spec.Report {
 		b.previousReport = b.currentReport
@@ -533,7 +534,7 @@
 	return b.previousReport
 }
 
-// probe answers PING and LOAD, for some work.
+// answerProbe replies to PING and LOAD after the work of a probe.
 func (b *box) answerProbe(c *conn, verb, tag string) {
 	if b.silent || b.vanished {
 		return
--- a/internal/rehearsal/world/clients.go
+++ b/internal/rehearsal/world/clients.go
@@ -9,7 +9,7 @@
 	"poppymill/internal/rehearsal/script"
 )
 
-// kind is a content type in use.
+// contentType is a configured content type with the popularity of its objects.
 type contentType struct {
 	script.Type
 	popularity zipf
@@ -19,27 +19,27 @@
 	return int(w.random.hash("group", object) % 256)
 }
 
-// large are new objects of many times the usual size that are asked for during a time.
+// largePeriod is a time during which clients request new objects of many times the usual size.
 type largePeriod struct{ share, factor float64 }
 
-// What the ids of large objects begin with, so that whoever meets one knows its size without a table.
+// Prefixes of object ids. They mark large objects, so that the size follows from the id alone,
 const (
 	largeMark = "1a46e"
-	onceMark  = "0ce0ce" // and those of what is wanted only once
+	onceMark  = "0ce0ce" // and objects that are requested only once
 )
 
-// gateway is one as the front sees it.
+// gateway is a gateway as the clients' front end sees it.
 type gateway struct {
 	number, starts int
 	zone           string
 	up, ready      bool    // its process runs; it takes clients
-	ending         bool    // it was told to end
-	routedUntil    float64 // the front still sends to it, though it is gone
-	cursor         int     // of the channel's events that it was told
+	ending         bool    // it was told to terminate
+	routedUntil    float64 // until then the front end still routes to it although it is down
+	cursor         int     // last channel event that was delivered to it
 	openRequests   map[string]*openRequest
 }
 
-// want is what a client is after, over all its tries.
+// operation is a client's goal of getting one part of an object, over all its attempts.
 type operation struct {
 	number, attempts    int
 	typ                 *contentType
@@ -48,15 +48,15 @@
 	club                string
 	startedAt, deadline float64
 	kiosk               bool
-	stopAt              float64 // of a kiosk
+	stopAt              float64 // of a kiosk: when it stops repeating
 	link                *heldLink
-	member              string // of whom its client is
-	ticket              string // of the appointment that it was given last
-	duplicate           bool   // a second request under the link of another
+	member              string // name of the member that the client belongs to
+	ticket              string // ticket of its latest appointment
+	duplicate           bool   // a second request sent under the link of another operation
 	lastVerdict         Verdict
 }
 
-// asked is one request that is open.
+// openRequest is a client request that has no answer yet.
 type openRequest struct {
 	Request
 	op          *operation
@@ -66,7 +66,7 @@
 	leaveTimer  *Entry
 }
 
-// slack is what a client allows a gateway beyond its time before it counts the request as never answered.
+// clientSlack is the time in ms after a request's expiry at which the client counts it as never answered.
 const clientSlack = 50.0
 
 func (w *World) startTraffic() {
@@ -86,14 +86,14 @@
 		w.typesByName[t.Name] = t
 		w.types = append(w.types, t)
 		if rate := peak * t.Share / float64(t.Parts) / 1000; rate > 0 {
-			// Those who are amid an object when the day begins came before it.
+			// Clients that are between two parts of an object at the start arrived before it.
 			w.scheduleArrivals(i, 0, -float64(t.Parts-1)*t.Gap, rate)
 		}
 	}
 	w.scheduleAt(w.script.Length(), func() { w.trafficEnded = true })
 }
 
-// rate is how many downloads a second are asked for at a time.
+// rate is the configured number of downloads a second at a given time.
 func (w *World) rate(at float64) float64 {
 	for _, p := range w.script.Phases {
 		if at < p.From+p.For {
@@ -107,7 +107,7 @@
 	return 0
 }
 
-// arrivals draws who comes next for a type: at the highest rate there will be, of which a part is left out.
+// scheduleArrivals draws the next client of a content type: at the highest rate of the script, thinned to the current one.
 func (w *World) scheduleArrivals(typ, n int, from, peak float64) {
 	c := w.random.generator("arrival", typ, n)
 	at := from + interarrival(&c, peak)
@@ -131,7 +131,7 @@
 	})
 }
 
-// visit is one client with one object, part after part.
+// startDownload plays one client that requests the parts of one object in turn.
 func (w *World) startDownload(typ, n int, at float64) {
 	t := w.types[typ]
 	c := w.random.generator("visit", typ, n)
@@ -196,11 +196,11 @@
 	return largest
 }
 
-// choose finds the gateway that a client is sent to: one of its club, else any; the front goes on sending to one that
-// died until it has found out.
+// chooseGateway picks the gateway that a client's request is routed to: one of its club, else any. The front end keeps
+// routing to a gateway that died until it has noticed.
 func (w *World) chooseGateway(op *operation) *gateway {
 	if op.link != nil && op.typ.Write && !op.duplicate {
-		// A write's link names the one gateway that may spend it.
+		// The link of a write names the one gateway that may accept it.
 		if g := w.gateways[op.link.gateway]; g.ready && !g.ending {
 			return g
 		}
@@ -226,7 +226,7 @@
 
 func (w *World) sendAttempt(op *operation) {
 	if !w.anyReady {
-		// Clients come once there is somebody to come to: what is wanted while the first gateway starts is no gateway's loss.
+		// Clients wait for the first gateway to be ready, so that no gateway is charged with requests before that.
 		w.scheduleAfter(10, func() {
 			op.startedAt, op.deadline = op.startedAt+10, op.deadline+10
 			w.sendAttempt(op)
@@ -259,7 +259,7 @@
 		a.Mine = w.tag(key{op.object, op.part}, a.Group, w.now)
 	}
 	w.attachLink(op, &a.Request, g)
-	if !g.up { // the front still sends to it, and is refused
+	if !g.up { // the front end still routes to it, and the connection is refused
 		w.retry(op, Lost, clients.Wait, true)
 		return
 	}
@@ -274,7 +274,7 @@
 	}
 }
 
-// client names who wants it: kiosks are few, members many.
+// clientName identifies the client: a kiosk sends many requests under one name, a member's client those of one download.
 func (op *operation) clientName() string {
 	if op.kiosk {
 		return "kiosk " + strconv.Itoa(op.number>>12)
@@ -282,7 +282,7 @@
 	return "member " + strconv.Itoa(op.number/1000)
 }
 
-// send puts a request on its way.
+// sendRequest sends a request and starts its expiry timer.
 func (w *World) sendRequest(a *openRequest, g *gateway, first bool) {
 	w.openRequests[a.ID] = a
 	if g.openRequests == nil {
@@ -301,18 +301,18 @@
 	delete(w.gateways[a.gateway].openRequests, a.ID)
 }
 
-// unanswered is a request that ends without an answer.
+// requestFailed ends a request that got no answer.
 func (w *World) requestFailed(a *openRequest, why string) {
 	if w.openRequests[a.ID] != a {
 		return
 	}
 	w.closeRequest(a)
 	w.report(Ended{At: w.now, ID: a.ID, Why: why})
-	// What was refused never ran; of the rest nobody knows.
+	// A refused request never ran; of any other it is not known.
 	w.retry(a.op, Lost, w.script.Clients.Wait, why == "refused")
 }
 
-// answered judges what a client got.
+// handleAnswer evaluates the answer that a client got.
 func (w *World) handleAnswer(answer Answer) {
 	w.report(Answered{At: w.now, Answer: answer})
 	a := w.openRequests[answer.ID]
@@ -324,7 +324,7 @@
 	op.ticket = answer.Ticket
 	op.takeRenewal(answer.Token, w.script.Links.Renew)
 	if answer.Status == 403 && !op.duplicate {
-		op.link = nil // it has itself given a new one
+		op.link = nil // the issuer gives it a new one
 	}
 	switch {
 	case op.duplicate:
@@ -349,7 +349,7 @@
 	}
 }
 
-// again tries once more, where the client does and it does no harm.
+// retry makes another attempt if the client has attempts and time left and repeating does no harm.
 func (w *World) retry(op *operation, last Verdict, wait float64, harmless bool) {
 	if op.lastVerdict = last; op.duplicate {
 		w.openOperations--
@@ -368,7 +368,7 @@
 		return
 	}
 	if op.kiosk {
-		// A kiosk in a loop asks again whatever it was told.
+		// A kiosk repeats its request in a loop, whatever the answer was.
 		if w.now+20 < op.stopAt && !w.trafficEnded {
 			next := &operation{number: op.number + 1, typ: op.typ, object: op.object, part: op.part, club: op.club, member: op.member, startedAt: w.now + 20, kiosk: true, stopAt: op.stopAt}
 			next.deadline = next.startedAt + op.typ.Expiry
@@ -379,14 +379,14 @@
 	w.report(Wanted{At: w.now, Asked: op.startedAt, Type: op.typ.Name, Member: op.member, Verdict: v, Tries: op.attempts})
 }
 
-// ready takes a gateway into the front.
+// gatewayReady adds a gateway to the front end's routing.
 func (w *World) gatewayReady(g *gateway) {
 	if g.up {
 		g.ready = true
 	}
 }
 
-// exited is a gateway whose process is gone: what was open on it is void.
+// gatewayExited handles the end of a gateway's process: all requests open on it fail.
 func (w *World) gatewayExited(g *gateway, crashed bool) {
 	if !g.up {
 		return
@@ -407,7 +407,7 @@
 	}
 }
 
-// thaw has a process that was frozen go on, with all that it had in hand; what the channel told meanwhile comes now.
+// thawGateway resumes a frozen process with its state intact. Channel events published meanwhile are delivered afterwards.
 func (w *World) thawGateway(g *gateway) {
 	if g.up {
 		return
@@ -417,7 +417,7 @@
 	w.scheduleAfter(assumedDelivery, func() { w.directory.deliver(w, g, len(w.directory.log)) })
 }
 
-// start brings a gateway's process up, anew and with nothing but what the channel has told so far.
+// startGateway starts a new process for a gateway, which knows only what the channel has published so far.
 func (w *World) startGateway(g *gateway) {
 	if g.up {
 		return
--- a/internal/rehearsal/world/config.go
+++ b/internal/rehearsal/world/config.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// Config is what the platform tells a gateway, but for its addresses, limits and what the channel has told.
+// Config returns a gateway's name, seed and settings, without its addresses, its limits and the channel's events.
 func (w *World) Config(number int) (name, seed string, settings map[string]any) {
 	s, g := w.script, w.gateways[number]
 	name = "gateway-" + string(rune('a'+number%26)) + "-" + g.zone
@@ -61,7 +61,7 @@
 	}
 }
 
-// Params words a request as the web servers do.
+// Params returns the FastCGI parameters that web servers send for a request.
 func Params(r Request) map[string]string {
 	p := map[string]string{"SCRIPT_NAME": "/invoke/" + r.Type, "HTTP_X_JOB_ID": r.ID, "HTTP_X_ALLOW_MS": strconv.Itoa(int(r.Allow)),
 		"HTTP_X_ITEM": r.Object, "HTTP_X_N": strconv.Itoa(r.Part), "HTTP_X_SHARD": strconv.Itoa(r.Group)}
@@ -82,8 +82,8 @@
 	return p
 }
 
-// Configuration words what the platform tells a gateway, as JSON. Known is what the channel has told so far; change, if
-// there is one, puts a fault into the settings.
+// Configuration returns a gateway's full configuration as JSON. Known returns the channel's events so far; change, if not
+// nil, alters the settings to inject a fault.
 func (w *World) Configuration(number int, listen, channel string, known func() (int, []map[string]any),
 	change func(map[string]any)) ([]byte, error) {
 	name, seed, settings := w.Config(number)
--- a/internal/rehearsal/world/directory.go
+++ b/internal/rehearsal/world/directory.go
@@ -5,25 +5,26 @@
 	"slices"
 )
 
-// latest is when word counts as told, in ms after it is in the channel, whatever became of the channel's connections.
+// assumedDelivery is the time in ms after its publication from which an event counts as delivered, whatever happened to the
+// channel's connections.
 const assumedDelivery = 4000.0
 
-// directory is the list of boxes and the purges as the command channel tells them.
+// directory is the list of boxes and purges as published on the command channel.
 type directory struct {
 	log []channelEvent
-	lag float64 // ms that word comes later than usual
+	lag float64 // additional delay of events, in ms
 }
 
 type channelEvent struct {
 	event map[string]any
-	facts []Told // without time and gateway
+	facts []Told // their time and gateway are set on delivery
 }
 
 func (l *directory) start(w *World) {
 	l.publish(w, true, w.boxOrder...)
 }
 
-// endpoints words boxes as the channel does.
+// endpointList encodes boxes in the channel's format.
 func (w *World) endpoints(boxes []*box) []any {
 	var all []any
 	for _, b := range boxes {
@@ -38,7 +39,7 @@
 	return all
 }
 
-// publish tells of boxes as they are now.
+// publish announces boxes in their present state.
 func (l *directory) publish(w *World, whole bool, boxes ...*box) {
 	e := channelEvent{event: map[string]any{"nodes": map[string]any{"index": len(l.log) + 1, "snapshot": whole, "endpoints": w.endpoints(boxes)}}}
 	for _, b := range boxes {
@@ -64,7 +65,7 @@
 	})
 }
 
-// heard notes up to which event a gateway has been told.
+// deliver records that a gateway has received all events up to a cursor.
 func (l *directory) deliver(w *World, g *gateway, cursor int) {
 	for ; g.cursor < min(cursor, len(l.log)); g.cursor++ {
 		for _, f := range l.log[g.cursor].facts {
@@ -74,12 +75,13 @@
 	}
 }
 
-// changed tells of boxes some time after they changed.
+// publishLater announces boxes some time after they changed.
 func (w *World) publishLater(late float64, boxes ...*box) {
 	w.scheduleAfter(late+w.directory.lag, func() { w.directory.publish(w, false, boxes...) })
 }
 
-// comeBack has a box start again, empty, after some time; the list finds out both, and says so in their order.
+// scheduleRestart starts a stopped box again, empty, after a delay. The directory announces its loss and its return, in that
+// order.
 func (w *World) scheduleRestart(b *box, back float64) {
 	if b.role == core {
 		w.scheduleAfter(back, func() { b.start(false) })
@@ -101,7 +103,7 @@
 	})
 }
 
-// purge makes all copies of an object or a group old and tells of it a little later.
+// purge makes all copies of an object or a group outdated and announces that after the script's delay.
 func (w *World) purge(object string, group int) {
 	at := w.now
 	if object != "" {
@@ -120,7 +122,7 @@
 	})
 }
 
-// settled is when the last purge of an object or its group was that has gone through to every box by now.
+// lastSettledPurge is the time of the latest purge of an object or its group that has reached every box by now.
 func (w *World) lastSettledPurge(object string, group int) float64 {
 	latest := -1e18
 	for _, all := range [][]float64{w.objectPurges[object], w.groupPurges[group]} {
@@ -133,7 +135,7 @@
 	return latest
 }
 
-// tag names an edition: what the core gives out changes with each purge.
+// tag identifies the version of an object: what the core produces changes with each purge.
 func (w *World) tag(partKey key, group int, born float64) string {
 	n := 0
 	for _, at := range [][]float64{w.objectPurges[partKey.object], w.groupPurges[group]} {
@@ -143,7 +145,7 @@
 	return w.random.id("tag", partKey.object, partKey.part, n)
 }
 
-// Known is all that the channel has told so far, as a gateway's configuration words it.
+// Known returns all channel events so far, in the format of a gateway's configuration.
 func (w *World) Known() (cursor int, events []map[string]any) {
 	for _, e := range w.directory.log {
 		events = append(events, e.event)
--- a/internal/rehearsal/world/faults.go
+++ b/internal/rehearsal/world/faults.go
@@ -13,7 +13,7 @@
 
 type randomSource = router.Chance
 
-// happens does what the script says, for the i-th time.
+// applyEvent carries out an event of the script; round counts the repetitions of an event from 0.
 func (w *World) applyEvent(e *script.Event, round int) {
 	switch {
 	case e.On == "gateway":
@@ -28,7 +28,7 @@
 	}
 }
 
-// targets are the boxes that an event happens to: by name, so many, a share, or one; drawn by chance, unless named.
+// targets returns the boxes that an event affects: the named one, or a random choice of the given count or share, else one.
 func (w *World) targets(e *script.Event, round int) []*box {
 	var candidates []*box
 	for _, b := range w.boxOrder {
@@ -53,7 +53,7 @@
 	return candidates[:min(n, len(candidates))]
 }
 
-// until undoes something when the event's time is over, if it has one.
+// undoAfter reverts an event after its duration, if it has one.
 func (w *World) undoAfter(e *script.Event, undo func()) {
 	if e.For > 0 {
 		w.scheduleAfter(e.For, undo)
@@ -72,13 +72,13 @@
 		b.vanished = true
 		w.emit(Shut{Address: b.addr, Mute: true})
 		b.updateCapacity()
-		w.scheduleAfter(3*w.script.List.Notices+w.directory.lag, func() { // silence is found out later than an end
+		w.scheduleAfter(3*w.script.List.Notices+w.directory.lag, func() { // silence is detected later than a closed connection
 			if b.vanished {
 				b.state = "gone"
 				w.directory.publish(w, false, b)
 			}
 		})
-		w.undoAfter(e, func() { // the machine is cut off no more: what was open is gone
+		w.undoAfter(e, func() { // the machine is reachable again; its connections are gone
 			b.stop()
 			b.state = "ready"
 			b.start(true)
@@ -127,7 +127,7 @@
 	}
 }
 
-// goes has a box that died come back when the event is over, or never.
+// scheduleReturn restarts a stopped box when the event's duration is over; without a duration it stays away.
 func (w *World) scheduleReturn(e *script.Event, b *box) {
 	if e.For > 0 {
 		w.scheduleRestart(b, e.For)
@@ -145,7 +145,7 @@
 		all = slices.DeleteFunc(all, func(g *gateway) bool { name, _, _ := w.Config(g.number); return name != e.Name })
 	}
 	chosen := pickSome(w, e, round, all, func(g *gateway) string { return numberedID("gateway", g.number) })
-	if e.Times > 1 && e.Name == "" && e.Count == 0 && e.Share == 0 { // one after another
+	if e.Times > 1 && e.Name == "" && e.Count == 0 && e.Share == 0 { // one gateway after another
 		chosen = []*gateway{w.gateways[round%len(w.gateways)]}
 	}
 	if e.Do == "part" {
@@ -203,7 +203,7 @@
 				g.routedUntil = w.now + 300
 				w.emit(Term{Gateway: g.number})
 				w.scheduleAfter(min(w.script.Longest(), 3000)+700+100, func() {
-					if g.up && g.ending { // the platform's patience is over
+					if g.up && g.ending { // the platform kills a process that does not end in time
 						w.emit(Kill{Gateway: g.number})
 						w.gatewayExited(g, false)
 					}
--- a/internal/rehearsal/world/messages.go
+++ b/internal/rehearsal/world/messages.go
@@ -1,9 +1,11 @@
-// Package world is a deployment that a gateway can be rehearsed against: edge caches, hubs, the member core, the links
-// between them, the list of boxes, and the clients. It is pure: events come in with their time, actions go out; there is
-// no goroutine, socket or clock in it, and all chance comes from the script's seed, each draw keyed by what it is for.
+// Package world emulates a deployment against which gateways are tested: edge caches, hubs, the member core, the links
+// between them, the directory of boxes, and the clients. It is deterministic: events come in with their time and actions
+// go out; it has no goroutine, socket or clock. All randomness derives from the script's seed, and each random draw is
+// keyed by its purpose.
 //
-// This file is its interface. Times are milliseconds since the start of the rehearsal, sizes bytes, work milliseconds of
-// one core at speed 1. Gateways are known by number, boxes by id, connections by a number of the driver's.
+// This file holds its events, actions and facts. Times are milliseconds since the start of the rehearsal, sizes are bytes, and
+// work is milliseconds of one core at speed 1. Gateways are identified by number, boxes by id, connections by a number that
+// the driver assigns.
 package world
 
 import (
@@ -11,109 +13,109 @@
 	"poppymill/internal/rehearsal/script"
 )
 
-// Events, which a driver hands to World.Handle.
+// Events, which a driver passes to World.Handle.
 type (
-	// Dialled is a connection that a gateway opens to an address.
+	// Dialled: a gateway opens a connection to an address.
 	Dialled struct {
 		Conn    int64
 		Address string
 	}
-	// Command is one command on such a connection: GET, DROP, PING or LOAD.
+	// Command is a command on such a connection: GET, DROP, PING or LOAD.
 	Command struct {
 		Conn     int64
 		Verb, ID string
 		Fields   map[string]string
 		Body     int // bytes
 	}
-	// Hung is a connection that the gateway has closed, or that broke.
+	// Hung: the gateway closed a connection, or it broke.
 	Hung struct{ Conn int64 }
-	// Answer is what a gateway told a client.
+	// Answer is a gateway's answer to a client.
 	Answer struct {
 		Gateway int
 		ID      string
 		Status  int
-		Wait    float64 // ms; 0: none was told
+		Wait    float64 // ms until the client should retry; 0: not given
 		Still   bool
-		Copy    string // the head of the body: which copy it is
-		Token   string // the successor of the client's link
-		Ticket  string // for when it comes back
+		Copy    string // first line of the body, which identifies the copy
+		Token   string // renewed link for the client
+		Ticket  string // to present when it comes back
 	}
-	// Unanswered is a request whose connection was refused or ended before an answer.
+	// Unanswered: a request's connection was refused, or ended before an answer.
 	Unanswered struct {
 		ID      string
-		Refused bool // it was never taken
+		Refused bool // the request was never accepted
 	}
-	// Ready is a gateway that answers as healthy after its start.
+	// Ready: a gateway passes its health check after its start.
 	Ready struct{ Gateway int }
-	// Exited is a gateway whose process has ended. Crashed: nobody had told it to.
+	// Exited: a gateway's process ended. Crashed: without being told to.
 	Exited struct {
 		Gateway int
 		Crashed bool
 	}
-	// Heard tells that a gateway has been told the channel's events up to a number.
+	// Heard: a gateway has received the channel's events up to a cursor.
 	Heard struct {
 		Gateway int
 		Cursor  int
 	}
 )
 
-// Actions, which the driver carries out in their order.
+// Actions, which the driver carries out in order.
 type (
-	// Accept lets a connection up.
+	// Accept completes a connection.
 	Accept struct{ Conn int64 }
-	// Refuse refuses it.
+	// Refuse refuses a connection.
 	Refuse struct{ Conn int64 }
-	// Reset ends it at once.
+	// Reset closes a connection at once.
 	Reset struct{ Conn int64 }
-	// Reply is an answer on it.
+	// Reply sends a reply on a connection.
 	Reply struct {
 		Conn              int64
 		Tag, Word, Fields string
 		Body              []byte
-		Cut               bool // it stops amid the body, and the connection ends
+		Cut               bool // it breaks off within the body, and the connection closes
 	}
-	// Listen opens an address of that name to connections; the driver may give it any real one.
+	// Listen makes a box reachable under an address; the driver may map it to any real one.
 	Listen struct{ Address string }
-	// Shut closes it: connections are refused. Mute: they are neither accepted nor refused.
+	// Shut makes it unreachable: connections are refused or, if Mute, neither accepted nor refused.
 	Shut struct {
 		Address string
 		Mute    bool
 	}
-	// Publish puts an event into the command channel, for all gateways.
+	// Publish sends an event on the command channel to all gateways.
 	Publish struct {
 		Cursor int
 		Event  map[string]any
 	}
-	// Channel changes how the command channel behaves until its next change.
+	// Channel changes how the command channel behaves until the next such action.
 	Channel struct{ How ChannelState }
 	// Ask sends a client's request to a gateway.
 	Ask struct {
 		Gateway int
 		Request
 	}
-	// Abort takes it back.
+	// Abort cancels it.
 	Abort struct {
 		Gateway int
 		ID      string
 	}
-	// Keys has all gateways take up other keys for signed links.
+	// Keys makes all gateways load another set of keys for signed links.
 	Keys struct{ Keys []links.Key }
-	// Start, Kill, Term and Hup act on a gateway's process: started anew from nothing, killed outright, told to end,
-	// told to read its configuration again.
+	// Start, Kill, Term and Hup act on a gateway's process: start it without state, kill it, ask it to terminate, make it
+	// reload its configuration.
 	Start struct{ Gateway int }
 	Kill  struct {
 		Gateway int
-		Disk    string // what it kept of the agreement: lost with it, or old, as it was when it was copied; empty: kept
+		Disk    string // what remains of its consensus state: lost, or old (as of its last Copy); empty: all of it
 	}
-	// Copy keeps its store as it is now; Fill has its disk take no more, or again.
+	// Copy saves a copy of the gateway's state on disk. Fill makes its disk full or, with Undo, writable again.
 	Copy struct{ Gateway int }
 	Fill struct {
 		Gateway int
 		Undo    bool
 	}
-	// Work asks the gateways for a job on behalf of all.
+	// Work submits a job for the whole fleet to the gateways.
 	Work struct{ Job script.Job }
-	// Withdraw asks the gateways to purge objects, or groups, by themselves.
+	// Withdraw asks the gateways to agree on a purge of objects or groups.
 	Withdraw struct {
 		ID      string
 		Objects []string
@@ -123,66 +125,67 @@
 	Hup  struct{ Gateway int }
 )
 
-// Freeze stops a gateway's process where it stands, or has it go on.
+// Freeze suspends a gateway's process, or resumes it.
 type Freeze struct {
 	Gateway int
 	Thaw    bool
 }
 
-// Part cuts what goes from some gateways to the others, and, unless it is one way, back; Heal mends it.
+// Part drops the traffic from some gateways to the others and, unless OneWay, back; Heal ends that.
 type Part struct {
 	Apart  []int
 	OneWay bool
 	Heal   bool
 }
 
-// Slow makes what goes between some gateways and the others come later by so many ms; 0: no more.
+// Slow delays traffic between some gateways and the others by so many ms; 0 ends that.
 type Slow struct {
 	Some []int
 	By   float64
 }
 
-// Sever ends all connections between some gateways and the others; new ones come up.
+// Sever closes all connections between some gateways and the others; new ones can be opened.
 type Sever struct{ Some []int }
 
 // ChannelState is how the command channel behaves.
 type ChannelState int
 
-// The states of the channel.
+// The channel's states.
 const (
 	Whole     ChannelState = iota
-	Broken                 // its connections break, once, and new ones come up
-	Muted                  // it says nothing more, while its connections stay
-	Repeating              // it says everything twice
+	Broken                 // its connections break once; new ones can be opened
+	Muted                  // its connections stay open, but nothing is sent
+	Repeating              // it sends everything twice
 )
 
-// Request is one request of a client.
+// Request is a client's request.
 type Request struct {
 	ID, Type, Object string
 	Part, Group      int
 	Allow            float64 // ms that the client waits
-	Mine             string  // tag of a copy that it holds
-	Body             int     // bytes that it sends
+	Mine             string  // tag of a copy that the client holds
+	Body             int     // size in bytes
 	Token            string  // signed link; empty: none
-	Club             string  // as the front tells it
+	Club             string  // as the front end reports it
 	Client           string
-	Ticket           string // of an appointment
-	Chain            string // of a write's link: what must run once
-	Source           string // address that the front tells
-	Forged           bool   // it must not be let in
+	Ticket           string // ticket of an appointment
+	Chain            string // id of a write's link: what must run only once
+	Source           string // client address that the front end reports
+	Forged           bool   // it must be rejected
 }
 
-// Fact is one of the types below. The world tells facts to whoever judges or counts; it never takes a gateway's word.
+// Fact is one of the types below: what the emulator itself observed, for auditing and counting. It never relies on what a
+// gateway reports about itself.
 type Fact any
 
-// Facts, in the order in which they happen.
+// Facts, reported in the order in which they occur.
 type (
-	// Asked: a request went to a gateway.
+	// Asked: a request was sent to a gateway.
 	Asked struct {
 		At, Expiry float64
 		Gateway    int
-		Repeat     string // may it run twice: retriable, deduped, non-retriable
-		First      bool   // it is no client's retry
+		Repeat     string // whether it may run twice: retriable, deduped, non-retriable
+		First      bool   // not a client's retry
 		Request
 	}
 	// Answered: a client got an answer.
@@ -190,12 +193,12 @@
 		At float64
 		Answer
 	}
-	// Ended: a request is over for its client without an answer.
+	// Ended: a request ended for its client without an answer.
 	Ended struct {
 		At      float64
 		ID, Why string
 	}
-	// Pulled: a GET came whole to a box.
+	// Pulled: a box received a complete GET.
 	Pulled struct {
 		At                float64
 		Gateway           int
@@ -204,7 +207,7 @@
 		Box, Zone, Source string
 		Cell              int
 	}
-	// Served: a box ended a GET with a word; Born is when the core gave out the copy served.
+	// Served: a box ended a GET with a reply word; Born is when the core produced the copy.
 	Served struct {
 		At      float64
 		ID, Box string
@@ -218,69 +221,69 @@
 		At float64
 		ID string
 	}
-	// Told: a gateway was told of a box's state, or of a purge at a time.
+	// Told: a gateway learned of a box's state, or of a purge that took place at When.
 	Told struct {
 		At         float64
 		Gateway    int
 		Box, State string
-		Purged     string // object, or empty
+		Purged     string // object id, or empty
 		Group      int    // -1: none
 		When       float64
 	}
-	// Purging: the gateways accepted a purge themselves; past By no answer anywhere may come from a copy that was born before When.
+	// Purging: the gateways accepted a purge of their own. After By, no answer may come from a copy made before When.
 	Purging struct {
-		Object   string // empty: a group
+		Object   string // empty: a whole group
 		Group    int
 		Club     string
 		When, By float64
 	}
-	// Pushed: what was sent to a cold box in the last window is over what its state bears, and it falls over.
+	// Pushed: the load sent to a cold box in the last window exceeds its present capacity, and it fails.
 	Pushed struct {
 		At            float64
 		Box           string
 		Sent, Allowed float64
 	}
-	// Fell: a box or the core stopped since it was asked for too much.
+	// Fell: a box or the core failed from overload.
 	Fell struct {
 		At  float64
 		Box string
 	}
-	// Unsigned: a GET came to a box without a link that is good there.
+	// Unsigned: a box received a GET without a link that is valid for it.
 	Unsigned struct {
 		At      float64
 		ID, Box string
 	}
-	// Made: the core was asked for an object.
+	// Made: the core was asked to produce an object.
 	Made struct{ At float64 }
-	// Moved: bytes went over a link.
+	// Moved: bytes were sent over a link.
 	Moved struct {
 		At    float64
 		Link  string
 		Bytes float64
 	}
-	// Wanted: what a client wanted, over all its tries, has come to its end.
+	// Wanted: a client's operation ended, over all its attempts.
 	Wanted struct {
 		At, Asked float64
 		Type      string
-		Member    string // of whom its client is
+		Member    string // member that the client belongs to
 		Verdict   Verdict
 		Tries     int
 	}
-	// Restarted: a gateway has started anew.
+	// Restarted: a gateway's process started anew.
 	Restarted struct {
 		At      float64
 		Gateway int
 	}
-	// Effected is one line of the record of a place at which work on behalf of the fleet happens, in the order of that place.
+	// Effected is one line in a gateway's log of fleet-wide job steps that it ran, in the order of that log.
 	Effected struct {
 		At            float64
 		Gateway, Step int
 		Job, From     string
 		Type          string
-		Token, Newer  uint64 // Newer: it was refused, as that token was seen
-		Again, Told   bool   // it had happened before; no effect, but word of a token
+		Token, Newer  uint64 // Newer: the step was refused because this higher token was seen
+		Again, Told   bool   // Again: it had run before; Told: no step, only a notice of a token
 	}
-	// Down: a gateway is gone. Crashed: nobody had told it to.
+	// Down: a gateway's process ended. Crashed: without being told to.
 	Down struct {
 		At      float64
 		Gateway int
@@ -288,7 +291,7 @@
 	}
 )
 
-// Verdict is how a want ended.
+// Verdict is the outcome of an operation.
 type Verdict int
 
 // The verdicts.
@@ -298,5 +301,5 @@
 	Throttled
 	Abandoned
 	Lost // never answered
-	Left // its client went first
+	Left // the client went away first
 )
--- a/internal/rehearsal/world/random.go
+++ b/internal/rehearsal/world/random.go
@@ -11,8 +11,8 @@
 	"poppymill/router"
 )
 
-// draws makes chance from one seed. Each draw is keyed by what it is for, so that the order in which gateways happen to
-// arrive, or one more retry, changes nothing else of the day.
+// seededRandom derives all randomness from one seed. Each draw is keyed by its purpose, so that the order in which gateways
+// happen to act, or one more retry, does not change any other draw.
 type seededRandom uint64
 
 func (d seededRandom) hash(parts ...any) uint64 {
@@ -33,7 +33,7 @@
 	return h.Sum64()
 }
 
-// chance is a generator for what the words name.
+// generator returns a random generator for a key.
 func (d seededRandom) generator(parts ...any) router.Chance {
 	c := router.Chance(d.hash(parts...)>>1 | 1)
 	c.Next()
@@ -47,19 +47,19 @@
 
 func (d seededRandom) id(parts ...any) string { return fmt.Sprintf("%016x", d.hash(parts...)) }
 
-// between is a number from a to b.
+// between draws a number from a to b.
 func between(c *router.Chance, a, b float64) float64 { return a + (b-a)*c.Below() }
 
-// pause is a time between events that come at random at a rate.
+// interarrival draws the time between two events of a Poisson process.
 func interarrival(c *router.Chance, rate float64) float64 { return -math.Log(1-c.Below()) / rate }
 
-// skewed is log-normal with mean 1.
+// logNormal draws from a log-normal distribution with mean 1.
 func logNormal(c *router.Chance, sigma float64) float64 {
 	u, v := 1-c.Below(), c.Below()
 	return math.Exp(sigma*math.Sqrt(-2*math.Log(u))*math.Cos(2*math.Pi*v) - sigma*sigma/2)
 }
 
-// zipf picks ranks by Zipf's law.
+// zipf draws ranks by Zipf's law.
 type zipf []float64
 
 func newZipf(n int, skew float64) zipf {
@@ -76,5 +76,5 @@
 	return min(i, len(z)-1)
 }
 
-// ring sums what was noted in the last span, in fixed buckets.
+// newRecentSum returns a sum over the last span, kept in fixed buckets.
 func newRecentSum(span float64) router.Ring { return router.NewRing(span*1.1, 11) }
--- a/internal/rehearsal/world/shared_resource.go
+++ b/internal/rehearsal/world/shared_resource.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// station shares a capacity among jobs: cores among downloads, a link among transfers. Jobs in service share alike, none
-// gets more than the most for one; past the slots they wait in their order.
+// sharedResource divides a capacity among jobs (processor sharing): cores among downloads, a link among transfers. Jobs in
+// service get equal shares, limited to maxPerJob each; jobs beyond the slots wait in FIFO order.
 type sharedResource struct {
 	agenda              *Agenda
 	now                 func() float64
-	capacity, maxPerJob float64 // work a ms: of all, of one
-	crowding            float64 // how much of the capacity each multiple of it that is open costs
-	slots               int     // 0: no bound
-	workPerJob          float64 // work that each job in service since the start would have got
+	capacity, maxPerJob float64 // work per ms: of all jobs, of one job
+	crowding            float64 // relative loss of capacity for each multiple of it that is requested
+	slots               int     // 0: unlimited
+	workPerJob          float64 // cumulative work that a job in service since the start would have received
 	updatedAt           float64
-	serving             entries // by when they are done, as a value of done
+	serving             entries // ordered by the value of workPerJob at which they complete
 	waiting             []*job
 	timer               *Entry
 	sequence            uint64
@@ -21,7 +21,7 @@
 type job struct {
 	Entry
 	work    float64
-	removed bool // it was called off
+	removed bool // it was cancelled
 }
 
 func newSharedResource(a *Agenda, now func() float64, capacity, most float64, slots int) *sharedResource {
@@ -30,7 +30,7 @@
 	return s
 }
 
-// pace is what one job gets.
+// ratePerJob is the work per ms that each job gets.
 func (s *sharedResource) ratePerJob() float64 {
 	n := float64(len(s.serving))
 	if n == 0 {
@@ -49,10 +49,10 @@
 	s.updatedAt = now
 }
 
-// open counts the jobs.
+// jobCount counts the jobs in service and waiting.
 func (s *sharedResource) jobCount() int { return len(s.serving) + len(s.waiting) }
 
-// add begins a job; done is called when its work is done.
+// add starts a job; done is called when its work is complete.
 func (s *sharedResource) add(work float64, done func()) *job {
 	s.advance()
 	j := &job{work: max(work, 1e-6)}
@@ -73,7 +73,7 @@
 	pushEntry(&s.serving, &j.Entry)
 }
 
-// remove calls a job off.
+// remove cancels a job.
 func (s *sharedResource) remove(j *job) {
 	if j == nil || j.removed {
 		return
@@ -89,7 +89,7 @@
 	s.reschedule()
 }
 
-// fill brings what waits into service.
+// admitWaiting moves waiting jobs into free slots.
 func (s *sharedResource) admitWaiting() {
 	for len(s.waiting) > 0 && len(s.serving) < s.slots {
 		s.serve(s.waiting[0])
@@ -97,14 +97,14 @@
 	}
 }
 
-// set changes the capacity; what is under way goes on at the new pace.
+// setCapacity changes the capacity; jobs in service continue at the new rate.
 func (s *sharedResource) setCapacity(capacity, most float64) {
 	s.advance()
 	s.capacity, s.maxPerJob = capacity, most
 	s.reschedule()
 }
 
-// clear calls all off.
+// clear cancels all jobs.
 func (s *sharedResource) clear() {
 	s.advance()
 	for _, e := range s.serving {
@@ -125,7 +125,7 @@
 func (s *sharedResource) completeDue() {
 	s.advance()
 	var over []func()
-	// What is left of a job may be less than the clock can tell apart from nothing, and would be due for ever.
+	// A remainder below the resolution of the clock would otherwise be due forever.
 	for len(s.serving) > 0 && s.serving[0].at <= s.workPerJob+1e-9*(1+s.workPerJob) {
 		over = append(over, s.serving[0].run)
 		removeEntry(&s.serving, s.serving[0])
--- a/internal/rehearsal/world/signed_links.go
+++ b/internal/rehearsal/world/signed_links.go
@@ -9,20 +9,21 @@
 	"poppymill/internal/rehearsal/script"
 )
 
-// LinkBase is what all links of a rehearsal begin with.
+// LinkBase is the prefix of all links in a rehearsal.
 const LinkBase = "https://rehearsal.invalid"
 
-// issuer is the club's desk that gives members their links, and changes its keys.
+// issuer signs the members' links and rotates its keys.
 type issuer struct {
 	keys     []links.Key
 	ring     *links.Ring
-	boxRing  *links.Ring // as the boxes have it, which take up keys after the gateways have
+	boxRing  *links.Ring // the boxes' keys, which change after the gateways' keys
 	keysMade int
 }
 
-// The gateways don't talk, so a write's link names the one that may spend it: aud is "club" or a gateway's own name.
+// The gateways share no state, so the link of a write names the only gateway that may accept it: its audience is that gateway's
+// name, that of any other link is "club".
 
-// LinkSettings are what the gateways of a rehearsal go by; the zero value where it has no links.
+// LinkSettings are the gateways' link settings; the zero value if the script has no links.
 func (w *World) LinkSettings() links.Settings {
 	l := w.script.Links
 	if l.Life == 0 {
@@ -35,7 +36,7 @@
 	return s
 }
 
-// LinkKeys are the keys that are in force.
+// LinkKeys are the current keys.
 func (w *World) LinkKeys() []links.Key { return w.issuer.keys }
 
 func (w *World) newKey(s links.State) links.Key {
@@ -48,7 +49,7 @@
 	w.issuer.keys = keys
 	ring, err := links.NewRing(keys, nil)
 	if err != nil {
-		panic(err) // the world's own
+		panic(err) // keys made here are always valid
 	}
 	w.issuer.ring = ring
 	if w.issuer.boxRing == nil {
@@ -57,7 +58,7 @@
 	w.scheduleAfter(1000, func() { w.issuer.boxRing = ring })
 }
 
-// rotate has the upcoming key sign; a withdrawn one stays in the file as such.
+// rotateKeys starts signing with the upcoming key and gives the present one the state old; a withdrawn key stays in the file.
 func (w *World) rotateKeys(old links.State) {
 	next := slices.Clone(w.issuer.keys)
 	for i := range next {
@@ -72,7 +73,8 @@
 	if len(next) > 6 {
 		next = next[1:]
 	}
-	// The gateways take the file up before the desk signs with the new key, as the operators' page has it; a leak can't wait.
+	// The gateways load the new file before the issuer signs with the new key, as the operations guide prescribes; after a leak
+	// the issuer does not wait.
 	w.emit(Keys{Keys: next})
 	if old == links.Withdrawn {
 		w.setKeys(next...)
@@ -81,7 +83,7 @@
 	}
 }
 
-// link gives a want its link: the one that it holds as long as that is good, else a new one.
+// attachLink adds the operation's signed link to a request: the present one while it is valid, else a new one.
 func (w *World) attachLink(op *operation, r *Request, g *gateway) {
 	l := w.script.Links
 	if l.Life == 0 {
@@ -108,7 +110,7 @@
 	r.Token, r.Chain, r.Source = op.link.token, op.link.chain, "10.0.0."+string(rune('0'+op.number%10))
 }
 
-// signed tells whether a GET carries a link of a gateway's that is good for this box and part.
+// acceptsLink reports whether a GET carries a gateway's link that is valid for this box and part.
 func (b *box) acceptsLink(r *request, token string) bool {
 	w := b.w
 	if w.script.Links.Boxes == 0 {
@@ -121,21 +123,21 @@
 	return links.New(s, w.issuer.boxRing, []byte(b.id), 0).Admit(a).Reason == links.Admitted
 }
 
-// holding is a link as a client holds it, for all parts of what it watches.
+// heldLink is a signed link that a client holds for all parts of an object.
 type heldLink struct {
 	token, chain string
-	gateway      int // that may spend it, where it is a write's
+	gateway      int // for a write: the only gateway that may accept it
 	expiresAt    float64
 }
 
-// successor takes up what came with an answer.
+// takeRenewal stores the renewed link of an answer.
 func (op *operation) takeRenewal(token string, extension float64) {
 	if token != "" && op.link != nil {
 		op.link.token, op.link.expiresAt = token, op.link.expiresAt+extension
 	}
 }
 
-// forge sends requests whose links are not good, so many times as often as honest ones come.
+// scheduleForgery sends requests with invalid links, at e.Factor times the rate of valid requests.
 func (w *World) scheduleForgery(e *script.Event, n int, end float64) {
 	c := w.random.generator("forge", e.Number, n)
 	w.scheduleAfter(interarrival(&c, e.Factor*w.rate(w.now)/1000), func() {
@@ -158,9 +160,9 @@
 	w.attachLink(op, &r, g)
 	parts := strings.Split(r.Token, ".")
 	switch n % 4 {
-	case 0: // a signature that does not fit
+	case 0: // an invalid signature
 		parts[2] = strings.Repeat("A", len(parts[2]))
-	case 1: // for another object
+	case 1: // a link for another object
 		r.Object = w.random.id("object", 0, n%50+1)
 	case 2:
 		parts[0] = "eyJhbGciOiJub25lIiwia2lkIjoia2V5LTEifQ" // {"alg":"none","kid":"key-1"}
@@ -178,7 +180,7 @@
 	w.sendRequest(&openRequest{op: op, gateway: g.number, sentAt: w.now, Request: r}, g, false)
 }
 
-// LinkTakes is how long, in ms, a gateway takes until it has read other keys.
+// LinkTakes is the time in ms until a gateway has loaded changed keys.
 func (w *World) LinkTakes(gateway int) float64 {
 	c := w.random.generator("keys", gateway, w.issuer.keysMade)
 	return cmp.Or(c.Below()*500, 1)
--- a/internal/rehearsal/world/store.go
+++ b/internal/rehearsal/world/store.go
@@ -2,13 +2,13 @@
 
 import "container/list"
 
-// key is one part of an object.
+// key identifies a part of an object.
 type key struct {
 	object string
 	part   int
 }
 
-// made is a copy as the core gave it out.
+// objectCopy is a copy of a part as the core produced it.
 type objectCopy struct {
 	key
 	group     int
@@ -20,12 +20,12 @@
 
 const rankCount = 4
 
-// store keeps copies in bounded room: what was ranked lowest goes first, then what was used longest ago, and nothing
-// goes for a copy of lower rank.
+// store keeps copies within a capacity. It evicts the lowest rank first and, within a rank, the least recently used; it never
+// evicts a copy of higher rank for one of lower rank.
 type store struct {
 	capacity, used float64
 	copies         map[key]*list.Element
-	byRank         [rankCount]list.List // the last used first
+	byRank         [rankCount]list.List // most recently used first
 }
 
 type storedCopy struct {
@@ -35,7 +35,7 @@
 
 func newStore(room float64) *store { return &store{capacity: room, copies: map[key]*list.Element{}} }
 
-// get finds a copy born no earlier than asked, and counts it as used.
+// get returns a copy created no earlier than least, and marks it as used.
 func (s *store) get(k key, least float64) *storedCopy {
 	e := s.copies[k]
 	if e == nil {
@@ -49,7 +49,7 @@
 	return c
 }
 
-// put keeps a copy, or lets it pass where there is no room at its rank.
+// put stores a copy, unless there is no space at its rank.
 func (s *store) put(m objectCopy, rank int) {
 	rank = min(max(rank, 0), rankCount-1)
 	if old := s.copies[m.key]; old != nil {
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -9,21 +9,21 @@
 	"poppymill/internal/rehearsal/script"
 )
 
-// World is one deployment on its day.
+// World is an emulated deployment during one rehearsal.
 type World struct {
 	script         *script.Script
 	random         seededRandom
 	epoch          float64 // Unix ms of its start
 	acceptUnknown  bool
-	bodyDivisor    int // bytes of a body for one that is sent on a socket; 0: the first line alone
+	bodyDivisor    int // body sizes on real sockets are divided by this; 0: only the first line
 	now            float64
 	agenda         Agenda
 	actions        []Action
 	onFact         func(Fact)
 	boxes          map[string]*box
 	boxOrder       []*box
-	clubLinks      map[string]*sharedResource // into each club
-	hubOf          map[string]string          // the hub location of a club
+	clubLinks      map[string]*sharedResource // by club
+	hubOf          map[string]string          // hub location by club
 	typesByName    map[string]*contentType
 	types          []*contentType
 	conns          map[int64]*conn
@@ -31,16 +31,16 @@
 	openRequests   map[string]*openRequest
 	writeRuns      map[string]int
 	directory      directory
-	objectPurges   map[string][]float64 // by object, when
+	objectPurges   map[string][]float64 // purge times by object
 	groupPurges    [256][]float64
-	anyReady       bool      // a gateway has been ready
-	trafficFactors []float64 // factors in force
+	anyReady       bool      // some gateway has become ready
+	trafficFactors []float64 // those in force
 	onceShare      float64
 	large          *largePeriod
 	lastID         int
 	issuer         issuer
-	trafficEnded   bool // no more traffic
-	openOperations int  // wants that have not come to their end
+	trafficEnded   bool // no new requests are sent
+	openOperations int  // operations that have not ended
 }
 
 type conn struct {
@@ -49,16 +49,16 @@
 	requests map[string]*request
 }
 
-// Options are what a driver chooses.
+// Options are set by the driver.
 type Options struct {
 	Epoch float64    // Unix ms of the start
-	Thin  int        // bytes of the model for a byte of a body; 0: a body is one line
-	Facts func(Fact) // hears all that happens
-	// Strangers has boxes take requests that no client of this world sent, as of the first gateway.
+	Thin  int        // body sizes are divided by this; 0: a body is one line
+	Facts func(Fact) // called for each fact; may be nil
+	// Strangers makes boxes accept requests that no client of this world sent, as if sent through the first gateway.
 	Strangers bool
 }
 
-// New makes a world; what it needs to start is in the first actions, which Ring brings.
+// New creates a deployment; its initial actions are returned by the first call of Ring.
 func New(s *script.Script, o Options) *World {
 	w := &World{script: s, random: seededRandom(s.Seed), epoch: o.Epoch, bodyDivisor: o.Thin, acceptUnknown: o.Strangers, onFact: o.Facts, boxes: map[string]*box{},
 		clubLinks: map[string]*sharedResource{}, hubOf: map[string]string{}, typesByName: map[string]*contentType{}, conns: map[int64]*conn{},
@@ -131,7 +131,7 @@
 }
 func (w *World) core() *box { return w.boxes["core-1"] }
 
-// hop is how long a message takes from one location to another.
+// latency is the one-way delay of a message between two locations.
 func (w *World) latency(from, to string) float64 {
 	if from == to || w.hubOf[from] == to {
 		return w.script.Near
@@ -139,13 +139,13 @@
 	return w.script.Far
 }
 
-// Next is when something is due next; false where nothing is.
+// Next returns the time of the next scheduled callback, and false if there is none.
 func (w *World) Next() (float64, bool) { return w.agenda.Next() }
 
-// Over tells that the traffic has ended and all that was wanted has come to its end.
+// Over reports whether the traffic has ended and all operations are complete.
 func (w *World) Over() bool { return w.trafficEnded && w.openOperations == 0 }
 
-// Ring does what is due up to a time and returns what comes of it.
+// Ring runs everything that is due up to a time and returns the resulting actions.
 func (w *World) Ring(now float64) []Action {
 	for {
 		at, ok := w.agenda.Next()
@@ -161,7 +161,7 @@
 	return out
 }
 
-// Handle takes an event and returns what comes of it, what was due before it first.
+// Handle runs what is due, processes an event, and returns the resulting actions.
 func (w *World) Handle(now float64, e Event) []Action {
 	before := w.Ring(now)
 	switch e := e.(type) {
@@ -190,7 +190,7 @@
 	return out
 }
 
-// Event is one of the types of door.go that says so. Action is another.
+// Event is an event type of messages.go, Action an action type.
 type (
 	Event  any
 	Action any
@@ -198,7 +198,7 @@
 
 func (w *World) handleDial(e Dialled) {
 	var at *box
-	for _, b := range w.boxOrder { // of several that had one address the last is there
+	for _, b := range w.boxOrder { // if several boxes had this address, the latest one has it now
 		if b.addr == e.Address && b.up {
 			at = b
 		}
@@ -213,7 +213,7 @@
 	}
 }
 
-// hung ends a connection and gives up all that is open on it.
+// closeConn ends a connection and drops all requests open on it.
 func (w *World) closeConn(id int64) {
 	c := w.conns[id]
 	if c == nil {
@@ -245,7 +245,7 @@
 	}
 	r.done = true
 	delete(r.conn.requests, r.id)
-	if r.timer != nil && !r.typ.Write { // a write that is on its way to the core runs
+	if r.timer != nil && !r.typ.Write { // a write under way to the core runs anyway
 		w.agenda.Remove(r.timer)
 	}
 	if r.cancel != nil {
@@ -281,14 +281,14 @@
 				Group: r.clientRequest.Group, Box: b.id, Zone: b.zone, Cell: b.cell, Source: r.source})
 		}
 		if r.clientRequest != nil && !c.box.acceptsLink(r, e.Fields["link"]) {
-			if known { // else it is for who was at this address before
+			if known { // else it is meant for the box that had this address before
 				w.report(Unsigned{At: w.now, ID: r.id, Box: c.box.id})
 			}
-			r.clientRequest = nil // and it is turned down as what nobody asked for
+			r.clientRequest = nil // so that it is rejected as a request of no known client
 		}
 		work := r.expectedWork()
 		if r.source == "" {
-			work = minorWork // a look
+			work = minorWork // a lookup only
 		}
 		if c.box.countWork(work, known); c.box.up {
 			w.scheduleAfter(roundTrip, func() { c.box.handleGet(r) })
@@ -296,7 +296,7 @@
 	}
 }
 
-// read takes a GET out of its fields. What no client asked for in this form keeps no ask.
+// parseGet reads the fields of a GET. If no client sent such a request, clientRequest stays nil.
 func (w *World) parseGet(c *conn, e Command) *request {
 	f := e.Fields
 	part, _ := strconv.Atoi(f["seg"])
--- a/internal/rehearsal/world/world_test.go
+++ b/internal/rehearsal/world/world_test.go
@@ -10,7 +10,7 @@
 	"poppymill/internal/rehearsal/script"
 )
 
-// A station shares its capacity as a plain model does that looks at each small step of time.
+// A shared resource serves its jobs as a naive simulation with small time steps does.
 func TestSharedResource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity, most := rapid.Float64Range(0.5, 8).Draw(t, "capacity"), rapid.Float64Range(0.5, 3).Draw(t, "most")
@@ -40,7 +40,7 @@
 			agenda.Step()
 		}
 
-		// The model: steps of a thousandth, jobs in their order, as many as there are slots get their part.
+		// The model: steps of a thousandth of a ms; as many jobs as there are slots, in FIFO order, get an equal share.
 		left := make([]float64, len(jobs))
 		for i, j := range jobs {
 			left[i] = j.work
@@ -64,7 +64,7 @@
 		}
 		for i, j := range jobs {
 			if j.off > 0 && math.Abs(j.ends-j.at-j.off) < 0.1 {
-				continue // called off just as it ends
+				continue // cancelled just as it completes
 			}
 			if math.Abs(got[i]-j.ends) > 0.1 {
 				t.Fatalf("job %d of %v at %v ends at %v, in the model at %v", i, j.work, j.at, got[i], j.ends)
@@ -73,7 +73,7 @@
 	})
 }
 
-// The store keeps within its room, lets go of the lowest rank first and then of what was used longest ago.
+// The store keeps within its capacity and evicts the lowest rank first, then the least recently used.
 func TestStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStore(10)
@@ -148,7 +148,7 @@
 }
 `
 
-// alone runs a world whose gateways never answer, and returns what was first asked for.
+// playUnanswered runs a world whose gateways never answer, and returns the first attempts of all operations.
 func playUnanswered(t *testing.T, gateways int) (asked []Asked) {
 	s, err := script.Parse([]byte(twoClubs), "two.hcl")
 	if err != nil {
@@ -169,7 +169,7 @@
 	return asked
 }
 
-// What clients ask for is drawn ahead: neither how many gateways there are nor what they answer changes it.
+// Arrivals are drawn independently: neither the number of gateways nor their answers change what clients request.
 func TestArrivalsAreDrawnAhead(t *testing.T) {
 	a, b := playUnanswered(t, 2), playUnanswered(t, 5)
 	if len(a) < 200 || len(a) != len(b) {
