--- a/internal/rehearsal/auditor/auditor.go
+++ b/internal/rehearsal/auditor/auditor.go
@@ -1,5 +1,5 @@
-// Package auditor judges the five rules from the world's side alone: from what came to boxes and clients and what the
-// world told, never from what a gateway says of itself.
+// Package auditor checks the rules of the service from the outside: only from the facts that the emulated boxes and clients
+// observe, never from what a gateway reports about itself.
 package auditor
 
 import (
@@ -11,19 +11,19 @@
 	"poppymill/internal/rehearsal/world"
 )
 
-// Rule is one of the five, or that no gateway may crash.
+// Rule is a rule that gateways must keep.
 type Rule int
 
 // The rules.
 const (
 	OneAnswer Rule = iota // exactly one final answer before expiry, and nothing sent after it
 	NoRepeat              // no effect twice
-	Drains                // nothing new past the grace after word of a drain or a loss
-	Cold                  // no cold box pushed over by all gateways together
-	Purges                // no answer from an older copy past the grace after word of a purge
-	Links                 // what is not under a good link is not let in, and no link is used twice for what must not run twice
-	Alive                 // no gateway ends that nobody told to
-	Work                  // at each place tokens of a job never fall, and no step happens twice that must not
+	Drains                // no new pulls after the grace period that follows the notice of a drain or a loss
+	Cold                  // the gateways together don't overload a cold box
+	Purges                // no answer from an older copy after the grace period that follows the notice of a purge
+	Links                 // only requests with a valid link are accepted, and no link runs twice what must run only once
+	Alive                 // no gateway ends without being told to
+	Work                  // at each gateway the tokens of a job never decrease, and no step runs twice unless it is safe
 	Rules
 )
 
@@ -31,7 +31,7 @@
 
 func (r Rule) String() string { return ruleNames[r] }
 
-// Finding is one breach: when, by which gateway, of which download, at which box.
+// Finding is one violation: when, by which gateway, in which download, at which box.
 type Finding struct {
 	Rule    Rule
 	At      float64
@@ -44,27 +44,27 @@
 	return fmt.Sprintf("%.1f ms, gateway %d, download %s, box %s: %s", f.At, f.Gateway, f.ID, f.Box, f.What)
 }
 
-// answerSlack is what the platform's settings allow an answer past its expiry, in ms (rules.answer_slack).
+// answerSlack is how far past its expiry the platform's settings allow an answer, in ms (rules.answer_slack).
 const answerSlack = 8.0
 
-// mostFindings bounds what is kept of each rule; the rest is counted.
+// maxFindings bounds the findings kept for each rule; further ones are only counted.
 const maxFindings = 20
 
-// Auditor hears the world's facts in their order.
+// Auditor checks a rehearsal's facts in the order in which they occur.
 type Auditor struct {
 	Found        [Rules][]Finding
 	Counts       [Rules]int
 	rules        script.Rules
 	types        map[string]script.Type
-	slack        float64 // ms that a real machine and a real network may add to a time
+	slack        float64 // ms that a real machine and network may add to a time
 	downloads    map[string]*download
-	finished     []*download                // those that are over, the oldest first
-	writeChains  map[string]string          // by a link of a write: the download by which it took effect
-	unavailable  map[int]map[string]float64 // by gateway and box: when it was told to leave it alone
+	finished     []*download                // ended downloads, oldest first
+	writeChains  map[string]string          // by id of a write's link: the download by which it took effect
+	unavailable  map[int]map[string]float64 // by gateway and box: when the gateway learned that the box drains or is gone
 	purged       map[int]*purgeNotices
-	agreedPurges []world.Purging   // by the gateways themselves
-	highestToken map[string]uint64 // the highest seen, by place and job
-	stepRuns     map[string]int    // how often a step that must not run twice has happened, by job and step
+	agreedPurges []world.Purging   // purges that the gateways agreed on
+	highestToken map[string]uint64 // by gateway and job
+	stepRuns     map[string]int    // by job and step, for steps that must not run twice
 }
 
 type purgeNotices struct {
@@ -74,11 +74,11 @@
 
 type purgeNotice struct{ heardAt, purgedAt float64 }
 
-// download is what the world knows of one request.
+// download is the auditor's record of one request.
 type download struct {
 	world.Asked
 	answers   int
-	endedAt   float64 // when it was over for its client; under 0: it is not
+	endedAt   float64 // when it ended for its client; negative: it has not
 	endReason string
 	pulls     []*pull
 	runs      int
@@ -86,11 +86,11 @@
 
 type pull struct {
 	world.Pulled
-	knownNotRun bool // it is known not to have run
-	answered    bool // the box has answered
+	knownNotRun bool // it certainly did not run
+	answered    bool // the box has replied
 }
 
-// New makes an auditor of one rehearsal. Slack is 0 in virtual time.
+// New creates an auditor for one rehearsal. Slack is 0 in virtual time.
 func New(s *script.Script, slack float64) *Auditor {
 	a := &Auditor{rules: s.Rules, types: map[string]script.Type{}, slack: slack, downloads: map[string]*download{},
 		writeChains: map[string]string{}, unavailable: map[int]map[string]float64{}, purged: map[int]*purgeNotices{}, highestToken: map[string]uint64{}, stepRuns: map[string]int{}}
@@ -106,10 +106,10 @@
 	}
 }
 
-// keepFor is how long a download that is over is remembered, in ms: what is sent for it after is sent soon after.
+// retention is how long an ended download is remembered, in ms: pulls that are sent too late are sent soon after the end.
 const retention = 20_000.0
 
-// See takes a fact.
+// See processes a fact.
 func (a *Auditor) See(f world.Fact) {
 	switch f := f.(type) {
 	case world.Asked:
@@ -137,7 +137,7 @@
 	case world.Effected:
 		a.effected(f)
 	case world.Restarted:
-		// It knows nothing of before, and is told anew all that holds.
+		// A new process has no earlier state and receives all current notices again.
 		delete(a.unavailable, f.Gateway)
 		delete(a.purged, f.Gateway)
 	case world.Down:
@@ -147,7 +147,7 @@
 	}
 }
 
-// effected judges one line of a place's record. Any step may come late, and is refused then; a safe one may happen again.
+// effected checks one line of a gateway's log of job steps. Any step may arrive late and is then refused; a safe one may run again.
 func (a *Auditor) effected(f world.Effected) {
 	place, step := fmt.Sprint(f.Gateway, " ", f.Job), fmt.Sprint(f.Job, " ", f.Step)
 	switch {
@@ -187,7 +187,7 @@
 	case d.answers > 1:
 		a.record(OneAnswer, f.At, f.Gateway, f.ID, "", "a second answer, status %d", f.Status)
 		return
-	case d.endReason == "left": // a client that went may be told so
+	case d.endReason == "left": // a client that went away may still get an answer
 		return
 	case f.At > d.Expiry+answerSlack+a.slack:
 		a.record(OneAnswer, f.At, f.Gateway, f.ID, "", "answered %.1f ms past its expiry", f.At-d.Expiry)
@@ -210,7 +210,8 @@
 	}
 }
 
-// content checks that what a client got is what a box gave out for it, and no older than the purges allow.
+// checkContent checks that an answer's content is what a box sent for this download, and that it is no older than the purges
+// allow.
 func (a *Auditor) checkContent(d *download, f world.Answered) {
 	words := strings.Fields(f.Copy)
 	if a.types[d.Type].Write {
@@ -240,7 +241,7 @@
 	}
 }
 
-// age checks a copy that answers a pull sent at a time against the purges that its gateway knew of then.
+// checkAge checks a copy that answers a pull sent at a given time against the purges that its gateway knew of then.
 func (a *Auditor) checkAge(gateway int, object string, group int, id, box string, sent, born, at float64) {
 	p := a.purged[gateway]
 	if p == nil {
@@ -274,7 +275,7 @@
 func (a *Auditor) pulled(f world.Pulled) {
 	d := a.downloads[f.ID]
 	if d == nil {
-		return // made by hand, or of a gateway that is no more
+		return // sent by a test, or by a gateway that has ended
 	}
 	if d.Forged {
 		a.record(Links, f.At, f.Gateway, f.ID, f.Box, "let in though its link is forged")
@@ -359,5 +360,5 @@
 	}
 }
 
-// Holds tells whether a rule was kept.
+// Holds reports whether a rule was kept.
 func (a *Auditor) Holds(r Rule) bool { return a.Counts[r] == 0 }
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -1,4 +1,4 @@
-// Package report counts what happened in a rehearsal, by phase, and holds it against what the script expects.
+// Package report counts the facts of a rehearsal by phase and compares them with the script's expectations.
 package report
 
 import (
@@ -17,14 +17,14 @@
 	"poppymill/internal/rehearsal/world"
 )
 
-// Report is the whole of it. Outcome must be the same each time that a script is played with one seed; figures are the
-// same in virtual time only.
+// Report is a full report. Outcome must be the same in every run of a script with one seed; Figures are reproducible in
+// virtual time only.
 type Report struct {
 	Outcome Outcome `json:"outcome"`
 	Figures Figures `json:"figures"`
 }
 
-// Outcome is what held and what did not.
+// Outcome lists which rules and expectations held.
 type Outcome struct {
 	Script       string    `json:"script"`
 	Seed         int       `json:"seed"`
@@ -33,25 +33,25 @@
 	Holds        bool      `json:"holds"`
 }
 
-// Verdict is one rule or expectation.
+// Verdict is the result of one rule or expectation.
 type Verdict struct {
 	What  string `json:"what"`
 	Holds bool   `json:"holds"`
 }
 
-// Figures are what was counted.
+// Figures are the measured values.
 type Figures struct {
 	Phases   []Phase            `json:"phases"`
 	Types    map[string]*Counts `json:"types"`
 	Members  map[string]*Counts `json:"members"`
 	Links    map[string]float64 `json:"link_megabytes"`
-	Measured []string           `json:"measured"` // what each expectation came to
+	Measured []string           `json:"measured"` // measured value of each expectation
 	Findings []string           `json:"findings"`
 	Fell     []string           `json:"fell"`
-	Work     map[string]int     `json:"owned_work,omitempty"` // lines in the records of places, by what they say
+	Work     map[string]int     `json:"owned_work,omitempty"` // lines in the gateways' logs of job steps, by kind
 }
 
-// Counts are wants by how they ended, and tries.
+// Counts are operations by outcome.
 type Counts struct {
 	Asked     int     `json:"asked"`
 	InTime    int     `json:"in_time"`
@@ -63,7 +63,7 @@
 	Share     float64 `json:"share_in_time"`
 }
 
-// Phase is one phase's figures. What is wanted counts in the phase in which it was first asked for.
+// Phase is one phase's figures. An operation counts in the phase of its first attempt.
 type Phase struct {
 	Name string `json:"name"`
 	Counts
@@ -75,22 +75,22 @@
 	Core      int     `json:"core_requests"`
 	CorePeak  int     `json:"core_requests_in_worst_second"`
 	Megabytes float64 `json:"link_megabytes"`
-	Median    float64 `json:"answer_ms_50th"` // of answers that bring something, from their request
+	Median    float64 `json:"answer_ms_50th"` // of successful answers, from their request
 	Slowest   float64 `json:"answer_ms_99th"`
 }
 
-// Counter hears the world's facts.
+// Counter collects figures from a rehearsal's facts.
 type Counter struct {
 	script       *script.Script
 	figures      Figures
 	requestedAt  map[string]float64
-	latencies    []*hdrhistogram.Histogram // by phase, microseconds
-	writes       [][2]int                  // by phase: wanted and in time or late
+	latencies    []*hdrhistogram.Histogram // by phase, in microseconds
+	writes       [][2]int                  // by phase: all writes, and those in time or late
 	coreRequests []map[int]int
 	hits         []map[int][2]int // by phase and second of it: hits and pulls
 }
 
-// New makes a counter for a script.
+// New creates a counter for a script.
 func New(s *script.Script) *Counter {
 	c := &Counter{script: s, requestedAt: map[string]float64{}, figures: Figures{Types: map[string]*Counts{}, Members: map[string]*Counts{}, Links: map[string]float64{}, Measured: []string{}, Findings: []string{}, Fell: []string{}}}
 	for _, p := range s.Phases {
@@ -113,7 +113,7 @@
 	return len(c.script.Phases) - 1
 }
 
-// See takes a fact.
+// See processes a fact.
 func (c *Counter) See(f world.Fact) {
 	switch f := f.(type) {
 	case world.Asked:
@@ -199,11 +199,11 @@
 	case world.Left:
 		n.Left++
 	}
-	// Who left got what he waited for: nothing is to be said of it.
+	// Clients that left before an answer say nothing about the service and are not counted in the share.
 	n.Share = math.Round(10_000*float64(n.InTime)/float64(max(1, n.Asked-n.Left))) / 10_000
 }
 
-// Report closes the books.
+// Report completes the figures and compares them with the expectations.
 func (c *Counter) Report(a *auditor.Auditor) *Report {
 	r := &Report{Outcome: Outcome{Script: c.script.Name, Seed: c.script.Seed, Holds: true, Rules: []Verdict{}, Expectations: []Verdict{}}}
 	for rule := range auditor.Rules {
@@ -255,7 +255,8 @@
 	return r
 }
 
-// regained is the first second of a phase by whose end, over the last two, the edge answered at least this share.
+// hitShareRegained returns the end of the first second of a phase at which, over the last two seconds, the edge answered at least
+// this share of the pulls; infinity if there is none.
 func (c *Counter) hitShareRegained(phase int, share float64) float64 {
 	last := int(c.script.Phases[phase].For / 1000)
 	for s := 1; s <= last; s++ {
@@ -267,14 +268,14 @@
 	return math.Inf(1)
 }
 
-// JSON writes a report as one document that is the same for the same report.
+// JSON writes the report as one JSON document, byte-identical for equal reports.
 func (r *Report) JSON(to io.Writer) error {
 	e := json.NewEncoder(to)
 	e.SetIndent("", "  ")
 	return e.Encode(r)
 }
 
-// Print writes a report for people.
+// Print writes the report as text.
 func (r *Report) Print(to io.Writer) {
 	w := tabwriter.NewWriter(to, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "phase\tasked\tin time\tlate\tthrottled\tabandoned\tlost\tpulls\thits\tcore\tpeak a s\tlinks MB\tms 50th\t99th")
--- a/internal/rehearsal/resp/resp.go
+++ b/internal/rehearsal/resp/resp.go
@@ -1,5 +1,5 @@
-// Package resp is the boxes' side of RESP: commands read as they come, answers written. It is fed bytes and knows no
-// socket; both drivers of a rehearsal use it, so that a gateway meets the same bytes in virtual time.
+// Package resp is the boxes' side of the RESP protocol: it parses commands from a byte stream and encodes replies. It uses no
+// socket; both rehearsal drivers use it, so that a gateway sees the same bytes in virtual time.
 package resp
 
 import (
@@ -16,17 +16,17 @@
 	Body     int // bytes
 }
 
-// Bounds on what a gateway may send.
+// Limits on commands, in bytes: a string, the body of a GET, and a length line.
 const (
 	maxString     = 4 << 10
 	maxBody       = 48_000
 	maxLengthLine = 16
 )
 
-// Reader reads commands, however their bytes are split.
+// Reader parses commands from a byte stream, however it is split.
 type Reader struct{ buffer []byte }
 
-// Feed reads bytes and returns the commands that are whole. After an error the connection is of no more use.
+// Feed adds bytes and returns the commands that are complete. After an error the connection must be closed.
 func (r *Reader) Feed(b []byte) (found []Command, err error) {
 	r.buffer = append(r.buffer, b...)
 	for {
@@ -39,26 +39,26 @@
 	}
 }
 
-var errIncomplete = errors.New("not whole yet")
+var errIncomplete = errors.New("incomplete command")
 
-// read takes one command off the front; 0 bytes where it is not whole.
+// parseCommand parses the first command; used is 0 if it is incomplete.
 func parseCommand(b []byte) (c Command, used int, err error) {
 	at := 0
 	count := func(sign byte, most int) (int, error) {
 		for i := at; i < len(b); i++ {
 			if b[i] != '\n' {
 				if i-at > maxLengthLine {
-					return 0, errors.New("a length is too long")
+					return 0, errors.New("length prefix too long")
 				}
 				continue
 			}
 			line := strings.TrimSuffix(string(b[at:i]), "\r")
 			if line == "" || line[0] != sign {
-				return 0, fmt.Errorf("%q in place of a length", line)
+				return 0, fmt.Errorf("expected a length prefix, got %q", line)
 			}
 			n, err := strconv.Atoi(line[1:])
 			if err != nil || n < 0 || n > most {
-				return 0, fmt.Errorf("length %q", line)
+				return 0, fmt.Errorf("invalid length %q", line)
 			}
 			at = i + 1
 			return n, nil
@@ -78,7 +78,7 @@
 		}
 		if err == nil {
 			if b[at+n] != '\r' || b[at+n+1] != '\n' {
-				return c, 0, errors.New("a string does not end where it should")
+				return c, 0, errors.New("string not terminated by CRLF")
 			}
 			words = append(words, string(b[at:at+n]))
 			at += n + 2
@@ -92,7 +92,7 @@
 	}
 	want := map[string]int{"GET": 4, "DROP": 2, "PING": 2, "LOAD": 2}
 	if len(words) < 2 || want[words[0]] != len(words) {
-		return c, 0, fmt.Errorf("%q of %d words", strings.Join(words[:min(1, len(words))], ""), len(words))
+		return c, 0, fmt.Errorf("malformed command %q of %d strings", strings.Join(words[:min(1, len(words))], ""), len(words))
 	}
 	c = Command{Verb: words[0], ID: words[1]}
 	if c.Verb == "GET" {
@@ -101,7 +101,7 @@
 		for pair := range strings.SplitSeq(words[2], ",") {
 			name, value, ok := strings.Cut(pair, "=")
 			if !ok {
-				return c, 0, fmt.Errorf("field %.80q", pair)
+				return c, 0, fmt.Errorf("malformed field %.80q", pair)
 			}
 			c.Fields[name] = value
 		}
@@ -109,7 +109,7 @@
 	return c, at, nil
 }
 
-// Answer appends an answer.
+// Answer appends an encoded reply.
 func Answer(out []byte, tag, word, fields string, body []byte) []byte {
 	out = append(out, "*4\r\n"...)
 	for _, s := range []string{tag, word, fields} {
--- a/internal/rehearsal/script/fields.go
+++ b/internal/rehearsal/script/fields.go
@@ -74,7 +74,7 @@
 				return fmt.Errorf("target of %v ms is past the expiry of %v ms", t.Target, t.Expiry)
 			}
 			if t.Write && t.Parts > 1 {
-				return errors.New("a write has one part")
+				return errors.New("a write has exactly one part")
 			}
 			return nil
 		}),
@@ -146,7 +146,7 @@
 		op.Check(e.validate)}
 }
 
-// whole checks that an event says all that it needs, and nothing that would be passed over in silence.
+// validate checks that an event has all attributes that it needs, and none that would be silently ignored.
 func (e *Event) validate() error {
 	uses := map[string]string{"slow": "factor", "traffic": "factor", "large": "factor share", "fail": "share", "lose": "share", "cut": "share",
 		"once": "share", "lag": "delay", "storm": "kiosks club member", "purge": "share groups by", "replace": "over same_address", "drain": "over",
--- a/internal/rehearsal/script/script.go
+++ b/internal/rehearsal/script/script.go
@@ -1,7 +1,8 @@
-// Package script reads rehearsals: a deployment, its traffic by phase, what happens when, and what is expected.
+// Package script parses rehearsal scripts: a deployment, its traffic by phase, the faults and when they occur, and the expected
+// results.
 //
-// A script is HCL, read as strictly as the operator's file. Times are kept in milliseconds, amounts of bytes in bytes,
-// work in milliseconds of one core at speed 1.
+// A script is HCL, parsed as strictly as the operator's file. Times are in milliseconds, sizes in bytes, and work in
+// milliseconds of one core at speed 1.
 package script
 
 import (
@@ -21,10 +22,10 @@
 	Name, About string
 	Seed        int
 	Clubs       []string
-	Gateways    int // dealt over the clubs in turn
+	Gateways    int // assigned to the clubs round robin
 	Flow        float64
-	Near, Far   float64 // ms one way between a club and a hub: its own, a further one
-	Link        float64 // bytes a second into each club
+	Near, Far   float64 // one-way latency in ms between a club and its own hub, and another hub
+	Link        float64 // bandwidth into each club, bytes a second
 	Box, Hub    Box
 	Core        Core
 	List        List
@@ -41,61 +42,61 @@
 	Events      []Event
 }
 
-// Purges are what the operator's file says of purges that the gateways agree on; ms where they are times.
+// Purges are the settings for purges that the gateways agree on; times in ms.
 type Purges struct {
 	On                       bool
 	Delay, Skew, Rate, Fills float64
 	Batch                    int
 }
 
-// Box is what edge caches or hubs are like.
+// Box describes edge caches or hubs.
 type Box struct {
 	Count         int
-	Cores         [2]float64 // drawn between them
-	Slots, Queue  int        // jobs in service and waiting, for each core; slots 1 is first come, first served
+	Cores         [2]float64 // drawn from this range
+	Slots, Queue  int        // jobs in service and waiting, for each core; 1 slot serves first come, first served
 	Store         float64    // bytes
-	ColdShare     float64    // of its capacity when it starts
-	ColdFor       float64    // ms until it has all of it
-	FallMultiple  float64    // sent more than this times what it can do
-	FallFor       float64    // for so many ms, it falls over
-	FallenFor     float64    // ms until it comes back
-	Fills         int        // at a time, for each core
+	ColdShare     float64    // share of its capacity right after a start
+	ColdFor       float64    // ms until it has its full capacity
+	FallMultiple  float64    // work above this multiple of its capacity
+	FallFor       float64    // sent over this many ms makes it fail
+	FallenFor     float64    // ms until it is back
+	Fills         int        // concurrent fills for each core
 	FillTimeout   float64
 	Report, Probe float64 // ms between load reports; work of one probe
-	Errs          float64 // share of downloads that fail in passing
-	Held          float64 // share of what is asked for often that it holds when the rehearsal begins
+	Errs          float64 // share of downloads that fail transiently
+	Held          float64 // share of frequently requested objects that it holds at the start
 }
 
-// Core is the member core: it makes every object and takes the writes.
+// Core is the member core, which produces all objects and runs the writes.
 type Core struct {
 	Capacity  float64 // cores
-	Answers   float64 // ms that it takes beside the work
-	Crowded   float64 // how much slower with every multiple of its capacity that is open
-	StopsAt   float64 // multiple of its capacity; 0: never
+	Answers   float64 // latency in ms in addition to the work
+	Crowded   float64 // relative loss of capacity for each multiple of it that is requested
+	StopsAt   float64 // multiple of its capacity at which it fails; 0: never
 	StopsFor  float64
-	StopsPush float64 // ms of being asked so much
+	StopsPush float64 // ms over which that load is measured
 }
 
-// List is how the gateways hear of boxes and purges.
+// List is how gateways learn of boxes and purges.
 type List struct {
-	Told    float64 // ms from a change to word of it
-	Notices float64 // ms until a box that died is found out
-	Purges  float64 // ms from a purge to word of it
+	Told    float64 // ms from a change until it is announced
+	Notices float64 // ms until the loss of a box is detected
+	Purges  float64 // ms from a purge until it is announced
 }
 
-// Rules are the graces that the gateways are held to.
+// Rules are the grace periods that the auditor allows the gateways, in ms.
 type Rules struct{ DrainGrace, PurgeGrace, PurgeSettles float64 }
 
-// Limits are a gateway's on sockets.
+// Limits are resource limits of a gateway process, for runs on sockets.
 type Limits struct{ MemoryMB, Sockets int }
 
 // Type is a content type.
 type Type struct {
 	Name                  string
 	Share                 float64 // of the downloads
-	Work, Spread          float64 // mean ms to send one; sigma of the log-normal that sizes follow
+	Work, Spread          float64 // mean ms to send one; sigma of the log-normal distribution of sizes
 	Parts                 int
-	Gap                   float64 // ms between the parts that a client asks for
+	Gap                   float64 // ms between a client's requests for successive parts
 	Target, Stretch       float64
 	Expiry, Fresh, Grace  float64
 	Benefit, Late         float64
@@ -104,92 +105,92 @@
 	Write                 bool
 	Objects               int
 	Skew                  float64 // exponent of Zipf's law
-	Once, Local, OldWorth float64 // shares of objects wanted once, at one club only; of the benefit for an old copy
+	Once, Local, OldWorth float64 // shares of objects requested only once, at one club only; share of the benefit that an outdated copy has
 }
 
-// Clients is how they behave.
+// Clients is how clients behave.
 type Clients struct {
 	Retries   int
 	Wait      float64
-	Heeds     float64    // share that stays away as told
-	Patience  [2]float64 // shares of the expiry
+	Heeds     float64    // share that waits as long as Retry-After says
+	Patience  [2]float64 // range of the expiry that clients allow, as shares of the type's expiry
 	Impatient float64    // share that leaves early
-	Members   []string   // names of whom clients are members of, as the front tells them; none: their location
-	Holds     float64    // share that holds a copy
-	Notices   float64    // ms until the front has found out that a gateway died
+	Members   []string   // names of the members that clients belong to, as the front end reports them; none: their location
+	Holds     float64    // share that already holds a copy
+	Notices   float64    // ms until the front end notices that a gateway died
 }
 
-// Links is how clients hold signed links; off where Life is 0.
+// Links is how clients use signed links; off if Life is 0.
 type Links struct {
-	Life    float64 // ms that a link is good
-	Renew   float64 // ms that its successor lives longer
-	Doubled float64 // share of writes that are sent twice at once under one link
-	Boxes   float64 // ms that a gateway's own link for a box lives; 0: boxes ask for none
+	Life    float64 // validity of a link, in ms
+	Renew   float64 // ms that renewal adds to a link's validity
+	Doubled float64 // share of writes sent twice at once under one link
+	Boxes   float64 // validity of a gateway's own link for a box, in ms; 0: boxes require none
 	Checks  float64 // signatures a second that a gateway checks for one source
 }
 
-// Fair turns the gateways' fair door on: shares by club and client, writes ahead.
+// Fair enables the gateways' fair admission: shares by club and client, writes first.
 type Fair struct {
 	On      bool
-	Longest float64 // ms that clients may be told to stay away
+	Longest float64 // longest wait in ms that clients may be told
 }
 
-// Quorum has the gateways agree; in virtual time only to fill caches ahead.
+// Quorum gives the gateways a consensus group; in virtual time it only serves to prefill caches.
 type Quorum struct {
 	On                    bool
 	Voters                int // the first so many gateways
 	Beat, Election, Lease float64
-	Replace               float64 // ms that a voter must be gone before another has its vote
-	Warm                  int     // steps of a job that fills a cache ahead which started lately; 0: none
+	Replace               float64 // ms that a voter must be gone before it is replaced
+	Warm                  int     // steps of the job that prefills a recently started cache; 0: none
 }
 
-// Job is work that is asked for on behalf of all gateways.
+// Job is a job submitted for the whole fleet.
 type Job struct {
-	Name, Type            string // safe, keyed or unsafe
+	Name, Type            string // Type: safe, keyed or unsafe
 	At                    float64
-	Steps, Window, Places int // the first so many gateways, in turn; 0: at the owner
+	Steps, Window, Places int // Places: steps go to the first so many gateways in turn; 0: to the job's owner
 }
 
-// Phase is a stretch of time with its traffic and what is expected of it.
+// Phase is a period with its traffic and expectations.
 type Phase struct {
 	Name      string
 	From, For float64
-	Rate      float64 // downloads a second, first tries
+	Rate      float64 // downloads a second, without retries
 	Expect    Expect
 }
 
-// Expect is what must hold of a phase; a zero is not asked for.
+// Expect holds the expectations for a phase; zero values are not checked.
 type Expect struct {
-	InTime             float64 // least share of first tries that were answered within the target time
-	Throttled          float64 // most, as a share of all tries
+	InTime             float64 // least share of operations that succeed within the target time
+	Throttled          float64 // highest share of all attempts
 	CoreRate           float64 // most requests at the member core in any second
-	Hits, HitsWithin   float64 // share of pulls answered by what the edge held, reached within so many ms of its start
-	Renewals, Abandons float64 // least share of writes that succeeded; most abandoned of all tries
+	Hits, HitsWithin   float64 // share of pulls answered from the edge's stores, reached within so many ms of the phase's start
+	Renewals, Abandons float64 // least share of writes that succeed; highest share of all attempts that are abandoned
 }
 
-// Event is what happens. What a field means depends on Do; Line is where it stands.
+// Event is a fault or another scheduled event. The meaning of a field depends on Do; Line is its line in the script.
 type Event struct {
 	Do             string
 	Line           int
-	Number         int // among the events as they stand: what chance is keyed by, so that a comment more changes nothing
+	Number         int // position among the events; keys the random draws, so that an added comment changes nothing
 	At, For, Every float64
 	Times          int
-	On, Name       string // kind of what it happens to, or one by name
+	On, Name       string // kind of its targets, or the name of one
 	Share, Factor  float64
 	Count          int
-	Over           float64 // spread over so many ms
+	Over           float64 // ms over which its targets are spread
 	SameAddress    bool
 	Delay          float64
 	Groups         int
 	Club           string
 	Kiosks         int
-	Member         string // of whom kiosks are
-	OneWay         bool   // what goes out of those chosen is cut, what comes in is not
-	By             string // of a purge: the channel, or the gateways themselves
-	Disk           string // of a gateway that is killed: kept, lost, or old: as it was when it was copied
+	Member         string // member that kiosks belong to
+	OneWay         bool   // only outgoing traffic of the chosen gateways is cut
+	By             string // who announces a purge: channel or gateways
+	Disk           string // state of a killed gateway: kept, lost, or old (as of the last copy)
 }
 
-// What can happen, and to what.
+// The kinds of events, with their possible targets (the first is the default), and those that need a duration.
 var (
 	boxRoles     = []string{"edge", "hub", "core"}
 	eventTargets = map[string][]string{
@@ -202,7 +203,7 @@
 	needsDuration = []string{"delay", "freeze", "fill_disk", "part", "pause", "slow", "fail", "lose", "cut", "lag", "mute", "traffic", "storm", "once", "large", "silent", "vanish", "forge"}
 )
 
-// Deeds lists what can happen, for people.
+// EventKinds lists the kinds of events with their targets, for messages.
 func EventKinds() []string {
 	var all []string
 	for d, on := range eventTargets {
@@ -212,8 +213,8 @@
 	return all
 }
 
-// Load reads a script; its name is that of the file. A script may name a site, a file beside it that holds deployment, types
-// and clients for many scripts; what the script says itself comes on top.
+// Load reads a script and names it after its file. A script may name a site, a file next to it that holds the deployment, types
+// and clients of several scripts; the script's own settings override those of the site.
 func Load(path string) (*Script, error) {
 	text, err := operator.Read(path)
 	if err != nil {
@@ -240,7 +241,7 @@
 
 const maxSpan = time.Hour
 
-// Parse reads a script's text, which stands alone.
+// Parse parses the text of a script that names no site.
 func Parse(text []byte, file string) (*Script, error) {
 	s := defaults()
 	if err := s.parse(text, file); err != nil {
@@ -249,7 +250,7 @@
 	return s, nil
 }
 
-// common is what a site says.
+// siteFields are the blocks that a site may contain.
 func (s *Script) siteFields() []operator.Field {
 	var seen []string
 	return []operator.Field{operator.One("deployment", s.deployment), operator.One("clients", s.Clients.fields),
@@ -266,7 +267,7 @@
 			} else {
 				s.Types[i] = t
 			}
-			return s.Types[i].fields(), nil // read before the next one moves them
+			return s.Types[i].fields(), nil // parsed before the next append moves the elements
 		})}
 }
 
@@ -289,7 +290,7 @@
 				return nil, errors.New("stands twice")
 			}
 			s.Jobs = append(s.Jobs, Job{Name: labels[0], Type: "safe", Steps: 10, Window: 4})
-			return s.Jobs[len(s.Jobs)-1].fields(), nil // read before the next one moves them
+			return s.Jobs[len(s.Jobs)-1].fields(), nil // parsed before the next append moves the elements
 		}),
 		operator.Block("event", []string{"do"}, func(labels []string, line int) ([]operator.Field, error) {
 			if eventTargets[labels[0]] == nil {
@@ -303,7 +304,7 @@
 	return err
 }
 
-// whole checks what only shows when all is read.
+// validate checks conditions across blocks.
 func (s *Script) validate() error {
 	shareSum := 0.0
 	for _, t := range s.Types {
@@ -311,9 +312,9 @@
 	}
 	switch {
 	case len(s.Types) == 0:
-		return errors.New("no type of content")
+		return errors.New("no content type is defined")
 	case len(s.Phases) == 0:
-		return errors.New("no phase")
+		return errors.New("no phase is defined")
 	case shareSum < 0.999 || shareSum > 1.001:
 		return fmt.Errorf("the shares of the types come to %.3f in place of 1", shareSum)
 	case s.Gateways < len(s.Clubs):
@@ -356,13 +357,13 @@
 	return nil
 }
 
-// Length is how long the traffic lasts, in ms.
+// Length is the duration of the traffic, in ms.
 func (s *Script) Length() float64 {
 	last := s.Phases[len(s.Phases)-1]
 	return last.From + last.For
 }
 
-// Longest is the longest expiry.
+// Longest is the longest expiry, in ms.
 func (s *Script) Longest() float64 {
 	longest := 0.0
 	for _, t := range s.Types {
--- a/internal/rehearsal/script/script_test.go
+++ b/internal/rehearsal/script/script_test.go
@@ -20,7 +20,7 @@
 }
 `
 
-// What a script says wrong, or leaves out, is named by its line, and nothing that it says is passed over.
+// Errors in a script, also missing attributes, are reported with the line or the name, and no attribute is silently ignored.
 func TestParse(t *testing.T) {
 	s, err := Parse([]byte(validScript+"event \"slow\" {\n at = \"1s\"\n for = \"1s\"\n factor = 3\n}\nevent \"drain\" {\n at = \"500ms\"\n}"), "f.hcl")
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// A site that several scripts share is read first, what the script says comes on top; a site that is wrong is named.
+// A site shared by several scripts is read first and the script overrides it; an error in a site names the site's file.
 func TestSite(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
--- a/internal/rehearsal/virtual/consensus_loss_test.go
+++ b/internal/rehearsal/virtual/consensus_loss_test.go
@@ -14,9 +14,10 @@
 	"poppymill/internal/rehearsal/world"
 )
 
-// What it does to the core that all gateways lose sight of the agreement at once, and what they have to fetch anew for it: two clubs here, and
-// where POPPYMILL_TEST_MEASURE is set nine clubs with 300 gateways and 90 caches as well. No rule is broken for it, and nothing that was born
-// before three quarters of the delay answers meanwhile.
+// Guards against a rule being broken, and against outdated copies in answers, when all gateways lose contact with the consensus
+// group at once; it also logs the load on the core from what they have to fetch again. No copy created more than the delay before
+// its answer may be served meanwhile. Runs with two clubs and, if POPPYMILL_TEST_MEASURE is set, also with nine clubs, 300 gateways
+// and 90 caches.
 func TestAllGatewaysLoseConsensus(t *testing.T) {
 	sizes := [][4]int{{3, 10, 2, 60}}
 	if os.Getenv("POPPYMILL_TEST_MEASURE") != "" {
--- a/internal/rehearsal/virtual/replicated_log.go
+++ b/internal/rehearsal/virtual/replicated_log.go
@@ -10,16 +10,17 @@
 	"poppymill/router"
 )
 
-// What the agreement of real gateways takes, in ms: until a command has its place in the log, until one that does not vote has
-// followed it (it asks six times a lease), and until a gateway that went without a goodbye is said to be silent.
+// Delays of a real consensus group, in ms: until a command is committed, until a non-voter has applied it (it polls six times
+// a lease), and until a gateway that stopped without notice is reported as silent.
 const (
 	commitDelay    = 10.0
 	followerDelay  = 200.0
 	silenceTimeout = 3000.0
 )
 
-// agreement is one order of commands for all gateways, as their log is, without what brings it about: that has tests of its own
-// (internal/quorum). Each gateway follows it at its own pace, with an agent and a book of its own.
+// replicatedLog gives all gateways one order of commands, as the log of a real consensus group does, but without the protocol,
+// which has tests of its own (internal/quorum). Each gateway applies the log at its own pace, with its own agent and job state
+// machine.
 type replicatedLog struct {
 	d            *driver
 	entries      []logEntry
@@ -27,15 +28,15 @@
 	members      []*logMember
 }
 
-// decree is one place of the log.
+// logEntry is one committed command or membership change.
 type logEntry struct {
 	kind   string
 	data   []byte
-	name   string // of a member, where it is word of one
+	name   string // member that the entry is about; empty for a command
 	worker owner.Worker
 }
 
-// part is one gateway's.
+// logMember is one gateway's view of the log.
 type logMember struct {
 	log         *replicatedLog
 	g           *gatewayProcess
@@ -44,7 +45,7 @@
 	agent       *owner.Agent
 	incarnation uint64
 	losses      uint64
-	applied     int // places followed
+	applied     int // entries applied so far
 	timer       *world.Entry
 	process     int
 }
@@ -58,7 +59,7 @@
 	return a
 }
 
-// leader is the first gateway that is there.
+// leader returns the first member whose gateway runs; nil if there is none.
 func (a *replicatedLog) leader() *logMember {
 	for _, p := range a.members {
 		if p.agent != nil {
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// agree gives a command its place, some time later, and lets all that are there follow.
+// propose commits an entry after a delay and lets all running members apply it.
 func (a *replicatedLog) propose(entry logEntry) {
 	a.d.agenda.Add(a.d.now+commitDelay, func() {
 		a.entries = append(a.entries, entry)
@@ -78,7 +79,7 @@
 				continue
 			}
 			delay := 0.0
-			if i >= 7 { // voters are told at once
+			if i >= 7 { // the first seven are voters, which apply it at once
 				delay = followerDelay * float64(i%16) / 16
 			}
 			process := p.process
@@ -91,7 +92,7 @@
 	})
 }
 
-// start has a gateway's new process join.
+// start joins a gateway's new process.
 func (p *logMember) start() {
 	p.log.incarnations++
 	p.process++
@@ -109,7 +110,7 @@
 	})
 }
 
-// end is the end of its process; the log hears of it later, unless it says goodbye.
+// stop handles the end of a gateway's process. The log learns of it after silenceTimeout, or at once if it was announced.
 func (p *logMember) stop(announced bool) {
 	if p.agent == nil {
 		return
@@ -164,7 +165,7 @@
 	}
 }
 
-// do carries out a step at this gateway's own core.
+// runStep runs a job's step on this gateway's own core.
 func (p *logMember) runStep(x owner.Do) {
 	var w owner.Warming
 	if canon.Decode(x.Job.Data, &w) != nil {
--- a/internal/rehearsal/virtual/virtual.go
+++ b/internal/rehearsal/virtual/virtual.go
@@ -1,6 +1,6 @@
-// Package virtual plays a rehearsal in virtual time: real gateway cores with their routers and pools in one process, no
-// sleeping, no sockets. The same script and seed give the same report to the byte. Commands and answers go through their
-// real bytes, so that the gateways' own accounting is exercised.
+// Package virtual runs a rehearsal in virtual time: real gateway cores with their routers and connection pools in one process,
+// without sleeping or sockets. The same script and seed give a byte-identical report. Commands and replies are encoded to their
+// real wire format, so that the gateways' own accounting is exercised.
 package virtual
 
 import (
@@ -30,11 +30,11 @@
 	"poppymill/internal/rehearsal/world"
 )
 
-// epoch is the Unix time in ms at which every virtual day begins.
+// epoch is the Unix time in ms at which every virtual run starts.
 const epoch = 1.8e12
 
-// How often the loop of a real gateway looks for mute and idle connections, in ms; how long word of the channel is on
-// its way, and how long where the channel is mute and the gateway has to find that out.
+// How often a real gateway's loop checks for unresponsive and idle connections, in ms; the delivery delay of channel events; and
+// that delay while the channel is silent, which the gateway has to detect first.
 const (
 	watchInterval     = 100.0
 	tidyInterval      = 1000.0
@@ -42,31 +42,32 @@
 	mutedChannelDelay = 2000.0
 )
 
-// Tamper puts a fault into the gateways, to show that the auditor finds it. The zero value puts in none.
+// Faults are injected into the gateways to test that the auditor finds them. The zero value injects none.
 type Faults struct {
-	News     func(channel.News) bool                    // false: they never hear of it
-	Answers  func(world.Answer) []world.Answer          // what their clients get in place of one answer
-	Reply    func(world.Reply) world.Reply              // what they read of a box's answer
-	Links    func(*links.Settings) bool                 // how they check links; false: not at all
-	Settings func(settings map[string]any)              // what they are told of their deployment
-	Crash    func(gateway int, now float64) (ends bool) // asked at every watch
+	News     func(channel.News) bool                    // false: the gateways never receive this event
+	Answers  func(world.Answer) []world.Answer          // replaces an answer to a client
+	Reply    func(world.Reply) world.Reply              // replaces a box's reply before the gateway reads it
+	Links    func(*links.Settings) bool                 // changes how gateways check links; false: they don't check them
+	Settings func(settings map[string]any)              // changes the gateways' configuration
+	Crash    func(gateway int, now float64) (ends bool) // called at every watch interval
 }
 
 // Options of a run.
 type Options struct {
 	Facts  func(world.Fact)
 	Faults Faults
-	Log    func(gateway int) logrus.FieldLogger // nil: nowhere
-	// Sight is until when, by the driver's time, all gateways know what was agreed, where they agree on purges with these limits; nil: they don't.
+	Log    func(gateway int) logrus.FieldLogger // nil: logs are discarded
+	// AgreedUntil returns the time up to which all gateways know what was agreed, for gateways that agree on purges with
+	// PurgeLimits; nil: they don't.
 	AgreedUntil func(now float64) float64
 	PurgeLimits purges.Limits
 }
 
-// Stats are what the gateways counted, summed at their end.
+// Stats are the gateways' counters, summed when they end.
 type Stats struct {
 	Downloads, Drifts, Overdue, Panics int
-	Prefilled                          int     // objects that nodes were filled ahead with
-	Virtual                            float64 // ms that were played
+	Prefilled                          int     // objects prefilled into caches
+	Virtual                            float64 // virtual ms elapsed
 }
 
 type driver struct {
@@ -83,10 +84,10 @@
 	published    []channel.News
 	stats        Stats
 
-	log *replicatedLog // nil: none
+	log *replicatedLog // nil: the gateways have no consensus group
 }
 
-// gate is one gateway.
+// gatewayProcess is one gateway.
 type gatewayProcess struct {
 	d            *driver
 	number       int
@@ -100,11 +101,11 @@
 	block        drive.Block
 	config       *footprint.Config
 	log          logrus.FieldLogger
-	terminatedAt float64 // told to end at; under 0: not
-	answerWithin float64 // ms after which it answers all that is open
+	terminatedAt float64 // when it was told to terminate; negative: it was not
+	answerWithin float64 // ms from then until it has answered all open requests
 }
 
-// caller is one request's connection.
+// caller is the connection of one request.
 type caller struct {
 	g  *gatewayProcess
 	id string
@@ -115,7 +116,7 @@
 	if slices.ContainsFunc(s.Events, func(e script.Event) bool {
 		return slices.Contains([]string{"freeze", "part", "copy", "fill_disk", "delay", "reset"}, e.Do) || e.Disk != ""
 	}) || len(s.Jobs) > 0 || s.Quorum.On && s.Quorum.Warm == 0 {
-		return Stats{}, errors.New("gateways that are frozen, parted, lose disks, or are asked for jobs are rehearsed on sockets alone")
+		return Stats{}, errors.New("consensus groups, jobs, gateway freezes, network and disk faults can be rehearsed on sockets only")
 	}
 	d := &driver{Options: o, script: s, wires: map[int64]*wire{}, buffers: buffer.NewPool(1 << 34)}
 	d.world = world.New(s, world.Options{Epoch: epoch, Facts: o.Facts})
@@ -151,14 +152,14 @@
 
 func (d *driver) unix() float64 { return epoch + d.now }
 
-// soon does something at this time, after what is under way: a core must not be called from within itself.
+// runNext schedules a callback at the present time, after the current one: a core must not be called from within itself.
 func (d *driver) runNext(do func()) { d.agenda.Add(d.now, do) }
 
-// post hands an event to the world and carries out what comes of it.
+// post passes an event to the world and executes the resulting actions.
 func (d *driver) post(e world.Event) {
 	d.runNext(func() {
 		if err := d.execute(d.world.Handle(d.now, e)); err != nil {
-			panic(err) // only a Start can fail, and no event of a peer's brings one
+			panic(err) // only Start can fail, and events of gateways never cause one
 		}
 	})
 }
@@ -214,7 +215,7 @@
 	return nil
 }
 
-// publish brings word to all gateways that run, each by its own way.
+// publish delivers a channel event to all running gateways, each after its own delay.
 func (d *driver) publish(a world.Publish) error {
 	text, err := json.Marshal(a.Event)
 	if err != nil {
@@ -243,7 +244,7 @@
 	return nil
 }
 
-// hear tells a gateway all up to a number, in its order and once.
+// deliver passes the channel's events up to a cursor to the gateway, in order and each once.
 func (g *gatewayProcess) deliver(cursor int) {
 	for ; g.cursor < cursor; g.cursor++ {
 		if n := g.d.published[g.cursor]; g.d.Faults.News == nil || g.d.Faults.News(n) {
@@ -318,7 +319,7 @@
 	return l
 }()
 
-// rekey has a gateway take up other keys some time later, as its watch on the file does.
+// updateKeys makes a gateway load changed link keys after the delay of its file watch.
 func (d *driver) updateKeys(g *gatewayProcess, a world.Keys) {
 	core := g.core
 	d.agenda.Add(d.now+d.world.LinkTakes(g.number), func() {
@@ -328,7 +329,7 @@
 	})
 }
 
-// handle hands an event to the core, or lets it do what is due.
+// handle passes an event to the core; nil only runs what is due.
 func (g *gatewayProcess) handle(e any) {
 	if g.core == nil {
 		return
@@ -378,7 +379,7 @@
 	d.agenda.Move(g.watchTimer, d.now+watchInterval)
 }
 
-// close ends a gateway's process: all its connections end with it.
+// close ends a gateway's process and all its connections.
 func (g *gatewayProcess) close() {
 	if g.core == nil {
 		return
@@ -413,7 +414,7 @@
 	g.handle(gateway.Asked{Client: c, ID: 1, Params: world.Params(r), Body: body, At: g.d.unix()})
 }
 
-// Answer takes what the core tells a client.
+// Answer receives the core's answer to a client.
 func (c *caller) Answer(_ uint16, a clients.Answer) {
 	d := c.g.d
 	delete(c.g.callers, c.id)
@@ -434,7 +435,7 @@
 	}
 }
 
-// Head is the first line of a body, which says what copy it is.
+// Head returns the first line of a body, which identifies the copy.
 func Head(parts [][]byte) string {
 	if len(parts) == 0 {
 		return ""
@@ -447,18 +448,18 @@
 	return string(parts[0][:min(80, len(parts[0]))])
 }
 
-// wire is a connection between a gateway's pool and a box.
+// wire is a connection between a gateway's connection pool and a box.
 type wire struct {
 	g            *gatewayProcess
 	id           int64
 	connected    bool
 	closed       bool
-	queue        []*caches.Item // not up yet
-	unsent       []*caches.Item // never will be
+	queue        []*caches.Item // sent while connecting
+	unsent       []*caches.Item // queued items of a closed connection
 	commands     resp.Reader
 	answers      *caches.Parser
 	lastHeard    float64
-	connectTimer *world.Entry // by when it must be up
+	connectTimer *world.Entry // fires unless connected in time
 }
 
 func (g *gatewayProcess) dial(within float64) func(string) caches.Wire {
@@ -516,7 +517,7 @@
 	for _, c := range found {
 		w.g.d.post(world.Command{Conn: w.id, Verb: c.Verb, ID: c.ID, Fields: c.Fields, Body: c.Body})
 	}
-	if err != nil { // a box that can't read a command closes its connection
+	if err != nil { // a box closes a connection on which it cannot parse a command
 		w.g.d.post(world.Hung{Conn: w.id})
 		w.g.d.runNext(w.fail)
 	}
@@ -546,7 +547,7 @@
 	}
 }
 
-// over lets go of what was never written.
+// release marks the connection closed and keeps its queued items as unsent.
 func (w *wire) release() {
 	w.closed = true
 	delete(w.g.d.wires, w.id)
@@ -565,7 +566,7 @@
 	}
 }
 
-// down tells the pool that the connection is no more.
+// notifyDown tells the connection pool that the connection is closed.
 func (w *wire) notifyDown(up bool) {
 	d, core := w.g.d, w.g.core
 	d.runNext(func() {
--- a/internal/rehearsal/virtual/virtual_test.go
+++ b/internal/rehearsal/virtual/virtual_test.go
@@ -18,7 +18,7 @@
 	"poppymill/router"
 )
 
-// play runs a script and returns its report and what was found.
+// runScript plays a script and returns its report, auditor and stats.
 func runScript(t *testing.T, s *script.Script, tamper Faults) (*report.Report, *auditor.Auditor, Stats) {
 	t.Helper()
 	count, audit := report.New(s), auditor.New(s, 0)
@@ -32,7 +32,7 @@
 	return count.Report(audit), audit, stats
 }
 
-// The scripts that are handed out hold, and the same script and seed give the same report to the byte.
+// Checks that the shipped scripts hold, and that the same script and seed give a byte-identical report.
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("../../../deploy/rehearsals/*.hcl")
 	if err != nil || len(files) == 0 {
@@ -47,7 +47,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if s.Quorum.On { // gateways that agree are played by package sockets alone, and told so here
+				if s.Quorum.On { // scripts with a consensus group need package sockets, and Run must reject them
 					if _, err := Run(s, Options{}); err == nil {
 						t.Error("played in virtual time")
 					}
@@ -75,7 +75,7 @@
 	}
 }
 
-// small is a short day on which everything that the rules speak of happens.
+// smallScript exercises all rules within a few seconds.
 const smallScript = `
 about = "all that the rules speak of, in eight seconds"
 deployment {
@@ -150,8 +150,8 @@
 }
 `
 
-// Each check bites: with one fault put into the gateways the auditor names that rule and no other, and the download,
-// gateway and time of it; without one it finds nothing.
+// Checks each of the auditor's rules: with one fault injected into the gateways the auditor reports that rule and no other, with
+// the download, gateway and time of it; without a fault it reports nothing.
 func TestAuditorFindsInjectedFaults(t *testing.T) {
 	n := 0
 	every := func(k int) bool { n++; return n%k == 0 }
--- a/internal/rehearsal/virtual/work_order_test.go
+++ b/internal/rehearsal/virtual/work_order_test.go
@@ -15,7 +15,8 @@
 	"poppymill/internal/rehearsal/world"
 )
 
-// Of a night: how long a cache drains, is away, and counts as out after that, and one that is lost unplanned; ms.
+// Times in ms: how long a cache drains, is out for work, and counts as out afterwards while it warms up; when the work starts;
+// and when and for how long one cache is lost unplanned.
 const (
 	drainTime    = 1000.0
 	workTime     = 6000.0
@@ -25,8 +26,8 @@
 	lossDuration = 30_000.0
 )
 
-// night is when each cache goes, by the rules of package maintenance: order names whom of those that wait to try first, and the book
-// refuses whoever may not go.
+// planNight returns when each cache goes out by the rules of package maintenance, and when the last is done. order returns the
+// waiting caches in the order to try; the state machine refuses those that must not go.
 func planNight(boxes, clubs []string, limits maintenance.Limits, lost string, order func(*maintenance.Book) []string) (goes map[string]float64, ends float64) {
 	b := maintenance.New()
 	inventory := maintenance.Inventory{Version: 1, Limits: limits}
@@ -69,8 +70,8 @@
 	return goes, ends
 }
 
-// What a work night costs downloads, by the order in which caches go: measured where POPPYMILL_TEST_MEASURE is set, on one script and seed
-// each. Figures for docs/quality.md; a rule that is broken is a verdict all the same.
+// Measures what a night of maintenance costs downloads, by the order in which caches go out, on one script and several seeds. Runs
+// only if POPPYMILL_TEST_MEASURE is set. The figures are for docs/quality.md; a broken rule fails the test.
 func TestWorkNightOrders(t *testing.T) {
 	if os.Getenv("POPPYMILL_TEST_MEASURE") == "" {
 		t.Skip("a measurement")
@@ -130,7 +131,7 @@
 					one := limits
 					one.Most = 1
 					if lost != "" {
-						one.Most = 2 // it knows nothing of losses
+						one.Most = 2 // its limit does not account for losses
 					}
 					goes, ends = planNight(boxes, clubs, one, lost, func(b *maintenance.Book) []string {
 						if w := waiting(b); len(w) == len(b.Works) && len(w) > 0 {
