--- a/internal/rehearsal/auditor/auditor.go
+++ b/internal/rehearsal/auditor/auditor.go
@@ -131,7 +131,7 @@
 	case world.Purging:
 		a.agreedPurges = append(a.agreedPurges, f)
 	case world.Told:
-		a.told(f)
+		a.notified(f)
 	case world.Pushed:
 		a.record(Cold, f.At, -1, "", f.Box, "sent %.0f ms of work while it bears %.0f", f.Sent, f.Allowed)
 	case world.Effected:
@@ -213,45 +213,45 @@
 // checkContent checks that an answer's content is what a box sent for this download, and that it is no older than the purges
 // allow.
 func (a *Auditor) checkContent(d *download, f world.Answered) {
-	words := strings.Fields(f.Copy)
+	fields := strings.Fields(f.Copy)
 	if a.types[d.Type].Write {
-		if len(words) < 2 || words[0] != "ran" || words[1] != d.ID {
+		if len(fields) < 2 || fields[0] != "ran" || fields[1] != d.ID {
 			a.record(OneAnswer, f.At, f.Gateway, d.ID, "", "answered with %.60q, which no box made for it", f.Copy)
 		}
 		return
 	}
-	born := 0.0
-	if len(words) > 3 {
-		born, _ = strconv.ParseFloat(words[3], 64)
+	createdAt := 0.0
+	if len(fields) > 3 {
+		createdAt, _ = strconv.ParseFloat(fields[3], 64)
 	}
-	if len(words) < 4 || words[0] != d.Object || words[1] != strconv.Itoa(d.Part) {
+	if len(fields) < 4 || fields[0] != d.Object || fields[1] != strconv.Itoa(d.Part) {
 		a.record(OneAnswer, f.At, f.Gateway, d.ID, "", "answered with %.60q, which no box made for it", f.Copy)
 		return
 	}
-	last := 0.0
+	lastSent := 0.0
 	for _, p := range d.pulls {
-		last = max(last, p.At)
+		lastSent = max(lastSent, p.At)
 	}
-	a.checkAge(d.Gateway, d.Object, d.Group, d.ID, "", last, born, f.At)
+	a.checkAge(d.Gateway, d.Object, d.Group, d.ID, "", lastSent, createdAt, f.At)
 	for _, p := range a.agreedPurges {
-		if f.At > p.By+a.slack && born < p.When-1 && (p.Object == d.Object || p.Object == "" && p.Group == d.Group) && (p.Club == "" || p.Club == d.Club) {
-			a.record(Purges, f.At, d.Gateway, d.ID, "", "answered by a copy %.0f ms older than a purge that the gateways agreed on, %.0f ms past its time", p.When-born, f.At-p.By)
+		if f.At > p.By+a.slack && createdAt < p.When-1 && (p.Object == d.Object || p.Object == "" && p.Group == d.Group) && (p.Club == "" || p.Club == d.Club) {
+			a.record(Purges, f.At, d.Gateway, d.ID, "", "answered by a copy %.0f ms older than a purge that the gateways agreed on, %.0f ms past its time", p.When-createdAt, f.At-p.By)
 			return
 		}
 	}
 }
 
 // checkAge checks a copy that answers a pull sent at a given time against the purges that its gateway knew of then.
-func (a *Auditor) checkAge(gateway int, object string, group int, id, box string, sent, born, at float64) {
+func (a *Auditor) checkAge(gateway int, object string, group int, id, box string, sentAt, createdAt, answeredAt float64) {
 	p := a.purged[gateway]
 	if p == nil {
 		return
 	}
 	for _, all := range [][]purgeNotice{p.object[object], p.group[group]} {
 		for _, q := range all {
-			if sent > q.heardAt+a.rules.PurgeGrace+a.slack && born < q.purgedAt-1 {
-				a.record(Purges, at, gateway, id, box, "sent %.0f ms after word of a purge, answered by a copy %.0f ms older than it",
-					sent-q.heardAt, q.purgedAt-born)
+			if sentAt > q.heardAt+a.rules.PurgeGrace+a.slack && createdAt < q.purgedAt-1 {
+				a.record(Purges, answeredAt, gateway, id, box, "sent %.0f ms after word of a purge, answered by a copy %.0f ms older than it",
+					sentAt-q.heardAt, q.purgedAt-createdAt)
 				return
 			}
 		}
@@ -288,9 +288,9 @@
 			continue
 		}
 		t := a.types[d.Type]
-		within := d.Repeat == "deduped" && f.At < p.At+t.Window &&
+		deduped := d.Repeat == "deduped" && f.At < p.At+t.Window &&
 			(t.Scope == "all" || t.Scope == "zone" && p.Zone == f.Zone || t.Scope == "cell" && p.Zone == f.Zone && p.Cell == f.Cell)
-		if !within {
+		if !deduped {
 			a.record(NoRepeat, f.At, f.Gateway, f.ID, f.Box, "sent again though its pull to %s may have run", p.Box)
 		}
 	}
@@ -335,7 +335,7 @@
 	}
 }
 
-func (a *Auditor) told(f world.Told) {
+func (a *Auditor) notified(f world.Told) {
 	if f.Box != "" {
 		if a.unavailable[f.Gateway] == nil {
 			a.unavailable[f.Gateway] = map[string]float64{}
--- a/internal/rehearsal/resp/resp.go
+++ b/internal/rehearsal/resp/resp.go
@@ -44,7 +44,7 @@
 // parseCommand parses the first command; used is 0 if it is incomplete.
 func parseCommand(b []byte) (c Command, used int, err error) {
 	at := 0
-	count := func(sign byte, most int) (int, error) {
+	readLength := func(sign byte, limit int) (int, error) {
 		for i := at; i < len(b); i++ {
 			if b[i] != '\n' {
 				if i-at > maxLengthLine {
@@ -57,7 +57,7 @@
 				return 0, fmt.Errorf("expected a length prefix, got %q", line)
 			}
 			n, err := strconv.Atoi(line[1:])
-			if err != nil || n < 0 || n > most {
+			if err != nil || n < 0 || n > limit {
 				return 0, fmt.Errorf("invalid length %q", line)
 			}
 			at = i + 1
@@ -65,15 +65,15 @@
 		}
 		return 0, errIncomplete
 	}
-	parts, err := count('*', 4)
+	stringCount, err := readLength('*', 4)
 	words := make([]string, 0, 4)
-	for i := 0; err == nil && i < parts; i++ {
-		most := maxString
+	for i := 0; err == nil && i < stringCount; i++ {
+		limit := maxString
 		if i == 3 {
-			most = maxBody
+			limit = maxBody
 		}
 		var n int
-		if n, err = count('$', most); err == nil && at+n+2 > len(b) {
+		if n, err = readLength('$', limit); err == nil && at+n+2 > len(b) {
 			err = errIncomplete
 		}
 		if err == nil {
@@ -90,8 +90,8 @@
 	if err != nil {
 		return c, 0, err
 	}
-	want := map[string]int{"GET": 4, "DROP": 2, "PING": 2, "LOAD": 2}
-	if len(words) < 2 || want[words[0]] != len(words) {
+	stringsOf := map[string]int{"GET": 4, "DROP": 2, "PING": 2, "LOAD": 2}
+	if len(words) < 2 || stringsOf[words[0]] != len(words) {
 		return c, 0, fmt.Errorf("malformed command %q of %d strings", strings.Join(words[:min(1, len(words))], ""), len(words))
 	}
 	c = Command{Verb: words[0], ID: words[1]}
--- a/internal/rehearsal/virtual/consensus_loss_test.go
+++ b/internal/rehearsal/virtual/consensus_loss_test.go
@@ -15,9 +15,9 @@
 )
 
 // Guards against a rule being broken, and against outdated copies in answers, when all gateways lose contact with the consensus
-// group at once; it also logs the load on the core from what they have to fetch again. No copy created more than the delay before
-// its answer may be served meanwhile. Runs with two clubs and, if POPPYMILL_TEST_MEASURE is set, also with nine clubs, 300 gateways
-// and 90 caches.
+// group at once; it also logs the load on the core from what they have to fetch again. Meanwhile no answer may
+// come from a copy created more than the delay before it; the gateways themselves stop at three quarters of the delay. Runs with
+// two clubs and, if POPPYMILL_TEST_MEASURE is set, also with nine clubs, 300 gateways and 90 caches.
 func TestAllGatewaysLoseConsensus(t *testing.T) {
 	sizes := [][4]int{{3, 10, 2, 60}}
 	if os.Getenv("POPPYMILL_TEST_MEASURE") != "" {
@@ -38,26 +38,26 @@
 					s.Clubs = append(s.Clubs, fmt.Sprint("c", i))
 				}
 			}
-			const goes, for_ = 20_000.0, 40_000.0
-			s.Phases = []script.Phase{{Name: "before", For: goes, Rate: rate}, {Name: "blind", From: goes, For: for_, Rate: rate}, {Name: "after", From: goes + for_, For: 10_000, Rate: rate}}
+			const blindFrom, blindFor = 20_000.0, 40_000.0
+			s.Phases = []script.Phase{{Name: "before", For: blindFrom, Rate: rate}, {Name: "blind", From: blindFrom, For: blindFor, Rate: rate}, {Name: "after", From: blindFrom + blindFor, For: 10_000, Rate: rate}}
 			o := Options{PurgeLimits: purges.DefaultLimits()}
 			if o.PurgeLimits.Delay = delay; delay > 0 {
 				o.AgreedUntil = func(now float64) float64 {
-					if now > goes && now < goes+for_ {
-						return goes
+					if now > blindFrom && now < blindFrom+blindFor {
+						return blindFrom
 					}
 					return now
 				}
 			}
-			count, audit, old, looked := report.New(s), auditor.New(s, 0), 0, 0
+			count, audit, outdated, checked := report.New(s), auditor.New(s, 0), 0, 0
 			o.Facts = func(f world.Fact) {
 				audit.See(f)
 				count.See(f)
-				if f, is := f.(world.Answered); is && delay > 0 && f.At > goes+delay && f.At < goes+for_ {
-					if words := strings.Fields(f.Copy); f.Status == 200 && !f.Still && len(words) > 3 {
-						if born, err := strconv.ParseFloat(words[3], 64); err == nil {
-							if looked++; born < f.At-delay {
-								old++
+				if f, is := f.(world.Answered); is && delay > 0 && f.At > blindFrom+delay && f.At < blindFrom+blindFor {
+					if fields := strings.Fields(f.Copy); f.Status == 200 && !f.Still && len(fields) > 3 {
+						if createdAt, err := strconv.ParseFloat(fields[3], 64); err == nil {
+							if checked++; createdAt < f.At-delay {
+								outdated++
 							}
 						}
 					}
@@ -71,8 +71,8 @@
 				t.Logf("%d gateways, delay %.0f: %s: %.3f in time, %.3f hits, core %.1f a second, worst %d", size[0], delay, p.Name, float64(p.InTime)/float64(p.Asked),
 					float64(p.Hits)/float64(max(1, p.Pulls)), float64(p.Core)/map[string]float64{"before": 20, "blind": 40, "after": 10}[p.Name], p.CorePeak)
 			}
-			if old > 0 || delay > 0 && looked < 500 {
-				t.Errorf("delay %.0f: %d older copies of %d answered while all were blind", delay, old, looked)
+			if outdated > 0 || delay > 0 && checked < 500 {
+				t.Errorf("delay %.0f: %d older copies of %d answered while all were blind", delay, outdated, checked)
 			}
 			for rule := range auditor.Rules {
 				if !audit.Holds(rule) {
--- a/internal/rehearsal/virtual/replicated_log.go
+++ b/internal/rehearsal/virtual/replicated_log.go
@@ -38,7 +38,7 @@
 
 // logMember is one gateway's view of the log.
 type logMember struct {
-	log         *replicatedLog
+	consensus   *replicatedLog
 	g           *gatewayProcess
 	name        string
 	zone        string
@@ -51,41 +51,41 @@
 }
 
 func newReplicatedLog(d *driver) *replicatedLog {
-	a := &replicatedLog{d: d}
+	l := &replicatedLog{d: d}
 	for i, g := range d.gateways {
 		name, _, _ := d.world.Config(i)
-		a.members = append(a.members, &logMember{log: a, g: g, name: name})
+		l.members = append(l.members, &logMember{consensus: l, g: g, name: name})
 	}
-	return a
+	return l
 }
 
 // leader returns the first member whose gateway runs; nil if there is none.
-func (a *replicatedLog) leader() *logMember {
-	for _, p := range a.members {
-		if p.agent != nil {
-			return p
+func (l *replicatedLog) leader() *logMember {
+	for _, m := range l.members {
+		if m.agent != nil {
+			return m
 		}
 	}
 	return nil
 }
 
 // propose commits an entry after a delay and lets all running members apply it.
-func (a *replicatedLog) propose(entry logEntry) {
-	a.d.agenda.Add(a.d.now+commitDelay, func() {
-		a.entries = append(a.entries, entry)
-		upTo := len(a.entries)
-		for i, p := range a.members {
-			if p.agent == nil {
+func (l *replicatedLog) propose(entry logEntry) {
+	l.d.agenda.Add(l.d.now+commitDelay, func() {
+		l.entries = append(l.entries, entry)
+		upTo := len(l.entries)
+		for i, m := range l.members {
+			if m.agent == nil {
 				continue
 			}
 			delay := 0.0
 			if i >= 7 { // the first seven are voters, which apply it at once
 				delay = followerDelay * float64(i%16) / 16
 			}
-			process := p.process
-			a.d.agenda.Add(a.d.now+delay, func() {
-				if p.process == process {
-					p.follow(upTo)
+			process := m.process
+			l.d.agenda.Add(l.d.now+delay, func() {
+				if m.process == process {
+					m.follow(upTo)
 				}
 			})
 		}
@@ -93,91 +93,91 @@
 }
 
 // start joins a gateway's new process.
-func (p *logMember) start() {
-	p.log.incarnations++
-	p.process++
-	p.incarnation, p.applied = p.log.incarnations, 0
-	p.zone, _ = p.g.config.Footprint["zone"].(string)
+func (m *logMember) start() {
+	m.consensus.incarnations++
+	m.process++
+	m.incarnation, m.applied = m.consensus.incarnations, 0
+	m.zone, _ = m.g.config.Footprint["zone"].(string)
 	limits := owner.DefaultLimits()
-	limits.WarmRounds, limits.WarmEach = p.log.d.script.Quorum.Warm, 24
-	p.agent = owner.NewAgent(limits)
-	p.timer = p.log.d.agenda.Add(math.Inf(1), func() { p.handle(nil) })
-	p.log.propose(logEntry{name: p.name, worker: owner.Worker{Incarnation: p.incarnation, There: true, Losses: p.losses, Zone: p.zone}})
-	p.g.core.Boots(func(n router.Entry) {
-		if remaining := gateway.ColdFor(p.g.config, n, p.log.d.unix()); remaining > 0 {
-			p.handle(owner.Booted{Node: n.Node, Zone: n.Zone, Start: uint64(n.Booted), Left: remaining})
+	limits.WarmRounds, limits.WarmEach = m.consensus.d.script.Quorum.Warm, 24
+	m.agent = owner.NewAgent(limits)
+	m.timer = m.consensus.d.agenda.Add(math.Inf(1), func() { m.handle(nil) })
+	m.consensus.propose(logEntry{name: m.name, worker: owner.Worker{Incarnation: m.incarnation, There: true, Losses: m.losses, Zone: m.zone}})
+	m.g.core.Boots(func(n router.Entry) {
+		if remaining := gateway.ColdFor(m.g.config, n, m.consensus.d.unix()); remaining > 0 {
+			m.handle(owner.Booted{Node: n.Node, Zone: n.Zone, Start: uint64(n.Booted), Left: remaining})
 		}
 	})
 }
 
 // stop handles the end of a gateway's process. The log learns of it after silenceTimeout, or at once if it was announced.
-func (p *logMember) stop(announced bool) {
-	if p.agent == nil {
+func (m *logMember) stop(announced bool) {
+	if m.agent == nil {
 		return
 	}
-	p.agent = nil
-	p.process++
-	p.log.d.agenda.Move(p.timer, math.Inf(1))
-	incarnation, delay := p.incarnation, silenceTimeout
+	m.agent = nil
+	m.process++
+	m.consensus.d.agenda.Move(m.timer, math.Inf(1))
+	incarnation, delay := m.incarnation, silenceTimeout
 	if announced {
 		delay = 0
 	} else {
-		p.losses++
+		m.losses++
 	}
-	losses := p.losses
-	p.log.d.agenda.Add(p.log.d.now+delay, func() {
-		if p.incarnation == incarnation {
-			p.log.propose(logEntry{name: p.name, worker: owner.Worker{Incarnation: incarnation, Losses: losses, Zone: p.zone}})
+	losses := m.losses
+	m.consensus.d.agenda.Add(m.consensus.d.now+delay, func() {
+		if m.incarnation == incarnation {
+			m.consensus.propose(logEntry{name: m.name, worker: owner.Worker{Incarnation: incarnation, Losses: losses, Zone: m.zone}})
 		}
 	})
 }
 
-func (p *logMember) follow(upTo int) {
-	for ; p.applied < upTo; p.applied++ {
-		if x := p.log.entries[p.applied]; x.name != "" {
-			p.agent.Book.Member(uint64(p.applied+1), x.name, x.worker)
+func (m *logMember) follow(upTo int) {
+	for ; m.applied < upTo; m.applied++ {
+		if entry := m.consensus.entries[m.applied]; entry.name != "" {
+			m.agent.Book.Member(uint64(m.applied+1), entry.name, entry.worker)
 		} else {
-			p.agent.Book.Apply(uint64(p.applied+1), x.kind, x.data)
+			m.agent.Book.Apply(uint64(m.applied+1), entry.kind, entry.data)
 		}
 	}
-	p.handle(owner.Followed{Name: p.name, Incarnation: p.incarnation, Leads: p.log.leader() == p})
+	m.handle(owner.Followed{Name: m.name, Incarnation: m.incarnation, Leads: m.consensus.leader() == m})
 }
 
-func (p *logMember) handle(e any) {
-	if p.agent == nil {
+func (m *logMember) handle(e any) {
+	if m.agent == nil {
 		return
 	}
-	d := p.log.d
-	for _, x := range p.agent.Handle(d.now, e) {
+	d := m.consensus.d
+	for _, x := range m.agent.Handle(d.now, e) {
 		switch x := x.(type) {
 		case owner.Ask:
 			data := canon.Encode(x.Claim)
 			if x.Job != nil {
 				data = canon.Encode(x.Job)
 			}
-			p.log.propose(logEntry{kind: x.Kind, data: data})
+			m.consensus.propose(logEntry{kind: x.Kind, data: data})
 		case owner.Do:
-			p.runStep(x)
+			m.runStep(x)
 		}
 	}
-	if p.agent != nil {
-		d.agenda.Move(p.timer, max(d.now, p.agent.Next()))
+	if m.agent != nil {
+		d.agenda.Move(m.timer, max(d.now, m.agent.Next()))
 	}
 }
 
 // runStep runs a job's step on this gateway's own core.
-func (p *logMember) runStep(x owner.Do) {
-	var w owner.Warming
-	if canon.Decode(x.Job.Data, &w) != nil {
+func (m *logMember) runStep(step owner.Do) {
+	var warming owner.Warming
+	if canon.Decode(step.Job.Data, &warming) != nil {
 		return
 	}
-	d, process := p.log.d, p.process
+	d, process := m.consensus.d, m.process
 	d.runNext(func() {
-		p.g.handle(gateway.Ahead{Node: w.Node, Most: w.Each, At: d.unix(), Done: func(filled, refused int) {
+		m.g.handle(gateway.Ahead{Node: warming.Node, Most: warming.Each, At: d.unix(), Done: func(filled, refused int) {
 			d.stats.Prefilled += filled
 			d.runNext(func() {
-				if p.process == process {
-					p.handle(owner.Ended{Job: x.Job.Name, Token: x.Token, Step: x.Step, End: gateway.WarmEnd(filled, refused)})
+				if m.process == process {
+					m.handle(owner.Ended{Job: step.Job.Name, Token: step.Token, Step: step.Step, End: gateway.WarmEnd(filled, refused)})
 				}
 			})
 		}})
--- a/internal/rehearsal/virtual/virtual.go
+++ b/internal/rehearsal/virtual/virtual.go
@@ -84,7 +84,7 @@
 	published    []channel.News
 	stats        Stats
 
-	log *replicatedLog // nil: the gateways have no consensus group
+	consensus *replicatedLog // nil: the gateways have no consensus group
 }
 
 // gatewayProcess is one gateway.
@@ -124,16 +124,16 @@
 		d.gateways = append(d.gateways, &gatewayProcess{d: d, number: i})
 	}
 	if s.Quorum.On {
-		d.log = newReplicatedLog(d)
+		d.consensus = newReplicatedLog(d)
 	}
 	end := s.Length() + 2*s.Longest() + 10_000
 	for !d.world.Over() && d.now < end {
 		at, ok := d.agenda.Next()
-		due, also := d.world.Next()
+		worldDue, worldOK := d.world.Next()
 		switch {
-		case also && (!ok || due < at):
-			d.now = due
-			if err := d.execute(d.world.Ring(due)); err != nil {
+		case worldOK && (!ok || worldDue < at):
+			d.now = worldDue
+			if err := d.execute(d.world.Ring(worldDue)); err != nil {
 				return d.stats, err
 			}
 		case ok:
@@ -184,7 +184,7 @@
 		case world.Channel:
 			d.channelState = a.How
 		case world.Ask:
-			d.gateways[a.Gateway].ask(a.Request)
+			d.gateways[a.Gateway].sendRequest(a.Request)
 		case world.Abort:
 			if g := d.gateways[a.Gateway]; g.core != nil && g.callers[a.ID] != nil {
 				g.handle(gateway.Aborted{Client: g.callers[a.ID], ID: 1, At: d.unix()})
@@ -195,8 +195,8 @@
 			}
 		case world.Kill:
 			d.gateways[a.Gateway].close()
-			if d.log != nil {
-				d.log.members[a.Gateway].stop(false)
+			if d.consensus != nil {
+				d.consensus.members[a.Gateway].stop(false)
 			}
 		case world.Keys:
 			for _, g := range d.gateways {
@@ -206,8 +206,8 @@
 			if g := d.gateways[a.Gateway]; g.core != nil {
 				g.core.Leave()
 				g.terminatedAt = d.now
-				if d.log != nil {
-					d.log.members[a.Gateway].stop(true)
+				if d.consensus != nil {
+					d.consensus.members[a.Gateway].stop(true)
 				}
 			}
 		}
@@ -299,9 +299,9 @@
 		zone, _ := c.Footprint["zone"].(string)
 		g.core.Purges(zone, d.PurgeLimits, true, func() float64 { return epoch + d.AgreedUntil(d.now) }, d.unix)
 	}
-	if d.log != nil {
+	if d.consensus != nil {
 		g.config = c
-		d.log.members[g.number].start()
+		d.consensus.members[g.number].start()
 	}
 	answered, _ := gateway.AnswerBy(c)
 	g.cursor, g.callers, g.terminatedAt, g.answerWithin = cursor, map[string]*caller{}, -1, float64(answered)/float64(time.Millisecond)
@@ -399,7 +399,7 @@
 	}
 }
 
-func (g *gatewayProcess) ask(r world.Request) {
+func (g *gatewayProcess) sendRequest(r world.Request) {
 	if g.core == nil {
 		g.d.post(world.Unanswered{ID: r.ID, Refused: true})
 		return
--- a/internal/rehearsal/virtual/virtual_test.go
+++ b/internal/rehearsal/virtual/virtual_test.go
@@ -19,10 +19,10 @@
 )
 
 // runScript plays a script and returns its report, auditor and stats.
-func runScript(t *testing.T, s *script.Script, tamper Faults) (*report.Report, *auditor.Auditor, Stats) {
+func runScript(t *testing.T, s *script.Script, faults Faults) (*report.Report, *auditor.Auditor, Stats) {
 	t.Helper()
 	count, audit := report.New(s), auditor.New(s, 0)
-	stats, err := Run(s, Options{Faults: tamper, Facts: func(f world.Fact) {
+	stats, err := Run(s, Options{Faults: faults, Facts: func(f world.Fact) {
 		audit.See(f)
 		count.See(f)
 	}})
@@ -154,27 +154,27 @@
 // the download, gateway and time of it; without a fault it reports nothing.
 func TestAuditorFindsInjectedFaults(t *testing.T) {
 	n := 0
-	every := func(k int) bool { n++; return n%k == 0 }
+	everyNth := func(k int) bool { n++; return n%k == 0 }
 	for _, c := range []struct {
 		name   string
 		rule   auditor.Rule
-		tamper Faults
+		faults Faults
 	}{
 		{"nothing", auditor.Rules, Faults{}},
 		{"answers twice", auditor.OneAnswer, Faults{Answers: func(a world.Answer) []world.Answer {
-			if every(50) {
+			if everyNth(50) {
 				return []world.Answer{a, a}
 			}
 			return []world.Answer{a}
 		}}},
 		{"forgets one", auditor.OneAnswer, Faults{Answers: func(a world.Answer) []world.Answer {
-			if every(50) {
+			if everyNth(50) {
 				return nil
 			}
 			return []world.Answer{a}
 		}}},
 		{"answers what it was not asked", auditor.OneAnswer, Faults{Answers: func(a world.Answer) []world.Answer {
-			if every(50) && a.Copy != "" {
+			if everyNth(50) && a.Copy != "" {
 				a.Copy = "0000000000000000" + a.Copy[16:]
 			}
 			return []world.Answer{a}
@@ -206,7 +206,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, audit, _ := runScript(t, s, c.tamper)
+		_, audit, _ := runScript(t, s, c.faults)
 		for r := range auditor.Rules {
 			if found := audit.Counts[r] > 0; found != (r == c.rule) {
 				t.Errorf("%s: %d findings on %v: %v", c.name, audit.Counts[r], r, audit.Found[r][:min(2, len(audit.Found[r]))])
--- a/internal/rehearsal/virtual/work_order_test.go
+++ b/internal/rehearsal/virtual/work_order_test.go
@@ -28,46 +28,46 @@
 
 // planNight returns when each cache goes out by the rules of package maintenance, and when the last is done. order returns the
 // waiting caches in the order to try; the state machine refuses those that must not go.
-func planNight(boxes, clubs []string, limits maintenance.Limits, lost string, order func(*maintenance.Book) []string) (goes map[string]float64, ends float64) {
-	b := maintenance.New()
+func planNight(boxes, clubs []string, limits maintenance.Limits, lost string, order func(*maintenance.Book) []string) (outAt map[string]float64, doneAt float64) {
+	book := maintenance.New()
 	inventory := maintenance.Inventory{Version: 1, Limits: limits}
 	for i, name := range boxes {
 		inventory.Machines = append(inventory.Machines, maintenance.Machine{Name: name, Club: clubs[i], Boxes: []string{name}, Carries: 1})
 	}
-	give := func(kind string, content any) any { return b.Apply(1, kind, canon.Encode(content)) }
-	give(maintenance.Have, inventory)
+	apply := func(kind string, content any) any { return book.Apply(1, kind, canon.Encode(content)) }
+	apply(maintenance.Have, inventory)
 	for _, name := range boxes {
-		give(maintenance.Ask, maintenance.Order{At: nightStart, Request: &maintenance.Request{ID: name, Machine: name, Takes: workTime}})
+		apply(maintenance.Ask, maintenance.Order{At: nightStart, Request: &maintenance.Request{ID: name, Machine: name, Takes: workTime}})
 	}
-	goes = map[string]float64{}
-	for now := nightStart; len(b.Works) > 0 && now < 1e6; now += 100 {
-		ends = now
+	outAt = map[string]float64{}
+	for now := nightStart; len(book.Works) > 0 && now < 1e6; now += 100 {
+		doneAt = now
 		if lost != "" && (now == lossAt || now == lossAt+lossDuration) {
 			names := []string{}
 			if now == lossAt {
 				names = append(names, lost)
 			}
-			give(maintenance.Lost, maintenance.Order{At: now, Names: names})
+			apply(maintenance.Lost, maintenance.Order{At: now, Names: names})
 		}
-		give(maintenance.Tick, maintenance.Order{At: now})
-		for _, name := range order(b) {
-			give(maintenance.Grant, maintenance.Order{At: now, Machine: name})
+		apply(maintenance.Tick, maintenance.Order{At: now})
+		for _, name := range order(book) {
+			apply(maintenance.Grant, maintenance.Order{At: now, Machine: name})
 		}
-		for name, w := range b.Works {
+		for name, w := range book.Works {
 			o := maintenance.Order{At: now, Machine: name, Token: w.Token}
 			switch {
 			case w.Stage == maintenance.Granted:
-				give(maintenance.Drain, o)
+				apply(maintenance.Drain, o)
 			case w.Stage == maintenance.Draining && now >= w.Since+drainTime:
-				if give(maintenance.Go, o); b.Works[name].Stage == maintenance.Out {
-					goes[name] = now
+				if apply(maintenance.Go, o); book.Works[name].Stage == maintenance.Out {
+					outAt[name] = now
 				}
 			case w.Stage == maintenance.Out && now >= w.Since+workTime:
-				give(maintenance.Back, o)
+				apply(maintenance.Back, o)
 			}
 		}
 	}
-	return goes, ends
+	return outAt, doneAt
 }
 
 // Measures what a night of maintenance costs downloads, by the order in which caches go out, on one script and several seeds. Runs
@@ -96,7 +96,7 @@
 		return all
 	}
 	for _, loss := range []bool{false, true} {
-		for _, how := range []string{"no work", "planned", "planned, and in again at once", "one after another", "random within the limits", "all of a club at once"} {
+		for _, order := range []string{"no work", "planned", "planned, and in again at once", "one after another", "random within the limits", "all of a club at once"} {
 			var inTime, throttled, asked, core, worst, took float64
 			const seeds = 4
 			for seed := range uint64(seeds) {
@@ -117,70 +117,70 @@
 						}
 					}
 				}
-				lost, c := "", chance.Chance(seed*2+1)
+				lost, random := "", chance.Chance(seed*2+1)
 				if loss {
 					lost = boxes[len(boxes)-1]
 				}
-				goes, ends := map[string]float64{}, nightStart
-				switch how {
+				outAt, doneAt := map[string]float64{}, nightStart
+				switch order {
 				case "planned":
-					goes, ends = planNight(boxes, clubs, limits, lost, planned)
+					outAt, doneAt = planNight(boxes, clubs, limits, lost, planned)
 				case "planned, and in again at once":
-					goes, ends = planNight(boxes, clubs, short, lost, planned)
+					outAt, doneAt = planNight(boxes, clubs, short, lost, planned)
 				case "one after another":
 					one := limits
 					one.Most = 1
 					if lost != "" {
 						one.Most = 2 // its limit does not account for losses
 					}
-					goes, ends = planNight(boxes, clubs, one, lost, func(b *maintenance.Book) []string {
+					outAt, doneAt = planNight(boxes, clubs, one, lost, func(b *maintenance.Book) []string {
 						if w := waiting(b); len(w) == len(b.Works) && len(w) > 0 {
 							return w[:1]
 						}
 						return nil
 					})
 				case "random within the limits":
-					goes, ends = planNight(boxes, clubs, limits, lost, func(b *maintenance.Book) []string {
+					outAt, doneAt = planNight(boxes, clubs, limits, lost, func(b *maintenance.Book) []string {
 						w := waiting(b)
-						slices.SortFunc(w, func(x, y string) int { return cmp.Compare(c.Below(), 0.5) })
+						slices.SortFunc(w, func(x, y string) int { return cmp.Compare(random.Below(), 0.5) })
 						return w
 					})
 				case "all of a club at once":
 					for i, b := range boxes {
-						if goes[b] = nightStart; clubs[i] != clubs[0] {
-							goes[b] += workTime + warmTime
+						if outAt[b] = nightStart; clubs[i] != clubs[0] {
+							outAt[b] += workTime + warmTime
 						}
 					}
-					ends = nightStart + 2*(workTime+warmTime)
+					doneAt = nightStart + 2*(workTime+warmTime)
 				}
-				took += (ends - nightStart) / 1000 / seeds
+				took += (doneAt - nightStart) / 1000 / seeds
 				const until = nightStart + 200_000
 				s.Phases = []script.Phase{{Name: "before", For: nightStart, Rate: 150}}
 				for at := nightStart; at < until; at += 10_000 {
 					s.Phases = append(s.Phases, script.Phase{Name: fmt.Sprint("n", at), From: at, For: 10_000, Rate: 150})
 				}
-				for _, name := range slices.Sorted(maps.Keys(goes)) {
-					s.Events = append(s.Events, script.Event{Do: "drain", Times: 1, On: "edge", Name: name, At: goes[name] - drainTime, For: drainTime + workTime, Number: len(s.Events)},
-						script.Event{Do: "kill", Times: 1, On: "edge", Name: name, At: goes[name], For: workTime, Number: len(s.Events) + 1})
+				for _, name := range slices.Sorted(maps.Keys(outAt)) {
+					s.Events = append(s.Events, script.Event{Do: "drain", Times: 1, On: "edge", Name: name, At: outAt[name] - drainTime, For: drainTime + workTime, Number: len(s.Events)},
+						script.Event{Do: "kill", Times: 1, On: "edge", Name: name, At: outAt[name], For: workTime, Number: len(s.Events) + 1})
 				}
 				if lost != "" {
 					s.Events = append(s.Events, script.Event{Do: "kill", Times: 1, On: "edge", Name: lost, At: lossAt, For: lossDuration, Number: len(s.Events)})
 				}
 				r, audit, _ := runScript(t, s, Faults{})
 				if !r.Outcome.Holds {
-					t.Errorf("%s, seed %d: %+v", how, s.Seed, audit.Found)
+					t.Errorf("%s, seed %d: %+v", order, s.Seed, audit.Found)
 				}
-				low := 1.0
+				worstShare := 1.0
 				for _, p := range r.Figures.Phases[1:] {
 					inTime += float64(p.InTime)
 					throttled += float64(p.Throttled)
 					asked += float64(p.Asked)
 					core += float64(p.Core)
-					low = min(low, float64(p.InTime)/float64(p.Asked))
+					worstShare = min(worstShare, float64(p.InTime)/float64(p.Asked))
 				}
-				worst += low / seeds
+				worst += worstShare / seeds
 			}
-			t.Logf("loss %t, %s: %.1f s, in time %.4f, worst ten seconds %.3f, throttled %.4f, core requests %.0f", loss, how, took, inTime/asked, worst, throttled/asked, core/seeds)
+			t.Logf("loss %t, %s: %.1f s, in time %.4f, worst ten seconds %.3f, throttled %.4f, core requests %.0f", loss, order, took, inTime/asked, worst, throttled/asked, core/seeds)
 		}
 	}
 }
--- a/internal/rehearsal/world/box.go
+++ b/internal/rehearsal/world/box.go
@@ -97,13 +97,13 @@
 func (w *World) newBox(id, addr, zone string, r role, cores float64, cell int, spec *script.Box) *box {
 	b := &box{w: w, id: id, addr: addr, zone: zone, role: r, spec: spec, cores: cores, cell: cell, startedAt: -1, state: "ready",
 		slowdown: 1, fetching: map[key]*fetch{}, conns: map[int64]bool{}}
-	slots, most := int(float64(spec.Slots)*cores), 1.0
+	slots, maxPerJob := int(float64(spec.Slots)*cores), 1.0
 	if r == hub {
-		slots, most = 0, fillSpeedup
+		slots, maxPerJob = 0, fillSpeedup
 	} else if r == core {
-		slots, most = 0, fillSpeedup
+		slots, maxPerJob = 0, fillSpeedup
 	}
-	b.cpu = newSharedResource(&w.agenda, w.clock, cores, most, slots)
+	b.cpu = newSharedResource(&w.agenda, w.clock, cores, maxPerJob, slots)
 	if r == core {
 		b.cpu.crowding = w.script.Core.Crowded
 	}
@@ -124,15 +124,15 @@
 
 // updateCapacity recomputes the capacity, repeatedly while the box warms up.
 func (b *box) updateCapacity() {
-	most := 1.0
+	maxPerJob := 1.0
 	if b.role != edge {
-		most = fillSpeedup
+		maxPerJob = fillSpeedup
 	}
 	if b.pauses > 0 || !b.up || b.vanished {
 		b.cpu.setCapacity(0, 0)
 		return
 	}
-	b.cpu.setCapacity(b.cores*b.warmFraction()/b.slowdown, most/b.slowdown)
+	b.cpu.setCapacity(b.cores*b.warmFraction()/b.slowdown, maxPerJob/b.slowdown)
 	if b.warmFraction() < 1 {
 		b.w.scheduleAfter(b.spec.ColdFor/50, b.updateCapacity)
 	}
@@ -170,36 +170,36 @@
 	b.updateCapacity()
 }
 
-// countWork adds requested work and brings the box down when it exceeds what the box can take. If the box was still warming
-// up and the work sent by those who knew that is too much on its own, it also reports Pushed: that load should not have
-// been sent.
-func (b *box) countWork(work float64, knows bool) {
+// countWork adds requested work and brings the box down when the recent sum exceeds its limit. If the box was still warming
+// up and the work from senders that knew of this start exceeds the limit on its own, it also reports Pushed: the gateways
+// should not have sent that much.
+func (b *box) countWork(work float64, senderKnows bool) {
 	w := b.w
 	multiple, span := b.spec.FallMultiple, b.spec.FallFor
 	if b.role == core {
 		multiple, span = w.script.Core.StopsAt, w.script.Core.StopsPush
 	}
 	b.sentWork.Add(w.now, work)
-	if knows {
+	if senderKnows {
 		b.informedWork.Add(w.now, work)
 	}
-	most := multiple * b.cores * b.warmFraction() * span
-	if most <= 0 || !b.up || b.sentWork.Sum(w.now) <= most {
+	limit := multiple * b.cores * b.warmFraction() * span
+	if limit <= 0 || !b.up || b.sentWork.Sum(w.now) <= limit {
 		return
 	}
-	if knew := b.informedWork.Sum(w.now); b.role != core && b.warmFraction() < 1 && knew > most {
-		w.report(Pushed{At: w.now, Box: b.id, Sent: knew, Allowed: most})
+	if informedSum := b.informedWork.Sum(w.now); b.role != core && b.warmFraction() < 1 && informedSum > limit {
+		w.report(Pushed{At: w.now, Box: b.id, Sent: informedSum, Allowed: limit})
 	}
 	w.report(Fell{At: w.now, Box: b.id})
 	b.sentWork.Clear()
 	b.informedWork.Clear()
 	b.stop()
-	back := b.spec.FallenFor
+	restartDelay := b.spec.FallenFor
 	if b.role == core {
-		back = w.script.Core.StopsFor
+		restartDelay = w.script.Core.StopsFor
 	}
-	if back > 0 {
-		w.scheduleRestart(b, back)
+	if restartDelay > 0 {
+		w.scheduleRestart(b, restartDelay)
 	}
 }
 
@@ -309,21 +309,21 @@
 		finish(nil, "BROKE")
 	})
 	r.cancel = func() { finish(nil, "") }
-	from := w.boxes[r.source]
-	if from == nil || from.role == edge {
+	source := w.boxes[r.source]
+	if source == nil || source.role == edge {
 		w.scheduleAfter(roundTrip, func() { finish(nil, "BROKE") })
 		return
 	}
-	hop := w.latency(b.zone, from.zone)
+	hop := w.latency(b.zone, source.zone)
 	w.scheduleAfter(hop, func() {
 		switch {
-		case ended || from.vanished || from.silent:
-		case !from.up:
+		case ended || source.vanished || source.silent:
+		case !source.up:
 			w.scheduleAfter(hop, func() { finish(nil, "BROKE") })
-		case from.role == core:
-			from.produce(r, func(m *objectCopy) { w.transferFill(b, r, m, hop, &ended, finish) })
+		case source.role == core:
+			source.produce(r, func(m *objectCopy) { w.transferFill(b, r, m, hop, &ended, finish) })
 		default:
-			from.supplyFill(r, b, hop, &ended, finish)
+			source.supplyFill(r, b, hop, &ended, finish)
 		}
 	})
 }
@@ -331,22 +331,22 @@
 // supplyFill is the hub's side of a fill.
 func (b *box) supplyFill(r *request, to *box, hop float64, ended *bool, finish func(*objectCopy, string)) {
 	w := b.w
-	reply := func(word string) { w.scheduleAfter(hop, func() { finish(nil, word) }) }
+	failWith := func(word string) { w.scheduleAfter(hop, func() { finish(nil, word) }) }
 	if b.countWork(r.expectedWork(), true); !b.up {
-		reply("BROKE")
+		failWith("BROKE")
 		return
 	}
 	if b.cpu.jobCount() >= int(float64(b.spec.Queue)*b.cores) {
-		reply("WAIT")
+		failWith("WAIT")
 		return
 	}
 	if u := w.random.uniform("error", r.id, b.id); u < b.failShare {
-		reply("BROKE")
+		failWith("BROKE")
 		return
 	}
-	out := func(m *objectCopy) {
+	deliver := func(m *objectCopy) {
 		if m == nil {
-			reply("BROKE")
+			failWith("BROKE")
 		} else if !*ended {
 			j := b.cpu.add(r.work, func() { w.transferFill(to, r, m, hop, ended, finish) })
 			r.cancel = func() { b.cpu.remove(j); finish(nil, "") }
@@ -354,11 +354,11 @@
 	}
 	if c := b.lookUp(r); c != nil {
 		m := c.objectCopy
-		out(&m)
+		deliver(&m)
 		return
 	}
 	if strings.Contains(r.options, "h") {
-		reply("LACK")
+		failWith("LACK")
 		return
 	}
 	f := b.fetching[r.key]
@@ -391,7 +391,7 @@
 		})
 	}
 	f.keep = f.keep || !strings.Contains(r.options, "n")
-	f.waiting = append(f.waiting, out)
+	f.waiting = append(f.waiting, deliver)
 }
 
 // produce is the core's side of a fill: it makes the object in its present version.
@@ -431,21 +431,21 @@
 // forwardWrite passes a write on to the core, which runs it each time it arrives: sending it only once is up to the gateways.
 func (b *box) forwardWrite(r *request) {
 	w := b.w
-	from := w.boxes[r.source]
-	if from == nil {
+	source := w.boxes[r.source]
+	if source == nil {
 		b.answerBriefly(r, "LACK")
 		return
 	}
 	to, hop := w.core(), w.latency(b.zone, w.core().zone)
-	over := false
-	r.timer = w.scheduleAfter(b.spec.FillTimeout, func() { over = true; b.answerBriefly(r, "BROKE") })
+	timedOut := false
+	r.timer = w.scheduleAfter(b.spec.FillTimeout, func() { timedOut = true; b.answerBriefly(r, "BROKE") })
 	w.scheduleAfter(hop, func() {
 		if to.vanished || to.silent {
 			return
 		}
 		if to.countWork(r.expectedWork(), true); !to.up {
 			w.scheduleAfter(hop, func() {
-				if !over && b.up {
+				if !timedOut && b.up {
 					w.agenda.Remove(r.timer)
 					b.answerBriefly(r, "BROKE")
 				}
@@ -459,7 +459,7 @@
 				return
 			}
 			w.scheduleAfter(hop+w.script.Core.Answers, func() {
-				if !over && b.up {
+				if !timedOut && b.up {
 					w.agenda.Remove(r.timer)
 					j := b.cpu.add(r.work, func() {
 						b.answer(r, "DONE", "fill", &objectCopy{key: r.key, tag: w.random.id("ran", r.id), createdAt: w.now, size: 64})
@@ -513,11 +513,11 @@
 	if w.bodyDivisor > 0 {
 		size = max(size, min(240_000, int(m.size)/w.bodyDivisor))
 	}
-	b := make([]byte, size)
+	body := make([]byte, size)
 	for n := 0; n < size; {
-		n += copy(b[n:], head)
+		n += copy(body[n:], head)
 	}
-	return b
+	return body
 }
 
 // loadReport returns the load gauges as of one or two report intervals ago.
--- a/internal/rehearsal/world/clients.go
+++ b/internal/rehearsal/world/clients.go
@@ -15,17 +15,17 @@
 	popularity zipf
 }
 
-func (k *contentType) group(w *World, object string) int {
+func (t *contentType) group(w *World, object string) int {
 	return int(w.random.hash("group", object) % 256)
 }
 
 // largePeriod is a time during which clients request new objects of many times the usual size.
 type largePeriod struct{ share, factor float64 }
 
-// Prefixes of object ids. They mark large objects, so that the size follows from the id alone,
+// Prefixes of object ids, so that the kind of an object follows from its id without a table.
 const (
-	largeMark = "1a46e"
-	onceMark  = "0ce0ce" // and objects that are requested only once
+	largeMark = "1a46e"  // large objects
+	onceMark  = "0ce0ce" // objects that are requested only once
 )
 
 // gateway is a gateway as the clients' front end sees it.
@@ -392,8 +392,8 @@
 		return
 	}
 	w.report(Down{At: w.now, Gateway: g.number, Crashed: crashed})
-	told := g.ending
-	if g.routedUntil = 0; !told {
+	terminated := g.ending
+	if g.routedUntil = 0; !terminated {
 		g.routedUntil = w.now + w.script.Clients.Notices
 	}
 	g.up, g.ready, g.ending = false, false, false
--- a/internal/rehearsal/world/directory.go
+++ b/internal/rehearsal/world/directory.go
@@ -76,15 +76,15 @@
 }
 
 // publishLater announces boxes some time after they changed.
-func (w *World) publishLater(late float64, boxes ...*box) {
-	w.scheduleAfter(late+w.directory.lag, func() { w.directory.publish(w, false, boxes...) })
+func (w *World) publishLater(delay float64, boxes ...*box) {
+	w.scheduleAfter(delay+w.directory.lag, func() { w.directory.publish(w, false, boxes...) })
 }
 
 // scheduleRestart starts a stopped box again, empty, after a delay. The directory announces its loss and its return, in that
 // order.
-func (w *World) scheduleRestart(b *box, back float64) {
+func (w *World) scheduleRestart(b *box, delay float64) {
 	if b.role == core {
-		w.scheduleAfter(back, func() { b.start(false) })
+		w.scheduleAfter(delay, func() { b.start(false) })
 		return
 	}
 	w.scheduleAfter(w.script.List.Notices+w.directory.lag, func() {
@@ -93,7 +93,7 @@
 			w.directory.publish(w, false, b)
 		}
 	})
-	w.scheduleAfter(back, func() {
+	w.scheduleAfter(delay, func() {
 		if b.up {
 			return
 		}
@@ -136,10 +136,10 @@
 }
 
 // tag identifies the version of an object: what the core produces changes with each purge.
-func (w *World) tag(partKey key, group int, born float64) string {
+func (w *World) tag(partKey key, group int, createdAt float64) string {
 	n := 0
 	for _, at := range [][]float64{w.objectPurges[partKey.object], w.groupPurges[group]} {
-		i, _ := slices.BinarySearchFunc(at, born, func(a, b float64) int { return cmp.Compare(a, b) })
+		i, _ := slices.BinarySearchFunc(at, createdAt, func(a, b float64) int { return cmp.Compare(a, b) })
 		n += i
 	}
 	return w.random.id("tag", partKey.object, partKey.part, n)
--- a/internal/rehearsal/world/shared_resource.go
+++ b/internal/rehearsal/world/shared_resource.go
@@ -24,8 +24,8 @@
 	removed bool // it was cancelled
 }
 
-func newSharedResource(a *Agenda, now func() float64, capacity, most float64, slots int) *sharedResource {
-	s := &sharedResource{agenda: a, now: now, capacity: capacity, maxPerJob: most, slots: slots, updatedAt: now()}
+func newSharedResource(a *Agenda, now func() float64, capacity, maxPerJob float64, slots int) *sharedResource {
+	s := &sharedResource{agenda: a, now: now, capacity: capacity, maxPerJob: maxPerJob, slots: slots, updatedAt: now()}
 	s.timer = &Entry{index: -1, run: s.completeDue}
 	return s
 }
@@ -36,11 +36,11 @@
 	if n == 0 {
 		return 0
 	}
-	whole := s.capacity
-	if s.crowding > 0 && whole > 0 {
-		whole /= 1 + s.crowding*max(0, (n+float64(len(s.waiting)))*s.maxPerJob/whole-1)
+	capacity := s.capacity
+	if s.crowding > 0 && capacity > 0 {
+		capacity /= 1 + s.crowding*max(0, (n+float64(len(s.waiting)))*s.maxPerJob/capacity-1)
 	}
-	return min(s.maxPerJob, whole/n)
+	return min(s.maxPerJob, capacity/n)
 }
 
 func (s *sharedResource) advance() {
@@ -98,9 +98,9 @@
 }
 
 // setCapacity changes the capacity; jobs in service continue at the new rate.
-func (s *sharedResource) setCapacity(capacity, most float64) {
+func (s *sharedResource) setCapacity(capacity, maxPerJob float64) {
 	s.advance()
-	s.capacity, s.maxPerJob = capacity, most
+	s.capacity, s.maxPerJob = capacity, maxPerJob
 	s.reschedule()
 }
 
@@ -115,8 +115,8 @@
 }
 
 func (s *sharedResource) reschedule() {
-	if pace := s.ratePerJob(); pace > 0 {
-		s.agenda.Move(s.timer, s.now()+max(0, s.serving[0].at-s.workPerJob)/pace)
+	if rate := s.ratePerJob(); rate > 0 {
+		s.agenda.Move(s.timer, s.now()+max(0, s.serving[0].at-s.workPerJob)/rate)
 	} else {
 		s.agenda.Remove(s.timer)
 	}
@@ -124,15 +124,15 @@
 
 func (s *sharedResource) completeDue() {
 	s.advance()
-	var over []func()
+	var completed []func()
 	// A remainder below the resolution of the clock would otherwise be due forever.
 	for len(s.serving) > 0 && s.serving[0].at <= s.workPerJob+1e-9*(1+s.workPerJob) {
-		over = append(over, s.serving[0].run)
+		completed = append(completed, s.serving[0].run)
 		removeEntry(&s.serving, s.serving[0])
 	}
 	s.admitWaiting()
 	s.reschedule()
-	for _, do := range over {
+	for _, do := range completed {
 		do()
 	}
 }
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -197,18 +197,18 @@
 )
 
 func (w *World) handleDial(e Dialled) {
-	var at *box
+	var target *box
 	for _, b := range w.boxOrder { // if several boxes had this address, the latest one has it now
 		if b.addr == e.Address && b.up {
-			at = b
+			target = b
 		}
 	}
 	switch {
-	case at == nil:
+	case target == nil:
 		w.emit(Refuse{Conn: e.Conn})
-	case !at.vanished:
-		w.conns[e.Conn] = &conn{id: e.Conn, box: at, requests: map[string]*request{}}
-		at.conns[e.Conn] = true
+	case !target.vanished:
+		w.conns[e.Conn] = &conn{id: e.Conn, box: target, requests: map[string]*request{}}
+		target.conns[e.Conn] = true
 		w.emit(Accept{Conn: e.Conn})
 	}
 }
--- a/internal/rehearsal/world/world_test.go
+++ b/internal/rehearsal/world/world_test.go
@@ -13,18 +13,18 @@
 // A shared resource serves its jobs as a naive simulation with small time steps does.
 func TestSharedResource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		capacity, most := rapid.Float64Range(0.5, 8).Draw(t, "capacity"), rapid.Float64Range(0.5, 3).Draw(t, "most")
+		capacity, maxPerJob := rapid.Float64Range(0.5, 8).Draw(t, "capacity"), rapid.Float64Range(0.5, 3).Draw(t, "most")
 		slots := rapid.IntRange(0, 5).Draw(t, "slots")
-		type one struct{ at, work, off, ends float64 }
-		jobs := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) *one {
-			return &one{at: float64(rapid.IntRange(0, 40).Draw(t, "at")), work: float64(rapid.IntRange(1, 30).Draw(t, "work")),
+		type testJob struct{ at, work, off, ends float64 }
+		jobs := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) *testJob {
+			return &testJob{at: float64(rapid.IntRange(0, 40).Draw(t, "at")), work: float64(rapid.IntRange(1, 30).Draw(t, "work")),
 				off: float64(rapid.SampledFrom([]int{0, 0, 0, 5}).Draw(t, "off")), ends: -1}
 		}), 1, 12).Draw(t, "jobs")
-		slices.SortStableFunc(jobs, func(a, b *one) int { return int(a.at - b.at) })
+		slices.SortStableFunc(jobs, func(a, b *testJob) int { return int(a.at - b.at) })
 
 		var agenda Agenda
 		now := 0.0
-		s := newSharedResource(&agenda, func() float64 { return now }, capacity, most, slots)
+		s := newSharedResource(&agenda, func() float64 { return now }, capacity, maxPerJob, slots)
 		got := make([]float64, len(jobs))
 		for i, j := range jobs {
 			got[i] = -1
@@ -41,20 +41,20 @@
 		}
 
 		// The model: steps of a thousandth of a ms; as many jobs as there are slots, in FIFO order, get an equal share.
-		left := make([]float64, len(jobs))
+		remaining := make([]float64, len(jobs))
 		for i, j := range jobs {
-			left[i] = j.work
+			remaining[i] = j.work
 		}
 		const step = 0.001
 		for at := 0.0; at < 2000; at += step {
 			var open []int
 			for i, j := range jobs {
-				if at >= j.at-step/2 && left[i] > 0 && (j.off == 0 || at < j.at+j.off) && (slots == 0 || len(open) < slots) {
+				if at >= j.at-step/2 && remaining[i] > 0 && (j.off == 0 || at < j.at+j.off) && (slots == 0 || len(open) < slots) {
 					open = append(open, i)
 				}
 			}
 			for _, i := range open {
-				if left[i] -= min(most, capacity/float64(len(open))) * step; left[i] <= 0 {
+				if remaining[i] -= min(maxPerJob, capacity/float64(len(open))) * step; remaining[i] <= 0 {
 					jobs[i].ends = at + step
 				}
 			}
@@ -77,20 +77,20 @@
 func TestStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStore(10)
-		type plain struct {
+		type modelCopy struct {
 			objectCopy
 			rank, used int
 		}
-		var all []*plain
+		var model []*modelCopy
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			k := key{"o", rapid.IntRange(0, 9).Draw(t, "key")}
-			i := slices.IndexFunc(all, func(p *plain) bool { return p.key == k })
+			i := slices.IndexFunc(model, func(p *modelCopy) bool { return p.key == k })
 			if rapid.Bool().Draw(t, "get") {
 				if got := s.get(k, 0); (got != nil) != (i >= 0) {
 					t.Fatalf("step %d: %v is there: %t, in the model: %t", step, k, got != nil, i >= 0)
 				}
 				if i >= 0 {
-					all[i].used = step
+					model[i].used = step
 				}
 				continue
 			}
@@ -98,23 +98,23 @@
 			rank := rapid.IntRange(0, 3).Draw(t, "rank")
 			s.put(m, rank)
 			if i >= 0 {
-				all = slices.Delete(all, i, i+1)
+				model = slices.Delete(model, i, i+1)
 			}
-			slices.SortFunc(all, func(a, b *plain) int {
+			slices.SortFunc(model, func(a, b *modelCopy) int {
 				if a.rank != b.rank {
 					return a.rank - b.rank
 				}
 				return a.used - b.used
 			})
-			used, going := m.size, 0
-			for _, p := range all {
+			used, evicted := m.size, 0
+			for _, p := range model {
 				used += p.size
 			}
-			for ; used > 10 && going < len(all) && all[going].rank <= rank; going++ {
-				used -= all[going].size
+			for ; used > 10 && evicted < len(model) && model[evicted].rank <= rank; evicted++ {
+				used -= model[evicted].size
 			}
 			if used <= 10 {
-				all = append(slices.Delete(all, 0, going), &plain{m, rank, step})
+				model = append(slices.Delete(model, 0, evicted), &modelCopy{m, rank, step})
 			}
 			if s.used > s.capacity {
 				t.Fatalf("step %d: %v of %v", step, s.used, s.capacity)
@@ -171,13 +171,13 @@
 
 // Arrivals are drawn independently: neither the number of gateways nor their answers change what clients request.
 func TestArrivalsAreDrawnAhead(t *testing.T) {
-	a, b := playUnanswered(t, 2), playUnanswered(t, 5)
-	if len(a) < 200 || len(a) != len(b) {
-		t.Fatalf("%d and %d", len(a), len(b))
+	withTwo, withFive := playUnanswered(t, 2), playUnanswered(t, 5)
+	if len(withTwo) < 200 || len(withTwo) != len(withFive) {
+		t.Fatalf("%d and %d", len(withTwo), len(withFive))
 	}
-	for i := range a {
-		if a[i].At != b[i].At || a[i].Object != b[i].Object || a[i].Part != b[i].Part || a[i].Group != b[i].Group {
-			t.Fatalf("%d: %+v and %+v", i, a[i], b[i])
+	for i := range withTwo {
+		if withTwo[i].At != withFive[i].At || withTwo[i].Object != withFive[i].Object || withTwo[i].Part != withFive[i].Part || withTwo[i].Group != withFive[i].Group {
+			t.Fatalf("%d: %+v and %+v", i, withTwo[i], withFive[i])
 		}
 	}
 }
