--- a/internal/rehearsal/world/world_test.go
+++ b/internal/rehearsal/world/world_test.go
@@ -15,10 +15,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		capacity, maxPerJob := rapid.Float64Range(0.5, 8).Draw(t, "capacity"), rapid.Float64Range(0.5, 3).Draw(t, "most")
 		slots := rapid.IntRange(0, 5).Draw(t, "slots")
-		type testJob struct{ at, work, off, ends float64 }
+		type testJob struct{ at, work, cancelAfter, ends float64 }
 		jobs := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) *testJob {
 			return &testJob{at: float64(rapid.IntRange(0, 40).Draw(t, "at")), work: float64(rapid.IntRange(1, 30).Draw(t, "work")),
-				off: float64(rapid.SampledFrom([]int{0, 0, 0, 5}).Draw(t, "off")), ends: -1}
+				cancelAfter: float64(rapid.SampledFrom([]int{0, 0, 0, 5}).Draw(t, "off")), ends: -1}
 		}), 1, 12).Draw(t, "jobs")
 		slices.SortStableFunc(jobs, func(a, b *testJob) int { return int(a.at - b.at) })
 
@@ -30,8 +30,8 @@
 			got[i] = -1
 			agenda.Add(j.at, func() {
 				job := s.add(j.work, func() { got[i] = now })
-				if j.off > 0 {
-					agenda.Add(now+j.off, func() { s.remove(job) })
+				if j.cancelAfter > 0 {
+					agenda.Add(now+j.cancelAfter, func() { s.remove(job) })
 				}
 			})
 		}
@@ -49,7 +49,7 @@
 		for at := 0.0; at < 2000; at += step {
 			var open []int
 			for i, j := range jobs {
-				if at >= j.at-step/2 && remaining[i] > 0 && (j.off == 0 || at < j.at+j.off) && (slots == 0 || len(open) < slots) {
+				if at >= j.at-step/2 && remaining[i] > 0 && (j.cancelAfter == 0 || at < j.at+j.cancelAfter) && (slots == 0 || len(open) < slots) {
 					open = append(open, i)
 				}
 			}
@@ -63,7 +63,7 @@
 			}
 		}
 		for i, j := range jobs {
-			if j.off > 0 && math.Abs(j.ends-j.at-j.off) < 0.1 {
+			if j.cancelAfter > 0 && math.Abs(j.ends-j.at-j.cancelAfter) < 0.1 {
 				continue // cancelled just as it completes
 			}
 			if math.Abs(got[i]-j.ends) > 0.1 {
