--- a/internal/rehearsal/script/script_test.go
+++ b/internal/rehearsal/script/script_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const good = `about = "x"
+const validScript = `about = "x"
 type "a" {
   share = 1
   work = "10ms"
@@ -20,9 +20,9 @@
 }
 `
 
-// What a script says wrong, or leaves out, is named by its line, and nothing that it says is passed over.
+// Errors in a script, also missing attributes, are reported with the line or the name, and no attribute is silently ignored.
 func TestParse(t *testing.T) {
-	s, err := Parse([]byte(good+"event \"slow\" {\n at = \"1s\"\n for = \"1s\"\n factor = 3\n}\nevent \"drain\" {\n at = \"500ms\"\n}"), "f.hcl")
+	s, err := Parse([]byte(validScript+"event \"slow\" {\n at = \"1s\"\n for = \"1s\"\n factor = 3\n}\nevent \"drain\" {\n at = \"500ms\"\n}"), "f.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 		{"target = \"100ms\"", "target = \"2s\"", "past the expiry"}, {"phase \"p\"", "type \"a\"", "stands twice"},
 		{"work = \"10ms\"", "work = 10", "f.hcl:4: type a.work: is number"},
 	} {
-		if _, err := Parse([]byte(strings.Replace(good, c[0], c[1], 1)), "f.hcl"); err == nil || !strings.Contains(err.Error(), c[2]) {
+		if _, err := Parse([]byte(strings.Replace(validScript, c[0], c[1], 1)), "f.hcl"); err == nil || !strings.Contains(err.Error(), c[2]) {
 			t.Errorf("%s: %v, want %q", c[1], err, c[2])
 		}
 	}
@@ -55,13 +55,13 @@
 		{"deployment {\n clubs = [\"a\", \"b\"]\n gateways = 1\n}", "1 gateways for 2 clubs"},
 		{"deployment {\n box {\n  cores_from = 9\n }\n}", "cores_from 9 is over cores_to 8"},
 	} {
-		if _, err := Parse([]byte(good+c[0]), "f.hcl"); err == nil || !strings.Contains(err.Error(), c[1]) {
+		if _, err := Parse([]byte(validScript+c[0]), "f.hcl"); err == nil || !strings.Contains(err.Error(), c[1]) {
 			t.Errorf("%q: %v, want %q", c[0], err, c[1])
 		}
 	}
 }
 
-// A site that several scripts share is read first, what the script says comes on top; a site that is wrong is named.
+// A site shared by several scripts is read first and the script overrides it; an error in a site names the site's file.
 func TestSite(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -71,8 +71,8 @@
 		}
 		return path
 	}
-	write("site.hcl", "deployment {\n gateways = 5\n box { count = 7 }\n}\n"+good[strings.Index(good, "type"):strings.Index(good, "phase")])
-	rest := good[strings.Index(good, "phase"):]
+	write("site.hcl", "deployment {\n gateways = 5\n box { count = 7 }\n}\n"+validScript[strings.Index(validScript, "type"):strings.Index(validScript, "phase")])
+	rest := validScript[strings.Index(validScript, "phase"):]
 	s, err := Load(write("a.hcl", "about = \"x\"\nsite = \"site.hcl\"\ndeployment {\n gateways = 6\n}\n"+rest))
 	if err != nil || s.Gateways != 6 || s.Box.Count != 7 || len(s.Types) != 1 || s.Name != "a" {
 		t.Errorf("%+v, %v", s, err)
--- a/internal/rehearsal/virtual/virtual_test.go
+++ b/internal/rehearsal/virtual/virtual_test.go
@@ -18,11 +18,11 @@
 	"poppymill/router"
 )
 
-// play runs a script and returns its report and what was found.
-func play(t *testing.T, s *script.Script, tamper Tamper) (*report.Report, *auditor.Auditor, Stats) {
+// runScript plays a script and returns its report, auditor and stats.
+func runScript(t *testing.T, s *script.Script, faults Faults) (*report.Report, *auditor.Auditor, Stats) {
 	t.Helper()
 	count, audit := report.New(s), auditor.New(s, 0)
-	stats, err := Run(s, Options{Tamper: tamper, Facts: func(f world.Fact) {
+	stats, err := Run(s, Options{Faults: faults, Facts: func(f world.Fact) {
 		audit.See(f)
 		count.See(f)
 	}})
@@ -32,7 +32,7 @@
 	return count.Report(audit), audit, stats
 }
 
-// The scripts that are handed out hold, and the same script and seed give the same report to the byte.
+// Checks that the shipped scripts hold, and that the same script and seed give a byte-identical report.
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("../../../deploy/rehearsals/*.hcl")
 	if err != nil || len(files) == 0 {
@@ -47,13 +47,13 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if s.Quorum.On { // gateways that agree are played by package sockets alone, and told so here
+				if s.Quorum.On { // scripts with a consensus group need package sockets, and Run must reject them
 					if _, err := Run(s, Options{}); err == nil {
 						t.Error("played in virtual time")
 					}
 					return
 				}
-				r, _, stats := play(t, s, Tamper{})
+				r, _, stats := runScript(t, s, Faults{})
 				if err := r.JSON(&texts[i]); err != nil {
 					t.Fatal(err)
 				}
@@ -75,8 +75,8 @@
 	}
 }
 
-// small is a short day on which everything that the rules speak of happens.
-const small = `
+// smallScript exercises all rules within a few seconds.
+const smallScript = `
 about = "all that the rules speak of, in eight seconds"
 deployment {
   clubs = ["a", "b"]
@@ -150,63 +150,63 @@
 }
 `
 
-// Each check bites: with one fault put into the gateways the auditor names that rule and no other, and the download,
-// gateway and time of it; without one it finds nothing.
-func TestAuditorBites(t *testing.T) {
+// Checks each of the auditor's rules: with one fault injected into the gateways the auditor reports that rule and no other, with
+// the download, gateway and time of it; without a fault it reports nothing.
+func TestAuditorFindsInjectedFaults(t *testing.T) {
 	n := 0
-	every := func(k int) bool { n++; return n%k == 0 }
+	everyNth := func(k int) bool { n++; return n%k == 0 }
 	for _, c := range []struct {
 		name   string
 		rule   auditor.Rule
-		tamper Tamper
+		faults Faults
 	}{
-		{"nothing", auditor.Rules, Tamper{}},
-		{"answers twice", auditor.OneAnswer, Tamper{Answers: func(a world.Answer) []world.Answer {
-			if every(50) {
+		{"nothing", auditor.Rules, Faults{}},
+		{"answers twice", auditor.OneAnswer, Faults{Answers: func(a world.Answer) []world.Answer {
+			if everyNth(50) {
 				return []world.Answer{a, a}
 			}
 			return []world.Answer{a}
 		}}},
-		{"forgets one", auditor.OneAnswer, Tamper{Answers: func(a world.Answer) []world.Answer {
-			if every(50) {
+		{"forgets one", auditor.OneAnswer, Faults{Answers: func(a world.Answer) []world.Answer {
+			if everyNth(50) {
 				return nil
 			}
 			return []world.Answer{a}
 		}}},
-		{"answers what it was not asked", auditor.OneAnswer, Tamper{Answers: func(a world.Answer) []world.Answer {
-			if every(50) && a.Copy != "" {
+		{"answers what it was not asked", auditor.OneAnswer, Faults{Answers: func(a world.Answer) []world.Answer {
+			if everyNth(50) && a.Copy != "" {
 				a.Copy = "0000000000000000" + a.Copy[16:]
 			}
 			return []world.Answer{a}
 		}}},
-		{"takes what may have run for what did not", auditor.NoRepeat, Tamper{Reply: func(r world.Reply) world.Reply {
+		{"takes what may have run for what did not", auditor.NoRepeat, Faults{Reply: func(r world.Reply) world.Reply {
 			if r.Word == "BROKE" {
 				r.Word = "WAIT"
 			}
 			return r
 		}}},
-		{"ignores a drain", auditor.Drains, Tamper{News: func(n channel.News) bool {
+		{"ignores a drain", auditor.Drains, Faults{News: func(n channel.News) bool {
 			return !slices.ContainsFunc(n.Nodes, func(n channel.Node) bool { return n.State == router.Draining })
 		}}},
-		{"ignores a purge", auditor.Purges, Tamper{News: func(n channel.News) bool { return !n.Purge }}},
-		{"floods a cold hub", auditor.Cold, Tamper{Settings: func(s map[string]any) {
+		{"ignores a purge", auditor.Purges, Faults{News: func(n channel.News) bool { return !n.Purge }}},
+		{"floods a cold hub", auditor.Cold, Faults{Settings: func(s map[string]any) {
 			extra := s["extra"].(map[string]any)
 			extra["parent_cold_from"], extra["upper_cold"] = 1.0, 0.0
 		}}},
-		{"lets all links in", auditor.Links, Tamper{Links: func(*links.Settings) bool { return false }}},
-		{"spends what is another's to spend", auditor.Links, Tamper{Links: func(s *links.Settings) bool {
+		{"lets all links in", auditor.Links, Faults{Links: func(*links.Settings) bool { return false }}},
+		{"spends what is another's to spend", auditor.Links, Faults{Links: func(s *links.Settings) bool {
 			s.Audience = append(s.Audience, "gateway-a-a", "gateway-b-b", "gateway-c-a")
 			return true
 		}}},
-		{"signs nothing for boxes", auditor.Links, Tamper{Links: func(s *links.Settings) bool { s.Boxes = 0; return true }}},
-		{"ends by itself", auditor.Alive, Tamper{Crash: func(g int, now float64) bool { return g == 1 && now > 3000 && now < 3200 }}},
+		{"signs nothing for boxes", auditor.Links, Faults{Links: func(s *links.Settings) bool { s.Boxes = 0; return true }}},
+		{"ends by itself", auditor.Alive, Faults{Crash: func(g int, now float64) bool { return g == 1 && now > 3000 && now < 3200 }}},
 	} {
 		n = 0
-		s, err := script.Parse([]byte(small), "small.hcl")
+		s, err := script.Parse([]byte(smallScript), "small.hcl")
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, audit, _ := play(t, s, c.tamper)
+		_, audit, _ := runScript(t, s, c.faults)
 		for r := range auditor.Rules {
 			if found := audit.Counts[r] > 0; found != (r == c.rule) {
 				t.Errorf("%s: %d findings on %v: %v", c.name, audit.Counts[r], r, audit.Found[r][:min(2, len(audit.Found[r]))])
--- /dev/null
+++ b/internal/rehearsal/world/messages.go
@@ -0,0 +1,305 @@
+// Package world emulates a deployment against which gateways are tested: edge caches, hubs, the member core, the links
+// between them, the directory of boxes, and the clients. It is deterministic: events come in with their time and actions
+// go out; it has no goroutine, socket or clock. All randomness derives from the script's seed, and each random draw is
+// keyed by its purpose.
+//
+// This file holds its events, actions and facts. Times are milliseconds since the start of the rehearsal, sizes are bytes, and
+// work is milliseconds of one core at speed 1. Gateways are identified by number, boxes by id, connections by a number that
+// the driver assigns.
+package world
+
+import (
+	"poppymill/internal/links"
+	"poppymill/internal/rehearsal/script"
+)
+
+// Events, which a driver passes to World.Handle.
+type (
+	// Dialled: a gateway opens a connection to an address.
+	Dialled struct {
+		Conn    int64
+		Address string
+	}
+	// Command is a command on such a connection: GET, DROP, PING or LOAD.
+	Command struct {
+		Conn     int64
+		Verb, ID string
+		Fields   map[string]string
+		Body     int // bytes
+	}
+	// Hung: the gateway closed a connection, or it broke.
+	Hung struct{ Conn int64 }
+	// Answer is a gateway's answer to a client.
+	Answer struct {
+		Gateway int
+		ID      string
+		Status  int
+		Wait    float64 // ms until the client should retry; 0: not given
+		Still   bool
+		Copy    string // first line of the body, which identifies the copy
+		Token   string // renewed link for the client
+		Ticket  string // to present when it comes back
+	}
+	// Unanswered: a request's connection was refused, or ended before an answer.
+	Unanswered struct {
+		ID      string
+		Refused bool // the request was never accepted
+	}
+	// Ready: a gateway passes its health check after its start.
+	Ready struct{ Gateway int }
+	// Exited: a gateway's process ended. Crashed: without being told to.
+	Exited struct {
+		Gateway int
+		Crashed bool
+	}
+	// Heard: a gateway has received the channel's events up to a cursor.
+	Heard struct {
+		Gateway int
+		Cursor  int
+	}
+)
+
+// Actions, which the driver carries out in order.
+type (
+	// Accept completes a connection.
+	Accept struct{ Conn int64 }
+	// Refuse refuses a connection.
+	Refuse struct{ Conn int64 }
+	// Reset closes a connection at once.
+	Reset struct{ Conn int64 }
+	// Reply sends a reply on a connection.
+	Reply struct {
+		Conn              int64
+		Tag, Word, Fields string
+		Body              []byte
+		Cut               bool // it breaks off within the body, and the connection closes
+	}
+	// Listen makes a box reachable under an address; the driver may map it to any real one.
+	Listen struct{ Address string }
+	// Shut makes it unreachable: connections are refused or, if Mute, neither accepted nor refused.
+	Shut struct {
+		Address string
+		Mute    bool
+	}
+	// Publish sends an event on the command channel to all gateways.
+	Publish struct {
+		Cursor int
+		Event  map[string]any
+	}
+	// Channel changes how the command channel behaves until the next such action.
+	Channel struct{ How ChannelState }
+	// Ask sends a client's request to a gateway.
+	Ask struct {
+		Gateway int
+		Request
+	}
+	// Abort cancels it.
+	Abort struct {
+		Gateway int
+		ID      string
+	}
+	// Keys makes all gateways load another set of keys for signed links.
+	Keys struct{ Keys []links.Key }
+	// Start, Kill, Term and Hup act on a gateway's process: start it without state, kill it, ask it to terminate, make it
+	// reload its configuration.
+	Start struct{ Gateway int }
+	Kill  struct {
+		Gateway int
+		Disk    string // what remains of its consensus state: lost, or old (as of its last Copy); empty: all of it
+	}
+	// Copy saves a copy of the gateway's state on disk. Fill makes its disk full or, with Undo, writable again.
+	Copy struct{ Gateway int }
+	Fill struct {
+		Gateway int
+		Undo    bool
+	}
+	// Work submits a job for the whole fleet to the gateways.
+	Work struct{ Job script.Job }
+	// Withdraw asks the gateways to agree on a purge of objects or groups.
+	Withdraw struct {
+		ID      string
+		Objects []string
+		Groups  []int64
+	}
+	Term struct{ Gateway int }
+	Hup  struct{ Gateway int }
+)
+
+// Freeze suspends a gateway's process, or resumes it.
+type Freeze struct {
+	Gateway int
+	Thaw    bool
+}
+
+// Part drops the traffic from some gateways to the others and, unless OneWay, back; Heal ends that.
+type Part struct {
+	Apart  []int
+	OneWay bool
+	Heal   bool
+}
+
+// Slow delays traffic between some gateways and the others by so many ms; 0 ends that.
+type Slow struct {
+	Some []int
+	By   float64
+}
+
+// Sever closes all connections between some gateways and the others; new ones can be opened.
+type Sever struct{ Some []int }
+
+// ChannelState is how the command channel behaves.
+type ChannelState int
+
+// The channel's states.
+const (
+	Whole     ChannelState = iota
+	Broken                 // its connections break once; new ones can be opened
+	Muted                  // its connections stay open, but nothing is sent
+	Repeating              // it sends everything twice
+)
+
+// Request is a client's request.
+type Request struct {
+	ID, Type, Object string
+	Part, Group      int
+	Allow            float64 // ms that the client waits
+	Mine             string  // tag of a copy that the client holds
+	Body             int     // size in bytes
+	Token            string  // signed link; empty: none
+	Club             string  // as the front end reports it
+	Client           string
+	Ticket           string // ticket of an appointment
+	Chain            string // id of a write's link: what must run only once
+	Source           string // client address that the front end reports
+	Forged           bool   // it must be rejected
+}
+
+// Fact is one of the types below: what the emulator itself observed, for auditing and counting. It never relies on what a
+// gateway reports about itself.
+type Fact any
+
+// Facts, reported in the order in which they occur.
+type (
+	// Asked: a request was sent to a gateway.
+	Asked struct {
+		At, Expiry float64
+		Gateway    int
+		Repeat     string // whether it may run twice: retriable, deduped, non-retriable
+		First      bool   // not a client's retry
+		Request
+	}
+	// Answered: a client got an answer.
+	Answered struct {
+		At float64
+		Answer
+	}
+	// Ended: a request ended for its client without an answer.
+	Ended struct {
+		At      float64
+		ID, Why string
+	}
+	// Pulled: a box received a complete GET.
+	Pulled struct {
+		At                float64
+		Gateway           int
+		ID, Object, Type  string
+		Part, Group       int
+		Box, Zone, Source string
+		Cell              int
+	}
+	// Served: a box ended a GET with a reply word; Born is when the core produced the copy.
+	Served struct {
+		At      float64
+		ID, Box string
+		Word    string
+		Note    string
+		Born    float64
+		Copy    bool
+	}
+	// Ran: a write took effect.
+	Ran struct {
+		At float64
+		ID string
+	}
+	// Told: a gateway learned of a box's state, or of a purge that took place at When.
+	Told struct {
+		At         float64
+		Gateway    int
+		Box, State string
+		Purged     string // object id, or empty
+		Group      int    // -1: none
+		When       float64
+	}
+	// Purging: the gateways accepted a purge of their own. After By, no answer may come from a copy made before When.
+	Purging struct {
+		Object   string // empty: a whole group
+		Group    int
+		Club     string
+		When, By float64
+	}
+	// Pushed: the load sent to a cold box in the last window exceeds its present capacity, and it fails.
+	Pushed struct {
+		At            float64
+		Box           string
+		Sent, Allowed float64
+	}
+	// Fell: a box or the core failed from overload.
+	Fell struct {
+		At  float64
+		Box string
+	}
+	// Unsigned: a box received a GET without a link that is valid for it.
+	Unsigned struct {
+		At      float64
+		ID, Box string
+	}
+	// Made: the core was asked to produce an object.
+	Made struct{ At float64 }
+	// Moved: bytes were sent over a link.
+	Moved struct {
+		At    float64
+		Link  string
+		Bytes float64
+	}
+	// Wanted: a client's operation ended, over all its attempts.
+	Wanted struct {
+		At, Asked float64
+		Type      string
+		Member    string // member that the client belongs to
+		Verdict   Verdict
+		Tries     int
+	}
+	// Restarted: a gateway's process started anew.
+	Restarted struct {
+		At      float64
+		Gateway int
+	}
+	// Effected is one line in a gateway's log of fleet-wide job steps that it ran, in the order of that log.
+	Effected struct {
+		At            float64
+		Gateway, Step int
+		Job, From     string
+		Type          string
+		Token, Newer  uint64 // Newer: the step was refused because this higher token was seen
+		Again, Told   bool   // Again: it had run before; Told: no step, only a notice of a token
+	}
+	// Down: a gateway's process ended. Crashed: without being told to.
+	Down struct {
+		At      float64
+		Gateway int
+		Crashed bool
+	}
+)
+
+// Verdict is the outcome of an operation.
+type Verdict int
+
+// The verdicts.
+const (
+	InTime Verdict = iota
+	Late
+	Throttled
+	Abandoned
+	Lost // never answered
+	Left // the client went away first
+)
