--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -63,16 +63,16 @@
 	p.peak = p.lent
 }
 
-// Out returns the number of buffers in use.
-func (p *Pool) Out() int {
+// InUse returns the number of buffers in use.
+func (p *Pool) InUse() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lent
 }
 
-// Chain is a reference-counted body in pooled buffers. Passing it on passes the reference too, unless the caller takes
-// another one by Hold. The last Release returns the buffers. A nil Chain is an empty body.
-type Chain struct {
+// Body is a reference-counted body in pooled buffers. Passing it on passes the reference too, unless the caller takes
+// another one by Hold. The last Release returns the buffers. A nil Body is an empty body.
+type Body struct {
 	pool  *Pool
 	parts [][]byte
 	size  int
@@ -80,14 +80,14 @@
 }
 
 // NewChain returns an empty body with one reference.
-func NewChain(p *Pool) *Chain {
-	c := &Chain{pool: p}
+func NewChain(p *Pool) *Body {
+	c := &Body{pool: p}
 	c.refs.Store(1)
 	return c
 }
 
 // Append copies bytes to the end of the body; false if the pool is exhausted.
-func (c *Chain) Append(b []byte) bool {
+func (c *Body) Append(b []byte) bool {
 	for len(b) > 0 {
 		last := len(c.parts) - 1
 		if last < 0 || len(c.parts[last]) == Size {
@@ -108,7 +108,7 @@
 }
 
 // Len returns the length of the body in bytes.
-func (c *Chain) Len() int {
+func (c *Body) Len() int {
 	if c == nil {
 		return 0
 	}
@@ -116,15 +116,15 @@
 }
 
 // Parts returns the buffers of the body, which must not be changed.
-func (c *Chain) Parts() [][]byte {
+func (c *Body) Parts() [][]byte {
 	if c == nil {
 		return nil
 	}
 	return c.parts
 }
 
-// Hold adds a reference.
-func (c *Chain) Hold() *Chain {
+// Retain adds a reference.
+func (c *Body) Retain() *Body {
 	if c != nil {
 		assert.That(c.refs.Add(1) > 1, "no reference is added to a released body")
 	}
@@ -132,7 +132,7 @@
 }
 
 // Release drops a reference.
-func (c *Chain) Release() {
+func (c *Body) Release() {
 	if c == nil {
 		return
 	}
--- a/internal/buffer/buffer_test.go
+++ b/internal/buffer/buffer_test.go
@@ -20,15 +20,15 @@
 	if c.Append(make([]byte, 2*Size)) {
 		t.Error("Append succeeded on an exhausted pool")
 	}
-	c.Hold().Release()
-	if p.Out() != 3 {
-		t.Errorf("%d buffers in use while a reference is left, want 3", p.Out())
+	c.Retain().Release()
+	if p.InUse() != 3 {
+		t.Errorf("%d buffers in use while a reference is left, want 3", p.InUse())
 	}
-	if c.Release(); p.Out() != 0 {
-		t.Errorf("%d buffers were not returned", p.Out())
+	if c.Release(); p.InUse() != 0 {
+		t.Errorf("%d buffers were not returned", p.InUse())
 	}
-	var none *Chain
-	none.Hold().Release()
+	var none *Body
+	none.Retain().Release()
 	if none.Len() != 0 || none.Parts() != nil {
 		t.Error("a nil chain is not an empty body")
 	}
--- a/internal/caches/caches_test.go
+++ b/internal/caches/caches_test.go
@@ -59,8 +59,8 @@
 			reply.Body.Release()
 		}
 	}
-	if p.Release(); pool.Out() != 0 {
-		t.Errorf("%d buffers were not returned", pool.Out())
+	if p.Release(); pool.InUse() != 0 {
+		t.Errorf("%d buffers were not returned", pool.InUse())
 	}
 	if err != nil {
 		return strings.Join(out, "; "), err.Error()
--- a/internal/caches/pool.go
+++ b/internal/caches/pool.go
@@ -20,11 +20,11 @@
 type Pull struct {
 	ID, Node    string
 	Fields      string
-	Body        *buffer.Chain // the pool takes its own reference
-	Mine        string        // checksum of the client's own copy, which the node may confirm by KEEP
-	Copies      bool          // a fulfilled reply carries a copy, so it must give sum and t0
-	MaxAge      float64       // maximum age of the copy, in ms, when the pull is sent; 0: no limit
-	Before      *Pull         // the previous pull of the same download, which has the same ID
+	Body        *buffer.Body // the pool takes its own reference
+	Mine        string       // checksum of the client's own copy, which the node may confirm by KEEP
+	Copies      bool         // a fulfilled reply carries a copy, so it must give sum and t0
+	MaxAge      float64      // maximum age of the copy, in ms, when the pull is sent; 0: no limit
+	Before      *Pull        // the previous pull of the same download, which has the same ID
 	Owner       any
 	conn        *conn
 	command     *Item
@@ -42,7 +42,7 @@
 	Note   router.Note
 	Load   map[string]float64
 	Keep   bool // the client's own copy is current
-	Body   *buffer.Chain
+	Body   *buffer.Body
 	At     float64
 }
 
@@ -184,7 +184,7 @@
 	pull.conn, c.open[pull.ID], c.lastSent, pull.sentAt = c, pull, now, now
 	pull.command = &Item{head: head}
 	if pull.Body.Len() > 0 {
-		pull.command.body = pull.Body.Hold()
+		pull.command.body = pull.Body.Retain()
 	}
 	if c.wire.Send(pull.command) {
 		return true
--- a/internal/caches/resp.go
+++ b/internal/caches/resp.go
@@ -24,7 +24,7 @@
 // Reply is one reply as received: the ID of its command (Tag), a word for the outcome, fields and a body.
 type Reply struct {
 	Tag, Word, Fields string
-	Body              *buffer.Chain
+	Body              *buffer.Body
 	Short             bool // the body is incomplete, as no buffer was available
 }
 
@@ -36,7 +36,7 @@
 	index       int       // of the current string in the array
 	bytesLeft   int       // of the current string with its CRLF; -1: its length line comes first
 	header      [3][]byte // tag, word and fields
-	body        *buffer.Chain
+	body        *buffer.Body
 	truncated   bool
 }
 
--- a/internal/caches/wire.go
+++ b/internal/caches/wire.go
@@ -15,7 +15,7 @@
 // Item is one command to a node, in the write queue of a wire.
 type Item struct {
 	head  []byte
-	body  *buffer.Chain
+	body  *buffer.Body
 	state atomic.Int32
 }
 
--- a/internal/canon/canon.go
+++ b/internal/canon/canon.go
@@ -9,8 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrUnreadable reports that bytes can't be decoded as the expected value.
-var ErrUnreadable = errors.New("can't be read")
+// ErrMalformed reports that bytes can't be decoded as the expected value.
+var ErrMalformed = errors.New("can't be read")
 
 var (
 	encoding, _ = cbor.CoreDetEncOptions().EncMode()
@@ -30,7 +30,7 @@
 // Decode decodes a value into v. After an error v may be partly filled and must not be used.
 func Decode(b []byte, v any) error {
 	if err := decoding.Unmarshal(b, v); err != nil {
-		return fmt.Errorf("%w: %v", ErrUnreadable, err)
+		return fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	return nil
 }
--- a/internal/chance/chance.go
+++ b/internal/chance/chance.go
@@ -2,15 +2,15 @@
 // the same actions.
 package chance
 
-// Chance is a multiply-with-carry generator. The low 32 bits are its state, the high 32 bits the carry; its value at the
+// Source is a multiply-with-carry generator. The low 32 bits are its state, the high 32 bits the carry; its value at the
 // start is the seed.
-type Chance uint64
+type Source uint64
 
-// Next returns the next 32 bits.
-func (c *Chance) Next() uint32 {
+// Uint32 returns the next 32 bits.
+func (c *Source) Uint32() uint32 {
 	*c = 4294957665*(*c&0xffffffff) + *c>>32
 	return uint32(*c)
 }
 
-// Below returns a number in [0, 1).
-func (c *Chance) Below() float64 { return float64(c.Next()) / (1 << 32) }
+// Float64 returns a number in [0, 1).
+func (c *Source) Float64() float64 { return float64(c.Uint32()) / (1 << 32) }
--- a/internal/checked/checked.go
+++ b/internal/checked/checked.go
@@ -18,13 +18,13 @@
 	berrors "go.etcd.io/bbolt/errors"
 )
 
-// ErrSpoilt reports that a store holds data that was never written to it in this form, after a torn write, corruption
+// ErrCorrupt reports that a store holds data that was never written to it in this form, after a torn write, corruption
 // of the disk or a partial restore. Its content must not be used.
-var ErrSpoilt = errors.New("the store is corrupt")
+var ErrCorrupt = errors.New("the store is corrupt")
 
-// Spoilt reports whether an error means that a store is corrupt, as found by this package or by bbolt.
-func Spoilt(err error) bool {
-	for _, e := range []error{ErrSpoilt, berrors.ErrInvalid, berrors.ErrChecksum, berrors.ErrVersionMismatch} {
+// IsCorrupt reports whether an error means that a store is corrupt, as found by this package or by bbolt.
+func IsCorrupt(err error) bool {
+	for _, e := range []error{ErrCorrupt, berrors.ErrInvalid, berrors.ErrChecksum, berrors.ErrVersionMismatch} {
 		if errors.Is(err, e) {
 			return true
 		}
@@ -32,14 +32,14 @@
 	return false
 }
 
-// Guard turns a panic of bbolt into ErrSpoilt: bbolt panics on an inconsistent page, or faults as it reads past the
-// end of its mapped file. Use it as `defer Guard(&err)()`.
-func Guard(err *error) func() {
+// RecoverCorruption turns a panic of bbolt into ErrSpoilt: bbolt panics on an inconsistent page, or faults as it reads past the
+// end of its mapped file. Use it as `defer RecoverCorruption(&err)()`.
+func RecoverCorruption(err *error) func() {
 	previous := debug.SetPanicOnFault(true)
 	return func() {
 		debug.SetPanicOnFault(previous)
 		if p := recover(); p != nil {
-			*err = fmt.Errorf("%w: %v", ErrSpoilt, p)
+			*err = fmt.Errorf("%w: %v", ErrCorrupt, p)
 		}
 	}
 }
@@ -71,24 +71,24 @@
 	b := make([]byte, 80)
 	for _, at := range []int64{0, int64(os.Getpagesize())} {
 		if _, err := f.ReadAt(b, at); err != nil {
-			return fmt.Errorf("%w: meta page at %d: %v", ErrSpoilt, at, err)
+			return fmt.Errorf("%w: meta page at %d: %v", ErrCorrupt, at, err)
 		}
 		h := fnv.New64a()
 		h.Write(b[16:72])
 		if binary.NativeEndian.Uint32(b[16:]) != 0xED0CDAED || binary.NativeEndian.Uint64(b[72:]) != h.Sum64() {
-			return fmt.Errorf("%w: meta page at %d is torn: the last write may be lost", ErrSpoilt, at)
+			return fmt.Errorf("%w: meta page at %d is torn: the last write may be lost", ErrCorrupt, at)
 		}
 	}
 	return nil
 }
 
-// Version writes the format version to a store that has none, and returns an error if the store has another one.
-func Version(meta *bolt.Bucket, key []byte, want byte) error {
+// CheckVersion writes the format version to a store that has none, and returns an error if the store has another one.
+func CheckVersion(meta *bolt.Bucket, key []byte, want byte) error {
 	if meta.Get(key) == nil {
 		return Put(meta, key, []byte{want})
 	}
 	if v, err := Get(meta, key); err != nil || len(v) != 1 || v[0] != want {
-		return fmt.Errorf("%w: format version %v, this program reads version %v", ErrSpoilt, v, want)
+		return fmt.Errorf("%w: format version %v, this program reads version %v", ErrCorrupt, v, want)
 	}
 	return nil
 }
@@ -119,8 +119,8 @@
 	return bytes.Clone(v[8:]), nil
 }
 
-// Number reads an integer of 8 bytes, most significant byte first; 0 if the key does not exist.
-func Number(b *bolt.Bucket, key []byte) (uint64, error) {
+// Uint64 reads an integer of 8 bytes, most significant byte first; 0 if the key does not exist.
+func Uint64(b *bolt.Bucket, key []byte) (uint64, error) {
 	switch v, err := Get(b, key); {
 	case err != nil || v == nil:
 		return 0, err
@@ -131,5 +131,5 @@
 	}
 }
 
-// Key encodes a number as a key, so that keys sort in numeric order.
-func Key(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+// EncodeKey encodes a number as a key, so that keys sort in numeric order.
+func EncodeKey(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
--- a/internal/clients/close_test.go
+++ b/internal/clients/close_test.go
@@ -132,8 +132,8 @@
 	s.t.Helper()
 	s.listener.Close()
 	s.Cut()
-	if err := <-s.done; err != nil || s.Pool.Out() != 0 || s.Reads.Out() != 0 || s.Open() != 0 {
-		s.t.Errorf("not released: %d and %d buffers, %d connections, %v", s.Pool.Out(), s.Reads.Out(), s.Open(), err)
+	if err := <-s.done; err != nil || s.Pool.InUse() != 0 || s.Reads.InUse() != 0 || s.Open() != 0 {
+		s.t.Errorf("not released: %d and %d buffers, %d connections, %v", s.Pool.InUse(), s.Reads.InUse(), s.Open(), err)
 	}
 }
 
@@ -210,7 +210,7 @@
 	s.End()
 	s.Shut()
 	reply(Answer{Status: 200, Body: body})
-	for s.Pool.Out() > 0 { // until the response is written
+	for s.Pool.InUse() > 0 { // until the response is written
 		time.Sleep(time.Millisecond)
 	}
 	if n := s.readResponse(client); n < 200_000 {
--- a/internal/clients/fastcgi.go
+++ b/internal/clients/fastcgi.go
@@ -57,7 +57,7 @@
 	Kind   EventKind
 	ID     uint16
 	Params map[string]string
-	Body   *buffer.Chain
+	Body   *buffer.Body
 	Reply  []byte
 }
 
@@ -81,7 +81,7 @@
 	complete   bool
 	closeAfter bool // the connection closes after the response
 	noBuffer   bool // the pool had no buffer left for the body
-	body       *buffer.Chain
+	body       *buffer.Body
 	bodySize   int
 	start      float64
 }
@@ -332,11 +332,11 @@
 // Answer is the response to a request.
 type Answer struct {
 	Status int
-	Wait   float64       // ms after which the client may retry; 0: not sent
-	Still  bool          // the client's own copy is still valid
-	Body   *buffer.Chain // is released once the response is written
-	Link   *Link         // the signed link that replaces the client's; nil: none
-	None   bool          // no response is sent; the request's ID is freed
+	Wait   float64      // ms after which the client may retry; 0: not sent
+	Still  bool         // the client's own copy is still valid
+	Body   *buffer.Body // is released once the response is written
+	Link   *Link        // the signed link that replaces the client's; nil: none
+	None   bool         // no response is sent; the request's ID is freed
 }
 
 // Link is a signed link that is sent with a response.
--- a/internal/clients/fastcgi_test.go
+++ b/internal/clients/fastcgi_test.go
@@ -118,8 +118,8 @@
 		events, err = p.Feed(b[:min(size, len(b))], 0, nil)
 		out = append(out, describe(events)...)
 	}
-	if p.Release(); pool.Out() != 0 {
-		t.Errorf("%d buffers were not released", pool.Out())
+	if p.Release(); pool.InUse() != 0 {
+		t.Errorf("%d buffers were not released", pool.InUse())
 	}
 	text := ""
 	if err != nil {
@@ -220,7 +220,7 @@
 	errs     chan error
 }
 
-func (h recordingHandler) Asked(c *Conn, id uint16, _ map[string]string, body *buffer.Chain, _ float64) {
+func (h recordingHandler) Asked(c *Conn, id uint16, _ map[string]string, body *buffer.Body, _ float64) {
 	body.Release()
 	h.requests <- func(a Answer) { c.Answer(id, a) }
 }
@@ -291,8 +291,8 @@
 	<-h.closed // quick, after its last response
 	slow.Close()
 	<-h.closed
-	if err := <-done; err != nil || bodies.Out() != 0 || reads.Out() != 0 || s.Open() != 0 {
-		t.Errorf("not released: %d and %d buffers, %d connections, %v", bodies.Out(), reads.Out(), s.Open(), err)
+	if err := <-done; err != nil || bodies.InUse() != 0 || reads.InUse() != 0 || s.Open() != 0 {
+		t.Errorf("not released: %d and %d buffers, %d connections, %v", bodies.InUse(), reads.InUse(), s.Open(), err)
 	}
 }
 
@@ -384,7 +384,7 @@
 	s.End()
 	l.Close()
 	<-h.closed
-	if err := <-done; err != nil || s.Pool.Out() != 0 || s.Reads.Out() != 0 {
+	if err := <-done; err != nil || s.Pool.InUse() != 0 || s.Reads.InUse() != 0 {
 		t.Errorf("not released: %v", err)
 	}
 }
@@ -410,7 +410,7 @@
 	(<-h.requests)(Answer{Status: 200})
 	l.Close()
 	s.Cut()
-	if err := <-done; err != nil || bodies.Out() != 0 || len(h.requests) != 0 {
-		t.Errorf("%v, %d buffers are not released, %d more requests reached the handler", err, bodies.Out(), len(h.requests))
+	if err := <-done; err != nil || bodies.InUse() != 0 || len(h.requests) != 0 {
+		t.Errorf("%v, %d buffers are not released, %d more requests reached the handler", err, bodies.InUse(), len(h.requests))
 	}
 }
--- a/internal/clients/serve.go
+++ b/internal/clients/serve.go
@@ -19,7 +19,7 @@
 // connection.
 type Handler interface {
 	// Asked is called with each complete request. The handler takes over the body, and answers by Conn.Answer.
-	Asked(c *Conn, id uint16, params map[string]string, body *buffer.Chain, at float64)
+	Asked(c *Conn, id uint16, params map[string]string, body *buffer.Body, at float64)
 	// Aborted is called when the client aborts a complete request.
 	Aborted(c *Conn, id uint16, at float64)
 	// Closed is called once for each connection, after it has closed.
--- a/internal/failpoint/failpoint.go
+++ b/internal/failpoint/failpoint.go
@@ -14,20 +14,20 @@
 
 // The names of the failpoints.
 const (
-	Saving     = "quorum.saving"     // before a record is written to the store
-	Saved      = "quorum.saved"      // a record is synced, and neither the node nor any peer knows
-	Agreed     = "quorum.agreed"     // commands were committed, and nothing about them was sent
-	Sending    = "jobs.sending"      // ownership of the job was confirmed, and the effect is not sent
-	Happened   = "jobs.happened"     // the effect was executed, and the log does not have its result
-	Checked    = "place.checked"     // a fencing token was accepted, and the effect is not executed
-	Written    = "place.written"     // an effect is written and not synced
-	Synced     = "place.synced"      // an effect is synced, and its sender does not know
-	Granting   = "jobs.granting"     // the leader is about to propose a grant
-	Scheduling = "machines.granting" // the owner of the schedule is about to propose a grant
-	Leaving    = "quorum.leaving"    // the process is about to announce that it leaves
+	Saving       = "quorum.saving"     // before a record is written to the store
+	Saved        = "quorum.saved"      // a record is synced, and neither the node nor any peer knows
+	Committed    = "quorum.agreed"     // commands were committed, and nothing about them was sent
+	Sending      = "jobs.sending"      // ownership of the job was confirmed, and the effect is not sent
+	Executed     = "jobs.happened"     // the effect was executed, and the log does not have its result
+	TokenChecked = "place.checked"     // a fencing token was accepted, and the effect is not executed
+	Written      = "place.written"     // an effect is written and not synced
+	Synced       = "place.synced"      // an effect is synced, and its sender does not know
+	Granting     = "jobs.granting"     // the leader is about to propose a grant
+	Scheduling   = "machines.granting" // the owner of the schedule is about to propose a grant
+	Leaving      = "quorum.leaving"    // the process is about to announce that it leaves
 )
 
-var known = []string{Saving, Saved, Agreed, Sending, Happened, Checked, Written, Synced, Granting, Scheduling, Leaving}
+var known = []string{Saving, Saved, Committed, Sending, Executed, TokenChecked, Written, Synced, Granting, Scheduling, Leaving}
 
 // Block is the block failpoints of an operator's file: for each failpoint, the number of the pass, counted from 1, at
 // which the process stops or is killed.
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -34,7 +34,7 @@
 		Client Client
 		ID     uint16
 		Params map[string]string
-		Body   *buffer.Chain
+		Body   *buffer.Body
 		At     float64
 	}
 	// Aborted reports a request that its client aborted.
@@ -102,7 +102,7 @@
 	requestID                  uint16 // id of the request on the client's connection
 	part, group                int64
 	expiry                     float64
-	body                       *buffer.Chain
+	body                       *buffer.Body
 	cacheable                  bool    // answered from a copy rather than by a side effect
 	atMostOnce                 bool    // must not run twice
 	maxAge                     float64 // ms; maximum age of a copy where the pull sets none; 0: any
--- a/internal/gateway/core_test.go
+++ b/internal/gateway/core_test.go
@@ -165,7 +165,7 @@
 	id := fmt.Sprintf("%016x", len(h.requests)+1)
 	req := &request{client: c, number: uint16(len(h.requests) + 1), typ: typ, expiry: h.now + allow}
 	h.requests[id] = req
-	var body *buffer.Chain
+	var body *buffer.Body
 	if typ == "renewal" {
 		body = buffer.NewChain(h.buffers)
 		body.Append([]byte("write"))
@@ -301,7 +301,7 @@
 	if n := len(h.core.downloads); n != 0 || h.core.Open() != 0 || len(h.core.clients) != 0 || len(h.core.probes) != 0 {
 		h.faultf("%d downloads, %d open, %d probes are left over", n, h.core.Open(), len(h.core.probes))
 	}
-	if n := h.buffers.Out(); n != 0 || h.pool.Conns() != 0 {
+	if n := h.buffers.InUse(); n != 0 || h.pool.Conns() != 0 {
 		h.faultf("%d buffers and %d connections are left over", n, h.pool.Conns())
 	}
 	if n := assert.Broken(); n != 0 || h.core.Panics != 0 || h.core.Overdue != 0 {
@@ -429,7 +429,7 @@
 		}
 		params[name] = value
 		number++
-		var chain *buffer.Chain
+		var chain *buffer.Body
 		if len(body) > 0 {
 			chain = buffer.NewChain(h.buffers)
 			chain.Append(body)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -73,7 +73,7 @@
 
 func (p *poster) post(e any) { p.inbox <- e }
 
-func (p *poster) Asked(c *clients.Conn, id uint16, params map[string]string, body *buffer.Chain, at float64) {
+func (p *poster) Asked(c *clients.Conn, id uint16, params map[string]string, body *buffer.Body, at float64) {
 	p.post(Asked{Client: c, ID: id, Params: params, Body: body, At: at})
 }
 func (p *poster) Aborted(c *clients.Conn, id uint16, at float64) {
@@ -163,7 +163,7 @@
 			finished = true
 		}
 	}
-	assert.That(buffers.Out() == 0 && reads.Out() == 0, "all buffers are returned")
+	assert.That(buffers.InUse() == 0 && reads.InUse() == 0, "all buffers are returned")
 	l.logCounters()
 	return err
 }
@@ -277,7 +277,7 @@
 		"panics": c.Panics, "pulls": c.Pulls, "probes": c.Probes, "open": l.core.Open(),
 		"conns": p.Conns(), "dialled": p.Dialled, "malformed": p.Malformed, "short": p.Short, "late": p.Late, "mute": p.Mute,
 		"old":     p.Old,
-		"buffers": l.buffers.Out(), "broken": assert.Broken(),
+		"buffers": l.buffers.InUse(), "broken": assert.Broken(),
 		"shed":    l.server.Shed.Load(),
 		"reloads": l.reload.applied.Load(), "misread": l.reload.failed.Load(), "passed": l.reload.follower.Passed.Load(),
 	}).Info("counters")
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -468,10 +468,10 @@
 
 // largeFleet is a state with n machines in clubs of ten and a request for each of them.
 func largeFleet(n int) *Book {
-	b, c := New(), chance.Chance(5)
+	b, c := New(), chance.Source(5)
 	i := Inventory{Version: 1, Limits: Limits{Most: 12, PerClub: 1, Boxes: 0.2, Reserve: 0.1, Drain: 10_000, Warm: 60_000}}
 	for x := range n {
-		m := Machine{Name: fmt.Sprintf("m%04d", x), Club: fmt.Sprint("club", x/10), Zone: fmt.Sprint("z", x%7), Carries: 5 + 10*c.Below()}
+		m := Machine{Name: fmt.Sprintf("m%04d", x), Club: fmt.Sprint("club", x/10), Zone: fmt.Sprint("z", x%7), Carries: 5 + 10*c.Float64()}
 		if x%3 == 0 {
 			m.Gateways = []string{fmt.Sprint("g", x)}
 		} else {
@@ -482,13 +482,13 @@
 	b.Apply(1, Have, canon.Encode(i))
 	for x := range n / 10 {
 		for h := range 24 {
-			b.Apply(1, SetPeak, canon.Encode(Order{Club: fmt.Sprint("club", x), Hour: h, Peak: 40 + 20*c.Below()}))
+			b.Apply(1, SetPeak, canon.Encode(Order{Club: fmt.Sprint("club", x), Hour: h, Peak: 40 + 20*c.Float64()}))
 		}
 	}
 	for x, m := range i.Machines {
-		r := Request{ID: m.Name, Machine: m.Name, Takes: 60_000 * (5 + 30*c.Below())}
+		r := Request{ID: m.Name, Machine: m.Name, Takes: 60_000 * (5 + 30*c.Float64())}
 		if x%4 == 0 {
-			r.By = 24 * hourMillis * (0.02 + 0.15*c.Below())
+			r.By = 24 * hourMillis * (0.02 + 0.15*c.Float64())
 		}
 		b.Apply(uint64(x), Ask, canon.Encode(Order{At: 1, Request: &r}))
 	}
@@ -575,13 +575,13 @@
 
 // Compares the end of the plan with the best over all orders on small cases, and logs the average and worst ratio.
 func TestPlanAgainstOptimum(t *testing.T) {
-	c := chance.Chance(11)
+	c := chance.Source(11)
 	worst, sum, n := 0.0, 0.0, 0
 	for range 60 {
 		b := newTestBook(t, Limits{Most: 2, PerClub: 1, PerZone: 1, Warm: 10})
 		var works []*Work
 		for i, m := range b.Inventory.Machines[:6] {
-			r := Request{ID: m.Name, Machine: m.Name, Takes: 20 + float64(int(100*c.Below()))}
+			r := Request{ID: m.Name, Machine: m.Name, Takes: 20 + float64(int(100*c.Float64()))}
 			if err, ok := b.Apply(uint64(i+1), Ask, canon.Encode(Order{At: 1, Request: &r})).(error); ok {
 				t.Fatal(err)
 			}
--- a/internal/maintenance/simulation_test.go
+++ b/internal/maintenance/simulation_test.go
@@ -16,7 +16,7 @@
 type simulation struct {
 	t              *testing.T
 	b              *Book
-	random         chance.Chance
+	random         chance.Source
 	now            float64
 	returnAt       map[string]float64            // by machine that is out
 	ackAt          map[string]map[string]float64 // by draining machine and gateway
@@ -41,8 +41,8 @@
 			if until, lost := sim.lostUntil[m.Name]; lost && sim.now >= until {
 				delete(sim.lostUntil, m.Name)
 				sim.lose(m, false)
-			} else if !lost && sim.b.Works[m.Name] == nil && sim.random.Below() < 0.01/3600 {
-				sim.lostUntil[m.Name] = sim.now + 60_000*(2+6*sim.random.Below())
+			} else if !lost && sim.b.Works[m.Name] == nil && sim.random.Float64() < 0.01/3600 {
+				sim.lostUntil[m.Name] = sim.now + 60_000*(2+6*sim.random.Float64())
 				sim.lose(m, true)
 			}
 		}
@@ -61,7 +61,7 @@
 				sim.ackAt[m.Name] = map[string]float64{}
 				for _, g := range sim.b.Inventory.Machines {
 					for _, name := range g.Gateways {
-						sim.ackAt[m.Name][name] = sim.now + 3000*sim.random.Below()
+						sim.ackAt[m.Name][name] = sim.now + 3000*sim.random.Float64()
 					}
 				}
 			case Draining:
@@ -129,14 +129,14 @@
 
 // newSimulation returns a simulation, and the least time that the limits allow for its requests.
 func newSimulation(t *testing.T, seed uint64) (*simulation, float64) {
-	sim := &simulation{t: t, b: New(), random: chance.Chance(seed), now: 1000, returnAt: map[string]float64{}, ackAt: map[string]map[string]float64{}, lostUntil: map[string]float64{}}
+	sim := &simulation{t: t, b: New(), random: chance.Source(seed), now: 1000, returnAt: map[string]float64{}, ackAt: map[string]map[string]float64{}, lostUntil: map[string]float64{}}
 	i := Inventory{Version: 1, Limits: Limits{Most: 6, PerClub: 1, PerZone: 3, Reserve: 0.1, Begin: 60_000, Drain: 30_000, Warm: 60_000, Overdue: 2, Grace: 1000}}
 	for x := range 500 {
 		m := Machine{Name: fmt.Sprintf("m%03d", x), Club: fmt.Sprint("club-", x%30), Zone: fmt.Sprint("z", x%5)}
 		if x < 300 {
 			m.Gateways = []string{fmt.Sprintf("g%03d", x)}
 		} else {
-			m.Boxes, m.Carries = []string{fmt.Sprintf("e%03d", x)}, 8+4*sim.random.Below()
+			m.Boxes, m.Carries = []string{fmt.Sprintf("e%03d", x)}, 8+4*sim.random.Float64()
 		}
 		i.Machines = append(i.Machines, m)
 	}
@@ -148,8 +148,8 @@
 	}
 	clubs, sum := map[string]float64{}, 0.0
 	for range 60 {
-		m := i.Machines[int(500*sim.random.Below())]
-		r := Request{ID: m.Name, Machine: m.Name, Takes: 60_000 * (10 + 20*sim.random.Below())}
+		m := i.Machines[int(500*sim.random.Float64())]
+		r := Request{ID: m.Name, Machine: m.Name, Takes: 60_000 * (10 + 20*sim.random.Float64())}
 		if err, ok := sim.apply(Ask, Order{Request: &r}).(error); ok {
 			t.Fatal(err)
 		}
@@ -198,7 +198,7 @@
 				}
 			}
 			for i := range all {
-				j := i + int(sim.random.Below()*float64(len(all)-i))
+				j := i + int(sim.random.Float64()*float64(len(all)-i))
 				all[i], all[j] = all[j], all[i]
 			}
 			return all
--- a/internal/owner/drive/crew.go
+++ b/internal/owner/drive/crew.go
@@ -188,7 +188,7 @@
 		case owner.Ask:
 			switch a.Kind {
 			case owner.Did:
-				failpoint.Here(failpoint.Happened)
+				failpoint.Here(failpoint.Executed)
 			case owner.Grant:
 				failpoint.Here(failpoint.Granting)
 			}
--- a/internal/owner/place/place.go
+++ b/internal/owner/place/place.go
@@ -96,7 +96,7 @@
 	}
 	path := filepath.Join(folder, "effects")
 	db, err := p.open(path)
-	if checked.Spoilt(err) {
+	if checked.IsCorrupt(err) {
 		// The tokens in the record are lost. The log makes up for them, as nothing happens here before this gateway
 		// has applied it up to its own start. Which keyed steps ran here is lost for good.
 		aside := fmt.Sprintf("%s.spoilt-%d", path, time.Now().Unix())
@@ -114,7 +114,7 @@
 }
 
 func (p *Place) open(path string) (db *bolt.DB, err error) {
-	defer checked.Guard(&err)()
+	defer checked.RecoverCorruption(&err)()
 	if db, err = checked.Open(path); err != nil {
 		return nil, err
 	}
@@ -128,7 +128,7 @@
 	if err := db.Update(func(tx *bolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(metaBucket)
 		if err == nil {
-			err = checked.Version(meta, versionKey, version)
+			err = checked.CheckVersion(meta, versionKey, version)
 		}
 		for _, name := range [][]byte{tokensBucket, entriesBucket} {
 			if _, more := tx.CreateBucketIfNotExists(name); err == nil {
@@ -141,14 +141,14 @@
 	}
 	return db.View(func(tx *bolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
-		floor, err := checked.Number(meta, floorKey)
+		floor, err := checked.Uint64(meta, floorKey)
 		if err != nil {
-			return fmt.Errorf("%w: token floor: %v", checked.ErrSpoilt, err)
+			return fmt.Errorf("%w: token floor: %v", checked.ErrCorrupt, err)
 		}
 		tokens := map[string]uint64{}
 		if err := tx.Bucket(tokensBucket).ForEach(func(k, _ []byte) (err error) {
-			if tokens[string(k)], err = checked.Number(tx.Bucket(tokensBucket), k); err != nil {
-				err = fmt.Errorf("%w: token of job %q: %v", checked.ErrSpoilt, k, err)
+			if tokens[string(k)], err = checked.Uint64(tx.Bucket(tokensBucket), k); err != nil {
+				err = fmt.Errorf("%w: token of job %q: %v", checked.ErrCorrupt, k, err)
 			}
 			return err
 		}); err != nil {
@@ -162,7 +162,7 @@
 				err = canon.Decode(v, &e)
 			}
 			if err != nil || binary.BigEndian.Uint64(k) != e.Number || p.lastNumber != 0 && e.Number != p.lastNumber+1 {
-				return fmt.Errorf("%w: entry %x", checked.ErrSpoilt, k)
+				return fmt.Errorf("%w: entry %x", checked.ErrCorrupt, k)
 			}
 			p.lastNumber = e.Number
 			p.entries = append(p.entries, e)
@@ -253,10 +253,10 @@
 		return nil
 	}
 	p.writeHook("before")
-	failpoint.Here(failpoint.Checked)
+	failpoint.Here(failpoint.TokenChecked)
 	err := p.db.Update(func(tx *bolt.Tx) error {
 		floor, tokens := p.checker.Snapshot()
-		if err := checked.Put(tx.Bucket(metaBucket), floorKey, checked.Key(floor)); err != nil {
+		if err := checked.Put(tx.Bucket(metaBucket), floorKey, checked.EncodeKey(floor)); err != nil {
 			return err
 		}
 		b := tx.Bucket(tokensBucket)
@@ -269,19 +269,19 @@
 			}
 		}
 		for job, token := range tokens {
-			if old, err := checked.Number(b, []byte(job)); err == nil && old == token {
+			if old, err := checked.Uint64(b, []byte(job)); err == nil && old == token {
 				continue
 			}
-			if err := checked.Put(b, []byte(job), checked.Key(token)); err != nil {
+			if err := checked.Put(b, []byte(job), checked.EncodeKey(token)); err != nil {
 				return err
 			}
 		}
 		entries := tx.Bucket(entriesBucket)
-		if err := checked.Put(entries, checked.Key(e.Number), canon.Encode(e)); err != nil {
+		if err := checked.Put(entries, checked.EncodeKey(e.Number), canon.Encode(e)); err != nil {
 			return err
 		}
 		if e.Number > maxEntries {
-			if err := entries.Delete(checked.Key(e.Number - maxEntries)); err != nil {
+			if err := entries.Delete(checked.EncodeKey(e.Number - maxEntries)); err != nil {
 				return err
 			}
 		}
--- a/internal/quorum/drive/council.go
+++ b/internal/quorum/drive/council.go
@@ -112,7 +112,7 @@
 		}
 		path := filepath.Join(b.Store, "agreed")
 		var err error
-		if c.store, stored, err = openStore(path); err != nil && checked.Spoilt(err) {
+		if c.store, stored, err = openStore(path); err != nil && checked.IsCorrupt(err) {
 			// Nothing in a corrupt store can be trusted, least of all its identity: it is moved aside, and this gateway
 			// joins under a new identity.
 			aside := fmt.Sprintf("%s.spoilt-%d", path, time.Now().Unix())
@@ -334,7 +334,7 @@
 			c.writes <- a.Record
 		case quorum.Agreed:
 			if !c.advanced {
-				failpoint.Here(failpoint.Agreed)
+				failpoint.Here(failpoint.Committed)
 			}
 			c.advanced = true
 		case quorum.Restored:
--- a/internal/quorum/drive/drive_test.go
+++ b/internal/quorum/drive/drive_test.go
@@ -117,7 +117,7 @@
 				t.Errorf("with byte %d corrupt the store holds %s", at, got)
 			}
 			s.close()
-		} else if detected++; !checked.Spoilt(err) {
+		} else if detected++; !checked.IsCorrupt(err) {
 			t.Errorf("with byte %d corrupt: %v", at, err)
 		}
 		os.Remove(other)
--- a/internal/quorum/drive/store.go
+++ b/internal/quorum/drive/store.go
@@ -40,7 +40,7 @@
 
 // openStore opens a store, or creates an empty one, and reads its content.
 func openStore(path string) (s *store, stored quorum.Store, err error) {
-	defer checked.Guard(&err)()
+	defer checked.RecoverCorruption(&err)()
 	db, err := checked.Open(path)
 	if err != nil {
 		return nil, stored, fmt.Errorf("store %s: %w", path, err)
@@ -54,7 +54,7 @@
 		if _, err := tx.CreateBucketIfNotExists(entriesBucket); err != nil {
 			return err
 		}
-		return checked.Version(meta, versionKey, storeVersion)
+		return checked.CheckVersion(meta, versionKey, storeVersion)
 	})
 	if err == nil {
 		err = db.View(func(tx *bolt.Tx) error { return load(tx, &stored) })
@@ -85,7 +85,7 @@
 			err = field.decode(b)
 		}
 		if err != nil {
-			return fmt.Errorf("%w: %s: %v", checked.ErrSpoilt, field.key, err)
+			return fmt.Errorf("%w: %s: %v", checked.ErrCorrupt, field.key, err)
 		}
 	}
 	snapshotIndex := stored.Snapshot.GetMetadata().GetIndex()
@@ -100,25 +100,25 @@
 			err = fmt.Errorf("holds %d", e.GetIndex())
 		}
 		if err != nil {
-			return fmt.Errorf("%w: entry %x: %v", checked.ErrSpoilt, k, err)
+			return fmt.Errorf("%w: entry %x: %v", checked.ErrCorrupt, k, err)
 		}
 		if e.GetIndex() <= snapshotIndex {
 			continue // kept for lagging members; the snapshot covers it
 		}
 		if want := snapshotIndex + uint64(len(stored.Entries)) + 1; e.GetIndex() != want {
-			return fmt.Errorf("%w: entry %d in place of entry %d", checked.ErrSpoilt, e.GetIndex(), want)
+			return fmt.Errorf("%w: entry %d in place of entry %d", checked.ErrCorrupt, e.GetIndex(), want)
 		}
 		stored.Entries = append(stored.Entries, e)
 	}
 	if last := snapshotIndex + uint64(len(stored.Entries)); stored.Hard.GetCommit() > last {
-		return fmt.Errorf("%w: committed up to %d, but the last entry is %d", checked.ErrSpoilt, stored.Hard.GetCommit(), last)
+		return fmt.Errorf("%w: committed up to %d, but the last entry is %d", checked.ErrCorrupt, stored.Hard.GetCommit(), last)
 	}
 	return nil
 }
 
 // put writes a record to the disk and syncs it, atomically.
 func (s *store) put(r quorum.Record) (err error) {
-	defer checked.Guard(&err)()
+	defer checked.RecoverCorruption(&err)()
 	s.onStep("before")
 	err = s.db.Update(func(tx *bolt.Tx) error {
 		meta, entries := tx.Bucket(metaBucket), tx.Bucket(entriesBucket)
--- a/internal/quorum/frame.go
+++ b/internal/quorum/frame.go
@@ -90,7 +90,7 @@
 		return f, true, nil
 	}
 	if f.Applied <= MaxFragmentSize || f.Applied > MostWhole || uint64(len(j.buffer)+len(f.Data)) > f.Applied || len(f.Data) == 0 {
-		return f, false, fmt.Errorf("frame: %w: a fragment of %d bytes after %d, of %d", canon.ErrUnreadable, len(f.Data), len(j.buffer), f.Applied)
+		return f, false, fmt.Errorf("frame: %w: a fragment of %d bytes after %d, of %d", canon.ErrMalformed, len(f.Data), len(j.buffer), f.Applied)
 	}
 	if j.buffer = append(j.buffer, f.Data...); uint64(len(j.buffer)) < f.Applied {
 		return f, false, nil
@@ -99,12 +99,12 @@
 	copy(head[:], j.buffer)
 	contentLength := binary.BigEndian.Uint32(head[:])
 	if uint64(contentLength)+FrameHead != f.Applied {
-		return f, false, fmt.Errorf("frame: %w: fragments of %d bytes make a frame of %d", canon.ErrUnreadable, f.Applied, contentLength)
+		return f, false, fmt.Errorf("frame: %w: fragments of %d bytes make a frame of %d", canon.ErrMalformed, f.Applied, contentLength)
 	}
 	whole, err = Read(head, j.buffer[FrameHead:])
 	j.buffer = nil
 	if err == nil && whole.Kind == KindFragment {
-		err = fmt.Errorf("frame: %w: a fragment made of fragments", canon.ErrUnreadable)
+		err = fmt.Errorf("frame: %w: a fragment made of fragments", canon.ErrMalformed)
 	}
 	return whole, err == nil, err
 }
@@ -121,7 +121,7 @@
 func Length(head [FrameHead]byte) (int, error) {
 	contentLength := binary.BigEndian.Uint32(head[:])
 	if contentLength == 0 || contentLength > MostFrame {
-		return 0, fmt.Errorf("frame: %w: %d bytes long", canon.ErrUnreadable, contentLength)
+		return 0, fmt.Errorf("frame: %w: %d bytes long", canon.ErrMalformed, contentLength)
 	}
 	return int(contentLength), nil
 }
@@ -129,13 +129,13 @@
 // Read decodes a frame from its header and its content.
 func Read(head [FrameHead]byte, content []byte) (f Frame, err error) {
 	if xxhash.Sum64(content) != binary.BigEndian.Uint64(head[4:]) {
-		return f, fmt.Errorf("frame: %w: checksum mismatch", canon.ErrUnreadable)
+		return f, fmt.Errorf("frame: %w: checksum mismatch", canon.ErrMalformed)
 	}
 	switch err = canon.Decode(content, &f); {
 	case err != nil:
 		err = fmt.Errorf("frame: %w", err)
 	case f.Kind < Hello || f.Kind > KindReadIndexReply || len(f.Commands)+len(f.Renewals) > maxListed:
-		err = fmt.Errorf("frame: %w: kind %d with %d commands and %d renewals", canon.ErrUnreadable, f.Kind, len(f.Commands), len(f.Renewals))
+		err = fmt.Errorf("frame: %w: kind %d with %d commands and %d renewals", canon.ErrMalformed, f.Kind, len(f.Commands), len(f.Renewals))
 	}
 	return f, err
 }
--- a/internal/quorum/linearizability_test.go
+++ b/internal/quorum/linearizability_test.go
@@ -110,14 +110,14 @@
 			}
 		}
 		for n := range 40 {
-			name := s.names[int(s.chance.Next())%len(s.names)]
+			name := s.names[int(s.chance.Uint32())%len(s.names)]
 			g := s.gateways[name]
-			switch s.chance.Next() % 12 {
+			switch s.chance.Uint32() % 12 {
 			case 0:
-				i := 1 + int(s.chance.Next())%(len(s.names)-1)
+				i := 1 + int(s.chance.Uint32())%(len(s.names)-1)
 				s.partition(s.names[:i], s.names[i:])
 			case 1:
-				s.cut[[2]string{name, s.names[int(s.chance.Next())%len(s.names)]}] = true
+				s.cut[[2]string{name, s.names[int(s.chance.Uint32())%len(s.names)]}] = true
 			case 2:
 				if g.up && !g.frozen {
 					s.freeze(name)
@@ -136,8 +136,8 @@
 				}
 			}
 			for i, name := range s.names {
-				if g := s.gateways[name]; g.up && !g.frozen && g.node.incarnation != 0 && s.chance.Next()%3 == 0 {
-					op := operation{Kind: []string{"read", "write", "take", "give"}[s.chance.Next()%4], Gateway: name, Value: fmt.Sprint(n, name)}
+				if g := s.gateways[name]; g.up && !g.frozen && g.node.incarnation != 0 && s.chance.Uint32()%3 == 0 {
+					op := operation{Kind: []string{"read", "write", "take", "give"}[s.chance.Uint32()%4], Gateway: name, Value: fmt.Sprint(n, name)}
 					s.lastID++
 					token := uint64(s.lastID)
 					open[token] = len(history)
@@ -145,7 +145,7 @@
 					g.handle(Propose{Token: token, Command: Command{Book: "cell", Kind: op.Kind, Data: canon.Encode(op)}})
 				}
 			}
-			s.run(50+600*s.chance.Below(), nil)
+			s.run(50+600*s.chance.Float64(), nil)
 		}
 		// An operation with an unknown result is a client of its own that never returned: it may have been applied at
 		// any time since. A read without a result is left out.
--- a/internal/quorum/liveness_test.go
+++ b/internal/quorum/liveness_test.go
@@ -69,14 +69,14 @@
 			}
 		}
 		for range 12 {
-			name := s.names[int(s.chance.Next())%len(s.names)]
-			if leaders := s.leaders(); len(leaders) > 0 && s.chance.Below() < 0.5 {
+			name := s.names[int(s.chance.Uint32())%len(s.names)]
+			if leaders := s.leaders(); len(leaders) > 0 && s.chance.Float64() < 0.5 {
 				name = leaders[0]
 			}
-			s.gateways[name].clockOffset += 10_000 * s.chance.Below()
+			s.gateways[name].clockOffset += 10_000 * s.chance.Float64()
 			s.gateways[name].handle(nil)
 			proposeAll()
-			s.run(200+2000*s.chance.Below(), nil)
+			s.run(200+2000*s.chance.Float64(), nil)
 		}
 		if s.run(20_000, nil); !s.converged() {
 			t.Errorf("seed %d: not converged after the last jump", seed)
--- a/internal/quorum/members.go
+++ b/internal/quorum/members.go
@@ -191,7 +191,7 @@
 		return err
 	}
 	if loaded.Names == nil || len(loaded.Names) > 1<<13 {
-		return fmt.Errorf("members: %w: %d of them", canon.ErrUnreadable, len(loaded.Names))
+		return fmt.Errorf("members: %w: %d of them", canon.ErrMalformed, len(loaded.Names))
 	}
 	*m = *loaded
 	return nil
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -20,7 +20,7 @@
 type Node struct {
 	settings         Settings
 	now              float64
-	rng              chance.Chance
+	rng              chance.Source
 	nonce            uint64 // drawn for this process
 	id               Identity
 	founding         *Founding
@@ -117,12 +117,12 @@
 
 // New returns a node with the state of its store. Each process must draw a nonce of its own.
 func New(settings Settings, store Store, books map[string]Book, nonce uint64, now float64) (*Node, error) {
-	n := &Node{settings: settings, now: now, rng: chance.Chance((settings.Seed^nonce)>>1 | 1), nonce: nonce, id: store.Identity, founding: store.Founding,
+	n := &Node{settings: settings, now: now, rng: chance.Source((settings.Seed^nonce)>>1 | 1), nonce: nonce, id: store.Identity, founding: store.Founding,
 		members: newMembers(settings.Members), books: books, emptyFounders: map[string]founderHello{}, lastRenewal: map[uint64]float64{},
 		pendingRenewals: map[uint64]Renewal{}, proposedByLeader: map[leaderProposal]float64{}, peerNames: map[uint64]string{}, foreignPeers: map[string]bool{}, renewAt: now, joinAt: now,
 		starts: store.Starts + 1, highWaterMarks: map[uint64]HighWaterMark{}, retiring: map[string]bool{}}
 	maps.Copy(n.highWaterMarks, store.Marks)
-	n.rng.Next()
+	n.rng.Uint32()
 	if n.id.ID == 0 {
 		n.id = Identity{ID: n.randomID(), Name: settings.Name}
 		n.save(Record{Identity: &n.id, Starts: n.starts}, nil)
@@ -141,7 +141,7 @@
 }
 
 // randomID returns a random number to be used as a unique identifier.
-func (n *Node) randomID() uint64 { return uint64(n.rng.Next())<<31 | uint64(n.rng.Next())>>1 | 1 }
+func (n *Node) randomID() uint64 { return uint64(n.rng.Uint32())<<31 | uint64(n.rng.Uint32())>>1 | 1 }
 
 // startRaft starts raft with the state of the store.
 func (n *Node) startRaft(store Store) error {
@@ -426,7 +426,7 @@
 // resetElectionTimer puts off the next election, as a leader was heard.
 func (n *Node) resetElectionTimer() {
 	n.leaderHeardAt, n.leaderForgotten = n.now, false
-	n.electionAt = n.now + n.settings.Election*(1.1+n.rng.Below())
+	n.electionAt = n.now + n.settings.Election*(1.1+n.rng.Float64())
 }
 
 // runTimers does what is due: heartbeats, elections, renewals, joins, retries, and read index requests.
@@ -465,7 +465,7 @@
 				n.raft.ForgetLeader()
 			}
 			if n.now >= n.electionAt {
-				n.electionAt = n.now + n.settings.Election*(0.5+n.rng.Below())
+				n.electionAt = n.now + n.settings.Election*(0.5+n.rng.Float64())
 				if n.roleOf(n.id.ID) != roleVoter {
 					// A learner, or a former voter, that hears no leader asks whether it still belongs to the
 					// configuration.
--- a/internal/quorum/peers.go
+++ b/internal/quorum/peers.go
@@ -175,7 +175,7 @@
 		}
 	case raftpb.MessageType_MsgVote, raftpb.MessageType_MsgTimeoutNow:
 		if m.GetTerm() > term {
-			n.electionAt = max(n.electionAt, n.now+n.settings.Election*(0.5+n.rng.Below()))
+			n.electionAt = max(n.electionAt, n.now+n.settings.Election*(0.5+n.rng.Float64()))
 		}
 	}
 }
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -273,14 +273,14 @@
 		s.loss, s.duplication = 0.05, 0.05
 		lineNumber := 0
 		for range 25 {
-			name := s.names[int(s.chance.Next())%len(s.names)]
+			name := s.names[int(s.chance.Uint32())%len(s.names)]
 			g := s.gateways[name]
-			switch s.chance.Next() % 6 {
+			switch s.chance.Uint32() % 6 {
 			case 0:
-				i := 1 + int(s.chance.Next())%(len(s.names)-1)
+				i := 1 + int(s.chance.Uint32())%(len(s.names)-1)
 				s.partition(s.names[:i], s.names[i:])
 			case 1:
-				other := s.names[int(s.chance.Next())%len(s.names)]
+				other := s.names[int(s.chance.Uint32())%len(s.names)]
 				s.cut[[2]string{name, other}] = true
 			case 2:
 				if g.up && !g.frozen {
@@ -305,7 +305,7 @@
 					s.propose(name, fmt.Sprintf("%s-%d-%05d", name, g.node.incarnation, lineNumber))
 				}
 			}
-			s.run(100+1500*s.chance.Below(), nil)
+			s.run(100+1500*s.chance.Float64(), nil)
 		}
 		s.heal()
 		s.loss, s.duplication = 0, 0
--- a/internal/quorum/readindex_test.go
+++ b/internal/quorum/readindex_test.go
@@ -49,14 +49,14 @@
 			return false
 		}
 		for n := range 60 {
-			name := s.names[int(s.chance.Next())%len(s.names)]
+			name := s.names[int(s.chance.Uint32())%len(s.names)]
 			g := s.gateways[name]
-			if l := s.leaders(); len(l) > 0 && s.chance.Below() < 0.4 {
+			if l := s.leaders(); len(l) > 0 && s.chance.Float64() < 0.4 {
 				name, g = l[0], s.gateways[l[0]]
 			}
-			switch s.chance.Next() % 7 {
+			switch s.chance.Uint32() % 7 {
 			case 0:
-				i := 1 + int(s.chance.Next())%(len(s.names)-1)
+				i := 1 + int(s.chance.Uint32())%(len(s.names)-1)
 				s.partition(s.names[:i], s.names[i:])
 			case 1:
 				s.partition([]string{name}, slices.DeleteFunc(slices.Clone(s.names), func(x string) bool { return x == name }))
@@ -70,7 +70,7 @@
 				}
 			case 4, 5:
 				s.heal()
-				s.delay = [2]float64{1, []float64{5, 400}[int(s.chance.Next()%2)]}
+				s.delay = [2]float64{1, []float64{5, 400}[int(s.chance.Uint32()%2)]}
 			case 6:
 				if !g.up {
 					s.start(name)
@@ -83,7 +83,7 @@
 					s.propose(x, fmt.Sprintf("%s-%04d", x, n))
 				}
 			}
-			s.run(100+900*s.chance.Below(), check)
+			s.run(100+900*s.chance.Float64(), check)
 		}
 		s.heal()
 		s.delay = [2]float64{1, 5}
--- a/internal/quorum/recover.go
+++ b/internal/quorum/recover.go
@@ -44,7 +44,7 @@
 	case store.Snapshot.GetMetadata().GetIndex() == 0:
 		return Record{}, report, errors.New("the store holds nothing of the log: its gateway never voted")
 	}
-	n := &Node{settings: Settings{Name: store.Identity.Name}, rng: chance.Chance(nonce>>1 | 1), id: store.Identity, founding: store.Founding, members: newMembers(maxListed), books: books,
+	n := &Node{settings: Settings{Name: store.Identity.Name}, rng: chance.Source(nonce>>1 | 1), id: store.Identity, founding: store.Founding, members: newMembers(maxListed), books: books,
 		peerNames: map[uint64]string{}, lastRenewal: map[uint64]float64{}}
 	meta := store.Snapshot.GetMetadata()
 	if err := n.restoreState(store.Snapshot.GetData(), meta.GetIndex()); err != nil {
@@ -68,7 +68,7 @@
 			allocator.Leap()
 		}
 	}
-	n.rng.Next()
+	n.rng.Uint32()
 	id := Identity{ID: n.randomID(), Name: store.Identity.Name}
 	predecessors := append([]uint64{store.Founding.Cluster}, store.Founding.Predecessors...)
 	founding := &Founding{Cluster: n.randomID(), Voters: map[string]uint64{id.Name: id.ID}, Predecessors: predecessors[:min(len(predecessors), 16)]}
--- a/internal/quorum/sim_test.go
+++ b/internal/quorum/sim_test.go
@@ -22,7 +22,7 @@
 	now             float64
 	lastID          int
 	queue           eventQueue
-	chance          chance.Chance
+	chance          chance.Source
 	gateways        map[string]*simGateway
 	names           []string
 	cut             map[[2]string]bool // links cut, as {from, to}
@@ -153,9 +153,9 @@
 
 // newSim returns voters v0, v1 ... and followers f0, f1 ..., spread over three clubs, none of them started.
 func newSim(t *testing.T, seed uint64, voters, followers int) *sim {
-	s := &sim{t: t, chance: chance.Chance(seed*2 + 1), gateways: map[string]*simGateway{}, cut: map[[2]string]bool{}, delay: [2]float64{1, 5}, committed: map[uint64]string{}, frames: map[string]int{}}
+	s := &sim{t: t, chance: chance.Source(seed*2 + 1), gateways: map[string]*simGateway{}, cut: map[[2]string]bool{}, delay: [2]float64{1, 5}, committed: map[uint64]string{}, frames: map[string]int{}}
 	for range 4 {
-		s.chance.Next()
+		s.chance.Uint32()
 	}
 	var founders []string
 	for i := range voters + followers {
@@ -212,7 +212,7 @@
 		g.generation++
 		g.ledger = &ledger{}
 		var err error
-		g.node, err = New(g.settings, g.disk.store(), map[string]Book{"ledger": g.ledger, "cell": &valueAndLease{}}, uint64(s.chance.Next())<<8|uint64(g.generation), g.clock())
+		g.node, err = New(g.settings, g.disk.store(), map[string]Book{"ledger": g.ledger, "cell": &valueAndLease{}}, uint64(s.chance.Uint32())<<8|uint64(g.generation), g.clock())
 		if err != nil {
 			s.t.Fatal(err)
 		}
@@ -332,14 +332,14 @@
 	s.frames[g.settings.Name]++
 	s.bytes += len(encoded)
 	copies := 1
-	if s.chance.Below() < s.loss {
+	if s.chance.Float64() < s.loss {
 		copies = 0
-	} else if s.chance.Below() < s.duplication {
+	} else if s.chance.Float64() < s.duplication {
 		copies = 2
 	}
 	for range copies {
 		from := g.settings.Name
-		s.after(s.delay[0]+(s.delay[1]-s.delay[0])*s.chance.Below(), func() {
+		s.after(s.delay[0]+(s.delay[1]-s.delay[0])*s.chance.Float64(), func() {
 			if s.cut[[2]string{from, a.To}] || !to.up {
 				return
 			}
--- a/internal/quorum/storecheck_test.go
+++ b/internal/quorum/storecheck_test.go
@@ -39,7 +39,7 @@
 		partner, isolated := others[0], others[1]
 		g := s.gateways[partner]
 		oldDisk := g.diskCopy()
-		s.run(100+1000*s.chance.Below(), nil)
+		s.run(100+1000*s.chance.Float64(), nil)
 		// Entries are now committed by the leader and this voter alone.
 		s.partition([]string{isolated}, []string{lead, partner})
 		for i := range 5 {
--- a/internal/rehearsal/sockets/maintenance_test.go
+++ b/internal/rehearsal/sockets/maintenance_test.go
@@ -313,7 +313,7 @@
 // notified, and resumes late; meanwhile another gateway grants. A frozen gateway does not acknowledge a drain, so the machine is
 // put back and goes later; a box is lost unplanned and counts towards the same limits. The schedule continues without intervention.
 func TestScheduleOwnerStopped(t *testing.T) {
-	for _, where := range []string{failpoint.Scheduling, failpoint.Agreed} {
+	for _, where := range []string{failpoint.Scheduling, failpoint.Committed} {
 		t.Run(where, func(t *testing.T) { runScheduleOwnerStopped(t, where) })
 	}
 }
--- a/internal/rehearsal/sockets/owner_test.go
+++ b/internal/rehearsal/sockets/owner_test.go
@@ -182,7 +182,7 @@
 		where string
 		typ   owner.Type
 		late  bool // its effect must be refused after it resumes
-	}{{failpoint.Sending, owner.Unsafe, true}, {failpoint.Sending, owner.Safe, true}, {failpoint.Happened, owner.Keyed, false}} {
+	}{{failpoint.Sending, owner.Unsafe, true}, {failpoint.Sending, owner.Safe, true}, {failpoint.Executed, owner.Keyed, false}} {
 		t.Run(fmt.Sprint(x.where, " ", x.typ), func(t *testing.T) {
 			runCluster(t, nil, func(c *cluster) {
 				c.waitForReports("all converged", c.converged)
@@ -323,11 +323,11 @@
 func TestKilledAtEachStep(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.waitForReports("all converged", c.converged)
-		for i, where := range []string{failpoint.Saving, failpoint.Saved, failpoint.Agreed, failpoint.Granting, failpoint.Checked, failpoint.Written, failpoint.Synced} {
+		for i, where := range []string{failpoint.Saving, failpoint.Saved, failpoint.Committed, failpoint.Granting, failpoint.TokenChecked, failpoint.Written, failpoint.Synced} {
 			name := fmt.Sprint("work-", i)
 			var victim int
 			switch where {
-			case failpoint.Checked, failpoint.Written, failpoint.Synced:
+			case failpoint.TokenChecked, failpoint.Written, failpoint.Synced:
 				victim = len(c.names) - 1
 			default:
 				victim = leader(c.waitForReports("a leader", func(all []*quorum.Report) bool { return leader(all) >= 0 }))
@@ -406,7 +406,7 @@
 // Random faults from a fixed seed, one after another and some at once, while jobs of each type run: 6 rounds, or as many as
 // POPPYMILL_TEST_FAULTS says for a long run. All jobs must finish, and no step may run twice that must not.
 func TestSeededFaults(t *testing.T) {
-	faults, seed := 6, chance.Chance(77)
+	faults, seed := 6, chance.Source(77)
 	fmt.Sscan(os.Getenv("POPPYMILL_TEST_FAULTS"), &faults)
 	runCluster(t, func(s *script.Script) {
 		s.Types[0].Expiry, s.Quorum.Replace = 1000, 4000
@@ -418,10 +418,10 @@
 			name := fmt.Sprint("work-", n)
 			c.startDrill(name, types[n%3], 150, 3, 4)
 			injected, lost := fmt.Sprintf("%d:", n), -1
-			for range 1 + int(2*seed.Below()) {
-				x := int(seed.Below() * 5)
-				e := script.Event{Name: c.names[x], For: 300 + 2500*seed.Below()}
-				switch k := int(seed.Below() * 7); k {
+			for range 1 + int(2*seed.Float64()) {
+				x := int(seed.Float64() * 5)
+				e := script.Event{Name: c.names[x], For: 300 + 2500*seed.Float64()}
+				switch k := int(seed.Float64() * 7); k {
 				case 0:
 					e.Do = "kill"
 				case 1:
@@ -443,7 +443,7 @@
 					lost = x
 					break
 				}
-				time.Sleep(time.Duration(200*seed.Below()) * time.Millisecond) // spaces the faults; nothing depends on it
+				time.Sleep(time.Duration(200*seed.Float64()) * time.Millisecond) // spaces the faults; nothing depends on it
 			}
 			t.Log(injected)
 			c.waitForReports("all converged after "+injected, func(all []*quorum.Report) bool {
--- a/internal/rehearsal/virtual/virtual.go
+++ b/internal/rehearsal/virtual/virtual.go
@@ -406,7 +406,7 @@
 	}
 	c := &caller{g: g, id: r.ID}
 	g.callers[r.ID] = c
-	var body *buffer.Chain
+	var body *buffer.Body
 	if r.Body > 0 {
 		body = buffer.NewChain(g.d.buffers)
 		body.Append(make([]byte, r.Body))
--- a/internal/rehearsal/virtual/work_order_test.go
+++ b/internal/rehearsal/virtual/work_order_test.go
@@ -117,7 +117,7 @@
 						}
 					}
 				}
-				lost, random := "", chance.Chance(seed*2+1)
+				lost, random := "", chance.Source(seed*2+1)
 				if loss {
 					lost = boxes[len(boxes)-1]
 				}
@@ -142,7 +142,7 @@
 				case "random within the limits":
 					outAt, doneAt = planNight(boxes, clubs, limits, lost, func(b *maintenance.Book) []string {
 						w := waiting(b)
-						slices.SortFunc(w, func(x, y string) int { return cmp.Compare(random.Below(), 0.5) })
+						slices.SortFunc(w, func(x, y string) int { return cmp.Compare(random.Float64(), 0.5) })
 						return w
 					})
 				case "all of a club at once":
--- a/internal/rehearsal/world/box.go
+++ b/internal/rehearsal/world/box.go
@@ -257,8 +257,8 @@
 		b.requested[r.key] = true
 		seldom := strings.HasPrefix(r.key.object, largeMark) || strings.HasPrefix(r.key.object, onceMark)
 		c := w.random.generator("held", b.zone, r.key.object, r.key.part)
-		if c.Below() < b.spec.Held && !seldom {
-			m := objectCopy{key: r.key, group: r.typ.group(w, r.key.object), typ: r.typ, createdAt: -cmp.Or(r.typ.Fresh, 60_000) * c.Below(), size: r.bytes}
+		if c.Float64() < b.spec.Held && !seldom {
+			m := objectCopy{key: r.key, group: r.typ.group(w, r.key.object), typ: r.typ, createdAt: -cmp.Or(r.typ.Fresh, 60_000) * c.Float64(), size: r.bytes}
 			m.tag = w.tag(m.key, m.group, m.createdAt)
 			b.store.put(m, 1)
 		}
--- a/internal/rehearsal/world/clients.go
+++ b/internal/rehearsal/world/clients.go
@@ -114,7 +114,7 @@
 	t := w.types[typ]
 	admit := func() {
 		share := w.rate(max(0, at)) * t.Share / float64(t.Parts) / 1000 / peak
-		if c.Below() < share {
+		if c.Float64() < share {
 			w.startDownload(typ, n, at)
 		}
 	}
@@ -135,7 +135,7 @@
 func (w *World) startDownload(typ, n int, at float64) {
 	t := w.types[typ]
 	c := w.random.generator("visit", typ, n)
-	club := w.script.Clubs[int(c.Below()*float64(len(w.script.Clubs)))]
+	club := w.script.Clubs[int(c.Float64()*float64(len(w.script.Clubs)))]
 	object, member := w.pickObject(t, typ, n, club, &c), club
 	if names := w.script.Clients.Members; len(names) > 0 {
 		member = names[w.random.hash("member", typ, n)%uint64(len(names))]
@@ -164,7 +164,7 @@
 }
 
 func (w *World) pickObject(t *contentType, typ, n int, club string, c *randomSource) string {
-	once, big, local, rank := c.Below(), c.Below(), c.Below(), c.Below()
+	once, big, local, rank := c.Float64(), c.Float64(), c.Float64(), c.Float64()
 	switch {
 	case w.large != nil && big < w.large.share:
 		return largeMark + w.random.id("large", typ, n)[len(largeMark):]
@@ -255,7 +255,7 @@
 		Object: op.object, Part: op.part, Group: typ.group(w, op.object), Allow: allow, Club: op.member, Client: op.clientName(), Ticket: op.ticket}}
 	if typ.Write {
 		a.Body = 100
-	} else if c.Below() < clients.Holds {
+	} else if c.Float64() < clients.Holds {
 		a.Mine = w.tag(key{op.object, op.part}, a.Group, w.now)
 	}
 	w.attachLink(op, &a.Request, g)
@@ -264,8 +264,8 @@
 		return
 	}
 	w.sendRequest(a, g, first)
-	if !op.kiosk && c.Below() < clients.Impatient {
-		a.leaveTimer = w.scheduleAfter(allow*c.Below(), func() {
+	if !op.kiosk && c.Float64() < clients.Impatient {
+		a.leaveTimer = w.scheduleAfter(allow*c.Float64(), func() {
 			w.closeRequest(a)
 			w.report(Ended{At: w.now, ID: a.ID, Why: "left"})
 			w.emit(Abort{Gateway: a.gateway, ID: a.ID})
--- a/internal/rehearsal/world/random.go
+++ b/internal/rehearsal/world/random.go
@@ -36,26 +36,26 @@
 // generator returns a random generator for a key.
 func (d seededRandom) generator(parts ...any) router.Chance {
 	c := router.Chance(d.hash(parts...)>>1 | 1)
-	c.Next()
+	c.Uint32()
 	return c
 }
 
 func (d seededRandom) uniform(parts ...any) float64 {
 	c := d.generator(parts...)
-	return c.Below()
+	return c.Float64()
 }
 
 func (d seededRandom) id(parts ...any) string { return fmt.Sprintf("%016x", d.hash(parts...)) }
 
 // between draws a number from a to b.
-func between(c *router.Chance, a, b float64) float64 { return a + (b-a)*c.Below() }
+func between(c *router.Chance, a, b float64) float64 { return a + (b-a)*c.Float64() }
 
 // interarrival draws the time between two events of a Poisson process.
-func interarrival(c *router.Chance, rate float64) float64 { return -math.Log(1-c.Below()) / rate }
+func interarrival(c *router.Chance, rate float64) float64 { return -math.Log(1-c.Float64()) / rate }
 
 // logNormal draws from a log-normal distribution with mean 1.
 func logNormal(c *router.Chance, sigma float64) float64 {
-	u, v := 1-c.Below(), c.Below()
+	u, v := 1-c.Float64(), c.Float64()
 	return math.Exp(sigma*math.Sqrt(-2*math.Log(u))*math.Cos(2*math.Pi*v) - sigma*sigma/2)
 }
 
--- a/internal/rehearsal/world/signed_links.go
+++ b/internal/rehearsal/world/signed_links.go
@@ -150,7 +150,7 @@
 }
 
 func (w *World) sendForged(n int, c *randomSource) {
-	t := w.types[int(c.Below()*float64(len(w.types)))]
+	t := w.types[int(c.Float64()*float64(len(w.types)))]
 	op := &operation{number: -n - 1, typ: t, object: w.random.id("object", 0, n%50), club: w.script.Clubs[n%len(w.script.Clubs)], startedAt: w.now, attempts: 1, duplicate: true}
 	g := w.chooseGateway(op)
 	if g == nil || !g.up {
@@ -183,5 +183,5 @@
 // LinkTakes is the time in ms until a gateway has loaded changed keys.
 func (w *World) LinkTakes(gateway int) float64 {
 	c := w.random.generator("keys", gateway, w.issuer.keysMade)
-	return cmp.Or(c.Below()*500, 1)
+	return cmp.Or(c.Float64()*500, 1)
 }
--- a/router/ring.go
+++ b/router/ring.go
@@ -46,4 +46,4 @@
 }
 
 // Chance is the seeded random generator of the router.
-type Chance = chance.Chance
+type Chance = chance.Source
--- a/router/router.go
+++ b/router/router.go
@@ -644,7 +644,7 @@
 	case ejected:
 		return p.lastResort
 	case recovering:
-		return p.lastResort || r.random.Below() < 0.1+(r.now-n.changedAt)/statsWindow
+		return p.lastResort || r.random.Float64() < 0.1+(r.now-n.changedAt)/statsWindow
 	}
 	return true
 }
@@ -678,7 +678,7 @@
 	cost := t.meanTransferTime(r.now)
 	costFactor := math.Sqrt(cost / t.benefit *
 		(r.requestedBenefit.Sum(r.now) + t.benefit) / (r.requestedTime.Sum(r.now) + cost))
-	return costFactor*(r.random.Below()+float64(l.inFlight)) < l.limit
+	return costFactor*(r.random.Float64()+float64(l.inFlight)) < l.limit
 }
 
 // overloaded reports whether over a quarter of the recent answers were late.
