--- a/internal/caches/caches_test.go
+++ b/internal/caches/caches_test.go
@@ -184,7 +184,7 @@
 // A status must be provably right: whether a write is retried depends on it.
 func TestStatuses(t *testing.T) {
 	for word, want := range map[string]router.Status{"DONE": router.Fulfilled, "LACK": router.Missed,
-		"WAIT": router.TurnedAway, "BROKE": router.Failed, "PAST": router.NeverSent, "ODD": router.Broken,
+		"WAIT": router.Rejected, "BROKE": router.Failed, "PAST": router.NeverSent, "ODD": router.Broken,
 		"KEEP": router.Broken, "FIT": router.Broken} {
 		pt := newPoolTest(9)
 		pt.pull("a", 0)
@@ -218,7 +218,7 @@
 	pt := newPoolTest(9)
 	pull := pt.pull("a", 0)
 	pt.wires[0].write(true)
-	pt.Drop(pull, router.CalledOff, 1)
+	pt.Drop(pull, router.Cancelled, 1)
 	pt.results()
 	pt.pull("a", 2)
 	expect(t, "connections", len(pt.wires), 2)
--- a/internal/caches/pool.go
+++ b/internal/caches/pool.go
@@ -39,7 +39,7 @@
 	Pull   *Pull
 	Probe  string // the node, if this was a probe
 	Status router.Status
-	Note   router.Note
+	Note   router.AnswerSource
 	Load   map[string]float64
 	Keep   bool // the client's own copy is current
 	Body   *buffer.Body
@@ -445,13 +445,13 @@
 
 // statusByReply maps the word of a reply to the status of its pull or probe.
 var statusByReply = map[string]router.Status{
-	"DONE": router.Fulfilled, "KEEP": router.Fulfilled, "LACK": router.Missed, "WAIT": router.TurnedAway,
+	"DONE": router.Fulfilled, "KEEP": router.Fulfilled, "LACK": router.Missed, "WAIT": router.Rejected,
 	"BROKE": router.Failed, "PAST": router.NeverSent, "FIT": router.Fulfilled, "UNFIT": router.Failed,
 }
 
 // noteByResult maps the field res of a reply to a note for the router.
-var noteByResult = map[string]router.Note{
-	"warm": router.Held, "fill": router.FilledBySource, "piggy": router.JoinedFill, "aged": router.HeldOld,
+var noteByResult = map[string]router.AnswerSource{
+	"warm": router.Hit, "fill": router.FilledBySource, "piggy": router.JoinedFill, "aged": router.StaleHit,
 }
 
 // Handle processes an event of a wire.
@@ -593,7 +593,7 @@
 			p.Mute++
 			p.failConn(c, now)
 		case c.healthCheck != nil && lastRead > c.healthCheck.sentAt:
-			p.finish(c.healthCheck, End{Status: router.CalledOff, At: now}) // any data shows that the node is alive
+			p.finish(c.healthCheck, End{Status: router.Cancelled, At: now}) // any data shows that the node is alive
 			p.closeIfDrained(c)
 		case c.healthCheck == nil && p.limits.Checks && silentFor > max(p.limits.Answer, healthCheckFactor*p.meanAnswer):
 			c.healthCheck = p.sendHealthCheck(c, now)
--- a/internal/channel/channel_test.go
+++ b/internal/channel/channel_test.go
@@ -82,9 +82,9 @@
 )
 
 func TestParse(t *testing.T) {
-	node := Node{"x:1", router.Entry{Node: "a", Kind: "t", Zone: "z", State: router.Draining, Weight: 1.5, Cell: 2, Booted: 9}}
+	node := Node{"x:1", router.Entry{Node: "a", Kind: "t", Zone: "z", State: router.Draining, Weight: 1.5, Cell: 2, StartedAt: 9}}
 	for in, want := range map[string]string{
-		listEvent:    fmt.Sprint(News{Cursor: 3, Scope: router.Whole, Nodes: []Node{node}}),
+		listEvent:    fmt.Sprint(News{Cursor: 3, Scope: router.FullList, Nodes: []Node{node}}),
 		dropByID:     fmt.Sprint(News{Cursor: 4, Purge: true, Purged: router.Purged{Object: "7f"}, PurgeTime: 99.5}),
 		dropByFamily: fmt.Sprint(News{Cursor: 5, Purge: true, PurgeTime: 98}),
 	} {
@@ -100,7 +100,7 @@
 		}
 	}
 	if at, all, err := Known([]byte(`{"cursor":8,"cmds":[` + listEvent + "," + dropByID + `]}`)); at != 8 || len(all) != 2 ||
-		err != nil || all[0].Scope != router.Restored {
+		err != nil || all[0].Scope != router.RestoredList {
 		t.Errorf("Known: %v, %v, %v", at, all, err)
 	}
 	for _, in := range []string{"", "{}", `{"cursor":1,"cmds":[{}]}`} {
--- a/internal/channel/event.go
+++ b/internal/channel/event.go
@@ -69,7 +69,7 @@
 		return n, errors.New("cursor is missing")
 	case e.Nodes != nil:
 		if e.Nodes.Snapshot {
-			n.Scope = router.Whole
+			n.Scope = router.FullList
 		}
 		for _, p := range e.Nodes.Endpoints {
 			state, known := stateByStatus[p.Status]
@@ -77,7 +77,7 @@
 				return n, fmt.Errorf("invalid node %q: status %q, address %q", p.Name, p.Status, p.Address)
 			}
 			n.Nodes = append(n.Nodes, Node{Address: p.Address, Entry: router.Entry{Node: p.Name, Kind: p.Type,
-				Zone: p.Zone, State: state, Weight: p.Weight, Cell: p.Group, Booted: p.Since}})
+				Zone: p.Zone, State: state, Weight: p.Weight, Cell: p.Group, StartedAt: p.Since}})
 		}
 	case e.Drop != nil:
 		if e.Drop.ID == "" && e.Drop.Family == nil {
@@ -112,8 +112,8 @@
 		if err != nil {
 			return 0, nil, fmt.Errorf("cmds %d: %w", i, err)
 		}
-		if n.Scope == router.Whole {
-			n.Scope = router.Restored
+		if n.Scope == router.FullList {
+			n.Scope = router.RestoredList
 		}
 		all = append(all, n)
 	}
--- a/internal/footprint/config.go
+++ b/internal/footprint/config.go
@@ -34,7 +34,7 @@
 	MemoryMB, Sockets     int
 	Cursor                int64
 	Known                 []channel.News
-	Footprint             router.Footprint
+	Footprint             router.Settings
 	Types                 []Type
 
 	// Settings that the gateway itself uses; the router gets those it needs through Footprint.
--- a/internal/footprint/mapping.go
+++ b/internal/footprint/mapping.go
@@ -39,12 +39,12 @@
 }
 
 // RouterSettings decodes the settings of a configuration and returns those that the router reads, under its names.
-func RouterSettings(text []byte) (router.Footprint, error) {
+func RouterSettings(text []byte) (router.Settings, error) {
 	var decoded map[string]any
 	if err := json.Unmarshal(text, &decoded); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	mapped := router.Footprint{}
+	mapped := router.Settings{}
 	for _, setting := range settingNames {
 		var v any = decoded
 		for name := range strings.SplitSeq(setting[0], ".") {
--- a/internal/gateway/channel_events.go
+++ b/internal/gateway/channel_events.go
@@ -19,7 +19,7 @@
 		})
 		return
 	}
-	list := router.Listed{Scope: n.Scope}
+	list := router.NodesListed{Scope: n.Scope}
 	listed := map[string]bool{}
 	for _, node := range n.Nodes {
 		g.nodes[node.Node] = node.Entry
@@ -32,12 +32,12 @@
 		if g.addresses[node.Node] = node.Address; g.nodeListed != nil && node.State == router.Running {
 			g.nodeListed(node.Entry)
 		}
-		g.pool.List(node.Node, node.Address, node.Booted)
+		g.pool.List(node.Node, node.Address, node.StartedAt)
 		if g.drained.effective(node.Entry).State == router.Draining {
 			g.stopSending(node.Node) // after List, which allows probes of the node
 		}
 	}
-	if n.Scope != router.Changes {
+	if n.Scope != router.ListChanges {
 		for _, id := range slices.Sorted(maps.Keys(g.addresses)) {
 			if !listed[id] {
 				g.removeNode(id)
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -133,7 +133,7 @@
 		downloads: map[string]*download{},
 		clients:   map[Client]map[uint16]*download{}, probes: map[*caches.Pull]*timer{},
 		addresses: map[string]string{}, nodes: map[string]router.Entry{}, maxOpen: Share(c).Open, now: now}
-	g.emit(router.Started{Seed: c.Seed, Footprint: c.Footprint})
+	g.emit(router.Started{Seed: c.Seed, Settings: c.Footprint})
 	for _, n := range c.Known {
 		g.handleChannelEvent(n)
 	}
@@ -222,7 +222,7 @@
 		case t.download != nil:
 			g.failOverdue(t.download)
 		default:
-			g.emit(router.Rang{Token: t.token})
+			g.emit(router.TimerFired{Token: t.token})
 		}
 		g.dispatch()
 	}
@@ -251,28 +251,28 @@
 	g.Overdue++
 	g.log.WithField("download", d.id).Error("download not answered by its expiry; abandoning it")
 	g.answer(d, clients.Answer{Status: 500})
-	g.emit(router.Left{ID: d.id})
+	g.emit(router.ClientGone{ID: d.id})
 }
 
 // Drift describes the router's view of the nodes next to the pulls that are open on the sockets, and reports whether
 // the two differ. The limiters and budgets depend on the router's view.
 func (g *Core) Drift() (text string, drifts bool) {
-	for _, b := range g.router.Beliefs() {
+	for _, b := range g.router.NodeViews() {
 		open := g.pool.Open(b.Node)
-		drifts = drifts || b.Out != open
-		if b.Out != open || b.Aside || b.Warm < 1 || b.Most < limiterLogThreshold {
-			text += fmt.Sprintf("%s out %d of %d aside %t warm %.2f bad %.1f of %.1f", b.Node, b.Out, open, b.Aside, b.Warm,
-				b.Bad, b.Good+b.Bad)
-			if b.Most < limiterLogThreshold {
-				text += fmt.Sprintf(" at most %.1f late %.0f of %.0f", b.Most, b.Late, b.All)
+		drifts = drifts || b.InFlight != open
+		if b.InFlight != open || b.Ejected || b.WarmShare < 1 || b.Limit < limiterLogThreshold {
+			text += fmt.Sprintf("%s out %d of %d aside %t warm %.2f bad %.1f of %.1f", b.Node, b.InFlight, open, b.Ejected, b.WarmShare,
+				b.Failures, b.Successes+b.Failures)
+			if b.Limit < limiterLogThreshold {
+				text += fmt.Sprintf(" at most %.1f late %.0f of %.0f", b.Limit, b.LateAnswers, b.Answers)
 			}
 			text += "; "
 		}
 	}
-	fillLimiter, askLimiter := g.router.Limiters()
-	for _, l := range []router.Belief{fillLimiter, askLimiter} {
-		if l.Most < limiterLogThreshold {
-			text += fmt.Sprintf("%s out %d of at most %.1f late %.0f of %.0f; ", l.Node, l.Out, l.Most, l.Late, l.All)
+	fillLimiter, askLimiter := g.router.LimiterViews()
+	for _, l := range []router.LoadView{fillLimiter, askLimiter} {
+		if l.Limit < limiterLogThreshold {
+			text += fmt.Sprintf("%s out %d of at most %.1f late %.0f of %.0f; ", l.Node, l.InFlight, l.Limit, l.LateAnswers, l.Answers)
 		}
 	}
 	return text, drifts
@@ -292,11 +292,11 @@
 		if d := g.downloads[id]; !d.answered && len(d.pulls) == 0 {
 			g.Throttled++ // it was never sent, so a retry is safe
 			g.answer(d, clients.Answer{Status: 503, Wait: g.config.Advice})
-			g.emit(router.Left{ID: d.id})
+			g.emit(router.ClientGone{ID: d.id})
 		} else if !d.answered {
 			g.Abandoned++
 			g.answer(d, clients.Answer{Status: 500})
-			g.emit(router.Left{ID: d.id})
+			g.emit(router.ClientGone{ID: d.id})
 		}
 	}
 	g.dispatch()
@@ -355,17 +355,17 @@
 			g.Abandoned++
 			g.answer(d, clients.Answer{Status: 500})
 		}
-	case router.CallOff:
+	case router.CancelPull:
 		if d := g.downloads[a.ID]; d != nil && a.Pull < len(d.pulls) && d.pulls[a.Pull].cachePull != nil {
-			g.pool.Drop(d.pulls[a.Pull].cachePull, router.CalledOff, g.now)
+			g.pool.Drop(d.pulls[a.Pull].cachePull, router.Cancelled, g.now)
 		}
 	case router.Probe:
 		g.Probes++
 		q := g.pool.Probe(a.Node, g.now)
 		g.probes[q] = g.timers.push(timer{at: g.now + g.config.Connect, probe: q})
-	case router.Alarm:
+	case router.SetTimer:
 		g.timers.push(timer{at: a.At, token: a.Token})
-	case router.Watch: // the command channel sends changes unasked
+	case router.WatchNodes: // the command channel sends changes unasked
 	case router.Log:
 		g.log.Info(a.Text)
 	default:
@@ -426,7 +426,7 @@
 	g.releaseSpend(d, len(d.pulls) == 0)
 	g.releaseShare(d, 0)
 	g.release(d)
-	g.emit(router.Left{ID: d.id})
+	g.emit(router.ClientGone{ID: d.id})
 	g.recallPulls(d)
 }
 
@@ -622,8 +622,8 @@
 		Mine: d.clientSum, Copies: d.cacheable, MaxAge: cmp.Or(a.MaxAge, d.maxAge), Before: d.lastPull, Owner: p}
 	d.lastPull = p.cachePull
 	p.timeout = g.timers.push(timer{at: deadline, pull: p})
-	if a.Within > 0 {
-		p.sendDeadline = g.timers.push(timer{at: g.now + a.Within, sendDeadline: p})
+	if a.SendWithin > 0 {
+		p.sendDeadline = g.timers.push(timer{at: g.now + a.SendWithin, sendDeadline: p})
 	}
 	g.pool.Pull(p.cachePull, g.now)
 }
@@ -645,10 +645,10 @@
 	}
 	separator := ",ways="
 	for _, flag := range [...]struct {
-		how  router.How
+		how  router.PullOptions
 		word string
-	}{{router.Join, "j"}, {router.OnlyHeld, "h"}, {router.PassParent, "n"}, {router.Renew, "r"}} {
-		if a.How&flag.how != 0 {
+	}{{router.JoinFill, "j"}, {router.HeldOnly, "h"}, {router.SkipParentCopy, "n"}, {router.StaleWhileRevalidate, "r"}} {
+		if a.Options&flag.how != 0 {
 			b = append(append(b, separator...), flag.word...)
 			separator = "+"
 		}
@@ -694,6 +694,6 @@
 		e.Body.Release()
 	}
 	g.removeIfDone(d)
-	g.emit(router.Ended{ID: d.id, Pull: p.index, Status: e.Status, Took: max(0, e.At-p.sentAt), Closed: d.answered,
-		Note: e.Note, Load: e.Load})
+	g.emit(router.PullEnded{ID: d.id, Pull: p.index, Status: e.Status, Duration: max(0, e.At-p.sentAt), DownloadDone: d.answered,
+		AnswerSource: e.Note, Load: e.Load})
 }
--- a/internal/gateway/core_ordering_test.go
+++ b/internal/gateway/core_ordering_test.go
@@ -49,7 +49,7 @@
 		h.sendRequest(h.clients[0], "video", 1, 500)
 		d := h.core.downloads["0000000000000001"]
 		first := d.pulls[0]
-		h.core.sendPull(router.Pull{ID: d.id, Node: first.node, Source: first.source, Timeout: 400, Within: 100})
+		h.core.sendPull(router.Pull{ID: d.id, Node: first.node, Source: first.source, Timeout: 400, SendWithin: 100})
 		p := d.pulls[1]
 		if written {
 			h.wires[len(h.wires)-1].deliver()
@@ -80,7 +80,7 @@
 	c := testConfig(t)
 	nodes := c.Known[0].Nodes
 	sendList := func(h *harness, scope router.Scope, list ...channel.Node) {
-		if scope != router.Changes {
+		if scope != router.ListChanges {
 			for _, n := range nodes {
 				h.notRunning[n.Node] = true
 			}
@@ -103,29 +103,29 @@
 	a, b, rest := nodes[edges[0]], nodes[edges[1]], nodes[edges[1]+1:]
 	for name, sendLists := range map[string]func(h *harness){
 		"a drain, then a whole list without it": func(h *harness) {
-			sendList(h, router.Changes, withState(a, router.Draining))
-			sendList(h, router.Whole, append([]channel.Node{b}, rest...)...)
+			sendList(h, router.ListChanges, withState(a, router.Draining))
+			sendList(h, router.FullList, append([]channel.Node{b}, rest...)...)
 		},
 		"a whole list, then a drain that had been overtaken": func(h *harness) {
-			sendList(h, router.Whole, append([]channel.Node{a, b}, rest...)...)
-			sendList(h, router.Changes, withState(a, router.Draining))
+			sendList(h, router.FullList, append([]channel.Node{a, b}, rest...)...)
+			sendList(h, router.ListChanges, withState(a, router.Draining))
 		},
-		"a whole list that is empty": func(h *harness) { sendList(h, router.Whole) },
+		"a whole list that is empty": func(h *harness) { sendList(h, router.FullList) },
 		"gone, and back at another address": func(h *harness) {
-			sendList(h, router.Changes, withState(a, router.Gone))
+			sendList(h, router.ListChanges, withState(a, router.Gone))
 			other := a
-			other.Address, other.Booted = "127.0.0.1:5999", h.now
-			sendList(h, router.Changes, other, withState(b, router.Gone))
+			other.Address, other.StartedAt = "127.0.0.1:5999", h.now
+			sendList(h, router.ListChanges, other, withState(b, router.Gone))
 		},
 		"a new process at the same address": func(h *harness) {
 			other := a
-			other.Booted = h.now
-			sendList(h, router.Changes, other, withState(b, router.Draining))
+			other.StartedAt = h.now
+			sendList(h, router.ListChanges, other, withState(b, router.Draining))
 		},
 		"a new cache at the address of one that has gone": func(h *harness) {
 			other := a
 			other.Node = "edge-9"
-			sendList(h, router.Changes, withState(a, router.Gone), other, withState(b, router.Gone))
+			sendList(h, router.ListChanges, withState(a, router.Gone), other, withState(b, router.Gone))
 			h.notRunning[a.Node] = false // the harness names nodes by address, and this one now belongs to the new cache
 		},
 	} {
--- a/internal/gateway/core_test.go
+++ b/internal/gateway/core_test.go
@@ -491,9 +491,9 @@
 	}{
 		{router.Pull{Node: "a"}, "", ""},
 		{router.Pull{Node: "a", Source: "a"}, "", ""},
-		{router.Pull{Node: "a", Source: "b", Rank: 2, MaxAge: 1500.9, How: router.OnlyHeld | router.PassParent}, "cc",
+		{router.Pull{Node: "a", Source: "b", Rank: 2, MaxAge: 1500.9, Options: router.HeldOnly | router.SkipParentCopy}, "cc",
 			",next=b,admit=2,agelim=1500,ways=h+n,cached=cc"},
-		{router.Pull{Node: "a", Source: "b", MaxAge: 0.5, How: router.Join | router.Renew}, "", ",next=b,agelim=1,ways=j+r"},
+		{router.Pull{Node: "a", Source: "b", MaxAge: 0.5, Options: router.JoinFill | router.StaleWhileRevalidate}, "", ",next=b,agelim=1,ways=j+r"},
 	} {
 		d.clientSum = c.mine
 		if got, want := pullFields(d, c.a, 80.4), "kind=video,obj=00000000000000bb,seg=3,ms=80"+c.want; got != want {
--- a/internal/gateway/drain_nodes.go
+++ b/internal/gateway/drain_nodes.go
@@ -39,12 +39,12 @@
 	for _, n := range e.Nodes {
 		g.drained.nodes[n] = true
 	}
-	changes := router.Listed{Scope: router.Changes}
+	changes := router.NodesListed{Scope: router.ListChanges}
 	for _, n := range slices.Sorted(maps.Keys(g.nodes)) {
 		listed := g.nodes[n]
 		if effective := g.drained.effective(listed); effective != previous.effective(listed) {
 			changes.Entries = append(changes.Entries, effective)
-			if g.pool.List(n, g.addresses[n], listed.Booted); effective.State == router.Draining {
+			if g.pool.List(n, g.addresses[n], listed.StartedAt); effective.State == router.Draining {
 				g.stopSending(n)
 			}
 		}
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -140,8 +140,8 @@
 
 // emitArrived passes a download to the router.
 func (g *Core) emitArrived(d *download) {
-	g.emit(router.Arrived{ID: d.id, Type: d.typ, Object: d.object, Expiry: d.expiry, Group: d.group, Part: d.part,
-		Only: d.prefetchNode})
+	g.emit(router.DownloadArrived{ID: d.id, Type: d.typ, Object: d.object, Expiry: d.expiry, Group: d.group, Part: d.part,
+		PrefetchNode: d.prefetchNode})
 }
 
 // LinkStats returns the numbers of refused links by reason, and the counters of the link admission, for the log.
--- a/internal/gateway/load_meter.go
+++ b/internal/gateway/load_meter.go
@@ -41,8 +41,8 @@
 }
 
 // addPull counts a pull that returned a copy, if the answer tells whether the cache held it.
-func (m *loadMeter) addPull(now float64, node string, note router.Note) {
-	if m == nil || note == router.NotTold {
+func (m *loadMeter) addPull(now float64, node string, note router.AnswerSource) {
+	if m == nil || note == router.SourceUnknown {
 		return
 	}
 	edge := m.edges[node]
@@ -51,7 +51,7 @@
 		m.edges[node] = edge
 	}
 	edge.pulls.Add(now, 1)
-	if note == router.Held || note == router.HeldOld {
+	if note == router.Hit || note == router.StaleHit {
 		edge.hits.Add(now, 1)
 	} else {
 		m.fills.Add(now, 1)
--- a/internal/gateway/prefetch.go
+++ b/internal/gateway/prefetch.go
@@ -33,7 +33,7 @@
 type prefetcher struct {
 	core            *Core
 	node            string
-	pending         []router.Wanted
+	pending         []router.HotObject
 	open            int
 	lastID          uint16
 	filled, refused int
@@ -42,7 +42,7 @@
 
 // prefetch starts the downloads of a prefetch.
 func (g *Core) prefetch(e Ahead) {
-	p := &prefetcher{core: g, node: e.Node, pending: g.router.Hot(e.Node, e.Most), done: e.Done}
+	p := &prefetcher{core: g, node: e.Node, pending: g.router.HotObjects(e.Node, e.Most), done: e.Done}
 	p.next()
 }
 
@@ -130,10 +130,10 @@
 		}
 	}
 	cold, _ := c.Footprint["cold time"].(float64)
-	if n.Booted <= 0 {
+	if n.StartedAt <= 0 {
 		return 0
 	}
-	return n.Booted + cold - now
+	return n.StartedAt + cold - now
 }
 
 // Boots registers a function that is called for each running node in a node list.
--- a/internal/gateway/prefetch_test.go
+++ b/internal/gateway/prefetch_test.go
@@ -30,8 +30,8 @@
 			}
 		}
 	}
-	if len(h.core.router.Hot("edge-1", 100)) < 5 {
-		t.Fatalf("hot at edge-1: %v, %+v", h.core.router.Hot("edge-1", 100), h.core.Counters)
+	if len(h.core.router.HotObjects("edge-1", 100)) < 5 {
+		t.Fatalf("hot at edge-1: %v, %+v", h.core.router.HotObjects("edge-1", 100), h.core.Counters)
 	}
 	doneCalls, filled, refused := 0, 0, 0
 	h.core.Handle(Ahead{Node: "edge-1", Most: 10, At: h.now, Done: func(f, r int) { doneCalls, filled, refused = doneCalls+1, f, r }})
--- a/internal/gateway/quorum_member.go
+++ b/internal/gateway/quorum_member.go
@@ -66,7 +66,7 @@
 	if err == nil && jobs.On && jobs.Limits.WarmRounds > 0 {
 		core.Boots(func(n router.Entry) {
 			if left := ColdFor(c, n, p.now()); left > 0 {
-				m.council.Post(owner.Booted{Node: n.Node, Zone: n.Zone, Start: uint64(n.Booted), Left: left})
+				m.council.Post(owner.Booted{Node: n.Node, Zone: n.Zone, Start: uint64(n.StartedAt), Left: left})
 			}
 		})
 	}
--- a/internal/nimbus/encode.go
+++ b/internal/nimbus/encode.go
@@ -37,18 +37,18 @@
 			break
 		}
 		m = append(m, "PULL_VIA"...).word(a.ID).number(a.Timeout).word(a.Source)
-		m = m.integer(int64(a.How)).integer(int64(a.Rank)).word(a.Node).number(a.MaxAge)
+		m = m.integer(int64(a.Options)).integer(int64(a.Rank)).word(a.Node).number(a.MaxAge)
 	case router.Throttle:
 		m = append(m, "OVERLOAD_REPLY"...).word(a.ID).number(a.Wait)
 	case router.Abandon:
 		m = append(m, "FINISH_ERROR"...).word(a.ID)
-	case router.CallOff:
+	case router.CancelPull:
 		m = append(m, "ABORT_ATTEMPT"...).word(a.ID).integer(int64(a.Pull))
 	case router.Probe:
 		m = append(m, "TEST"...).word(a.Node)
-	case router.Alarm:
+	case router.SetTimer:
 		m = append(m, "SET_ALARM"...).number(a.At).integer(a.Token)
-	case router.Watch:
+	case router.WatchNodes:
 		m = append(m, "WATCH 1"...)
 	case router.Log:
 		m = append(m, "JOURNAL_LINE "...)
--- a/internal/nimbus/parse.go
+++ b/internal/nimbus/parse.go
@@ -69,8 +69,8 @@
 
 // statuses maps the statuses of the protocol to the router's.
 var statuses = map[string]router.Status{
-	"S": router.Fulfilled, "E": router.Failed, "F": router.TurnedAway, "T": router.TimedOut,
-	"C": router.NotConnected, "R": router.Broken, "X": router.CalledOff, "N": router.NeverSent,
+	"S": router.Fulfilled, "E": router.Failed, "F": router.Rejected, "T": router.TimedOut,
+	"C": router.NotConnected, "R": router.Broken, "X": router.Cancelled, "N": router.NeverSent,
 	"M": router.Missed,
 }
 
@@ -104,7 +104,7 @@
 
 // scopes maps the scopes of a VIEW message to the router's.
 var scopes = map[string]router.Scope{
-	"update": router.Changes, "replace": router.Whole, "restored": router.Restored, "unavailable": router.NoList,
+	"update": router.ListChanges, "replace": router.FullList, "restored": router.RestoredList, "unavailable": router.ListUnavailable,
 }
 
 // states maps the node states of the protocol to the router's.
@@ -119,32 +119,32 @@
 	case "CREATE":
 		s := router.Started{Seed: f.seed()}
 		var err error
-		s.Footprint, err = footprint.RouterSettings([]byte(f.rest))
+		s.Settings, err = footprint.RouterSettings([]byte(f.rest))
 		f.fail(err)
 		e = s
 	case "VIEW":
 		return h.parseList(f)
 	case "ACCEPT":
-		a := router.Arrived{ID: f.required(), Type: f.required()}
+		a := router.DownloadArrived{ID: f.required(), Type: f.required()}
 		f.word() // the customer, which the router does not use
 		a.Object, a.Expiry = f.word(), f.number()
 		a.Size, a.Group, a.Part = f.number(), f.integer(), f.integer()
 		a.Write = f.integer()&4 != 0
 		e = a
 	case "OUTCOME":
-		o := router.Ended{ID: f.required(), Pull: int(f.integer())}
+		o := router.PullEnded{ID: f.required(), Pull: int(f.integer())}
 		f.word() // the node, which the router knows from the pull
-		o.Status, o.Took = f.status(), f.number()
-		o.Closed, o.Note = f.integer() != 0, router.Note(f.integer())
+		o.Status, o.Duration = f.status(), f.number()
+		o.DownloadDone, o.AnswerSource = f.integer() != 0, router.AnswerSource(f.integer())
 		f.number() // the source's wait, which the router does not use
 		o.Load = f.load()
 		e = o
 	case "ESTABLISHED":
 		e = router.Streaming{ID: f.required(), Pull: int(f.integer())}
 	case "CLIENT_GONE":
-		e = router.Left{ID: f.required()}
+		e = router.ClientGone{ID: f.required()}
 	case "WAKEUP":
-		e = router.Rang{Token: f.integer()}
+		e = router.TimerFired{Token: f.integer()}
 	case "VOIDED":
 		e = router.Purged{Object: f.word(), Age: f.number(), Group: f.integer()}
 	case "PROBED":
@@ -168,7 +168,7 @@
 	if !ok {
 		f.fail(fmt.Errorf("unknown scope %q", scopeName))
 	}
-	list := router.Listed{Scope: scope}
+	list := router.NodesListed{Scope: scope}
 	for n := f.integer(); n > 0 && f.err == nil; n-- {
 		if !h.in.Scan() {
 			return nil, errors.New("the list ends early")
@@ -186,7 +186,7 @@
 			item.fail(fmt.Errorf("unknown state %q", stateName))
 		}
 		entry.Node, entry.Weight, entry.Zone = item.required(), item.number(), item.word()
-		entry.Cell, entry.Booted = item.integer(), item.number()
+		entry.Cell, entry.StartedAt = item.integer(), item.number()
 		if item.err != nil {
 			return nil, fmt.Errorf("%q: %w", line, item.err)
 		}
--- a/internal/rehearsal/virtual/replicated_log.go
+++ b/internal/rehearsal/virtual/replicated_log.go
@@ -105,7 +105,7 @@
 	m.consensus.propose(logEntry{name: m.name, worker: owner.Worker{Incarnation: m.incarnation, There: true, Losses: m.losses, Zone: m.zone}})
 	m.g.core.Boots(func(n router.Entry) {
 		if remaining := gateway.ColdFor(m.g.config, n, m.consensus.d.unix()); remaining > 0 {
-			m.handle(owner.Booted{Node: n.Node, Zone: n.Zone, Start: uint64(n.Booted), Left: remaining})
+			m.handle(owner.Booted{Node: n.Node, Zone: n.Zone, Start: uint64(n.StartedAt), Left: remaining})
 		}
 	})
 }
--- a/router/coldbudget_test.go
+++ b/router/coldbudget_test.go
@@ -38,13 +38,13 @@
 	f["gateways"], f["gateways by zone"] = float64(g.gateways), []any{0.0, float64(g.gateways)}
 	f["fall time"], f["fall multiple"], f["parent fall multiple"] = window, multiple, multiple
 	f["cold share"], f["cold time"], f["parent cold share"], f["parent cold time"] = coldShare, 15_000.0, coldShare, 15_000.0
-	list := Listed{Scope: Restored}
+	list := NodesListed{Scope: RestoredList}
 	for i := range g.caches {
 		list.Entries = append(list.Entries, Entry{Node: fmt.Sprint("e", i), Kind: "box", Zone: "club", Weight: g.cacheWeight},
 			Entry{Node: fmt.Sprint("p", i), Kind: "parent", Zone: "hub", Weight: g.cacheWeight})
 	}
 	list.Entries = append(list.Entries, Entry{Node: "o", Kind: "origin", Zone: "hub", Weight: 5})
-	cold := Entry{Node: "cold", Kind: "box", Zone: "club", Weight: g.cacheWeight, Booted: booted}
+	cold := Entry{Node: "cold", Kind: "box", Zone: "club", Weight: g.cacheWeight, StartedAt: booted}
 	if g.coldParent {
 		cold.Kind, cold.Zone = "parent", "hub"
 	}
@@ -53,9 +53,9 @@
 	for n := range g.gateways {
 		f, r := maps.Clone(f), New()
 		f["number"] = float64(n)
-		start := func(at float64, list Listed) {
+		start := func(at float64, list NodesListed) {
 			r = New()
-			r.Handle(at, Started{Seed: uint64(seed)<<20 + uint64(n), Footprint: f})
+			r.Handle(at, Started{Seed: uint64(seed)<<20 + uint64(n), Settings: f})
 			r.Handle(at, list)
 		}
 		start(0, list)
@@ -65,15 +65,15 @@
 		}
 		type pendingEnd struct {
 			at float64
-			e  Ended
+			e  PullEnded
 		}
 		var pending []pendingEnd
 		pulls := map[string]int{}
-		var alarms []Alarm
+		var alarms []SetTimer
 		serve := func(at float64, e Event) {
 			for _, a := range r.Handle(at, e) {
 				switch a := a.(type) {
-				case Alarm:
+				case SetTimer:
 					alarms = append(alarms, a)
 				case Pull:
 					took := 0.0
@@ -82,15 +82,15 @@
 							took = content.took
 						}
 					}
-					note := Held
+					note := Hit
 					if g.coldParent {
 						note = FilledBySource
 					}
 					if a.Node == "cold" || a.Source == "cold" && g.coldParent {
 						charges = append(charges, charge{at, took})
 					}
-					pending = append(pending, pendingEnd{at + took, Ended{ID: a.ID, Pull: pulls[a.ID],
-						Status: Fulfilled, Note: note, Took: took, Closed: true}})
+					pending = append(pending, pendingEnd{at + took, PullEnded{ID: a.ID, Pull: pulls[a.ID],
+						Status: Fulfilled, AnswerSource: note, Duration: took, DownloadDone: true}})
 					pulls[a.ID]++
 				}
 			}
@@ -98,18 +98,18 @@
 		next := 0.0
 		for at, i := 0.0, 0; at < booted+duration; at += 10 {
 			if at >= listedAt {
-				serve(at, Listed{Entries: []Entry{cold}})
+				serve(at, NodesListed{Entries: []Entry{cold}})
 				listedAt = math.Inf(1)
 			}
 			if at >= restartAt {
-				restored := Listed{Scope: Restored, Entries: append(slices.Clone(list.Entries), cold)}
+				restored := NodesListed{Scope: RestoredList, Entries: append(slices.Clone(list.Entries), cold)}
 				start(at, restored)
 				pending, alarms, restartAt = nil, nil, math.Inf(1)
 			}
 			for len(alarms) > 0 && alarms[0].At <= at {
 				b := alarms[0]
 				alarms = alarms[1:]
-				serve(at, Rang{Token: b.Token})
+				serve(at, TimerFired{Token: b.Token})
 			}
 			pending = slices.DeleteFunc(pending, func(x pendingEnd) bool {
 				if x.at > at {
@@ -128,10 +128,10 @@
 					u -= contentMix[k].share
 				}
 				i++
-				serve(at, Arrived{ID: fmt.Sprint(contentMix[k].typ, n, "-", i), Type: contentMix[k].typ,
+				serve(at, DownloadArrived{ID: fmt.Sprint(contentMix[k].typ, n, "-", i), Type: contentMix[k].typ,
 					Object: fmt.Sprint("o", random.Intn(5000)), Expiry: at + 6000, Write: contentMix[k].typ == "sale"})
 			}
-			slices.SortStableFunc(alarms, func(a, b Alarm) int { return int(a.At - b.At) })
+			slices.SortStableFunc(alarms, func(a, b SetTimer) int { return int(a.At - b.At) })
 		}
 	}
 	slices.SortStableFunc(charges, func(a, b charge) int { return int(math.Copysign(1, a.at-b.at)) })
--- a/router/events.go
+++ b/router/events.go
@@ -12,44 +12,44 @@
 type (
 	// Started is the first event: the seed of the router's random choices and the settings of its deployment.
 	Started struct {
-		Seed      uint64
-		Footprint Footprint
+		Seed     uint64
+		Settings Settings
 	}
-	// Listed carries a list of nodes, or changes to it.
-	Listed struct {
+	// NodesListed carries a list of nodes, or changes to it.
+	NodesListed struct {
 		Scope   Scope
 		Entries []Entry
 	}
-	// Arrived hands over a new download, to which the router must give exactly one final answer.
-	Arrived struct {
+	// DownloadArrived hands over a new download, to which the router must give exactly one final answer.
+	DownloadArrived struct {
 		ID, Type, Object string
 		Expiry           float64 // a time on the gateway's clock
 		Size             float64 // KB; 0: unknown
 		Group            int64
 		Part             int64
 		Write            bool
-		Only             string // the only edge cache to fill, ahead of requests; empty: any cache may serve it
+		PrefetchNode     string // the only edge cache to fill, ahead of requests; empty: any cache may serve it
 	}
-	// Ended reports how a pull ended, after Took ms. Closed means that the download has ended with it. Load holds the
+	// PullEnded reports how a pull ended, after Took ms. Closed means that the download has ended with it. Load holds the
 	// node's gauges.
-	Ended struct {
-		ID     string
-		Pull   int
-		Status Status
-		Took   float64
-		Closed bool
-		Note   Note
-		Load   map[string]float64
+	PullEnded struct {
+		ID           string
+		Pull         int
+		Status       Status
+		Duration     float64
+		DownloadDone bool
+		AnswerSource AnswerSource
+		Load         map[string]float64
 	}
 	// Streaming reports that the answer of a pull has begun to flow to the client.
 	Streaming struct {
 		ID   string
 		Pull int
 	}
-	// Left reports that the client has disconnected; the download needs no answer any more.
-	Left struct{ ID string }
-	// Rang reports that the Alarm with this token is due.
-	Rang struct{ Token int64 }
+	// ClientGone reports that the client has disconnected; the download needs no answer any more.
+	ClientGone struct{ ID string }
+	// TimerFired reports that the Alarm with this token is due.
+	TimerFired struct{ Token int64 }
 	// Purged invalidates copies older than Age: of one object, or of a whole group where Object is empty.
 	Purged struct {
 		Object string
@@ -74,8 +74,8 @@
 	Pull struct {
 		ID, Node, Source string
 		Timeout          float64
-		Within           float64 // the time from now by which it must be sent, or else never; 0: by its timeout
-		How              How
+		SendWithin       float64 // the time from now by which it must be sent, or else never; 0: by its timeout
+		Options          PullOptions
 		Rank             int     // rank of the copy that the node keeps; 0 keeps none
 		MaxAge           float64 // age of the oldest acceptable copy; 0 leaves it to the content type
 	}
@@ -86,20 +86,20 @@
 	}
 	// Abandon is a final answer: the request failed and may or may not have taken effect.
 	Abandon struct{ ID string }
-	// CallOff cancels one pull of a download.
-	CallOff struct {
+	// CancelPull cancels one pull of a download.
+	CancelPull struct {
 		ID   string
 		Pull int
 	}
 	// Probe requests a health check of a node.
 	Probe struct{ Node string }
-	// Alarm sets a timer: Rang is to follow at or after a time.
-	Alarm struct {
+	// SetTimer sets a timer: Rang is to follow at or after a time.
+	SetTimer struct {
 		At    float64
 		Token int64
 	}
-	// Watch subscribes to changes of the list of nodes, where they are not pushed.
-	Watch struct{}
+	// WatchNodes subscribes to changes of the list of nodes, where they are not pushed.
+	WatchNodes struct{}
 	// Log is a line for the operator's log.
 	Log struct{ Text string }
 )
@@ -110,23 +110,23 @@
 	State            State
 	Weight           float64
 	Cell             int64
-	Booted           float64 // when its process last started; 0: long ago
+	StartedAt        float64 // when its process last started; 0: long ago
 }
 
-// Belief is a router's view of a node or limiter, for logs and for checks against the actual state. It does not
+// LoadView is a router's view of a node or limiter, for logs and for checks against the actual state. It does not
 // include the load that nodes report.
-type Belief struct {
-	Node      string
-	Out       int     // pulls in flight
-	Aside     bool    // ejected because its pulls failed
-	Warm      float64 // the share of its capacity that it is warm enough for
-	Good, Bad float64 // its recent pulls that succeeded and failed
-	Most      float64 // the limit on its pulls in flight; unbounded until answers were late
-	Late, All float64 // the recent answers by which the limit is adapted: late ones, and all
+type LoadView struct {
+	Node                 string
+	InFlight             int     // pulls in flight
+	Ejected              bool    // ejected because its pulls failed
+	WarmShare            float64 // the share of its capacity that it is warm enough for
+	Successes, Failures  float64 // its recent pulls that succeeded and failed
+	Limit                float64 // the limit on its pulls in flight; unbounded until answers were late
+	LateAnswers, Answers float64 // the recent answers by which the limit is adapted: late ones, and all
 }
 
-// Wanted is a part of an object that is in demand.
-type Wanted struct {
+// HotObject is a part of an object that is in demand.
+type HotObject struct {
 	Type, Object string
 	Part, Group  int64
 }
@@ -136,10 +136,10 @@
 
 // The scopes of a list.
 const (
-	Changes  Scope = iota // changes to the previous list
-	Whole                 // replaces the previous list
-	Restored              // replaces the previous list, and may be stale
-	NoList                // a request for the list failed; the previous one stays in force
+	ListChanges     Scope = iota // changes to the previous list
+	FullList                     // replaces the previous list
+	RestoredList                 // replaces the previous list, and may be stale
+	ListUnavailable              // a request for the list failed; the previous one stays in force
 )
 
 // State is the listed state of a node.
@@ -159,40 +159,40 @@
 const (
 	Fulfilled    Status = iota
 	Failed              // the node answered with an error
-	TurnedAway          // not processed: the node, its fills or the source had no room
+	Rejected            // not processed: the node, its fills or the source had no room
 	TimedOut            // no answer within the timeout
 	NotConnected        // no connection could be made
 	Broken              // the connection broke
-	CalledOff           // cancelled by the router
+	Cancelled           // cancelled by the router
 	NeverSent           // given up before it was sent
 	Missed              // no suitable copy held
 )
 
-// Note says where the answer of a pull came from or why a fill failed, as far as the deployment reports it.
-type Note int
+// AnswerSource says where the answer of a pull came from or why a fill failed, as far as the deployment reports it.
+type AnswerSource int
 
 // The notes, in the order of their numbers on the wire.
 const (
-	NotTold        Note = iota
-	Held                // a hit
-	FilledBySource      // a miss that the source filled
-	FilledByOrigin      // a miss that the origin filled
-	JoinedFill          // a miss that joined a fill in flight
-	HeldOld             // a hit on a stale copy
-	SourceRefused       // the source turned the fill away
-	SourceLost          // the connection to the source was lost
-	SourceLacks         // the source does not hold the object
-	NoFillPlace         // the node had no room for the fill
-	OriginFailed        // the origin failed
+	SourceUnknown  AnswerSource = iota
+	Hit                         // a hit
+	FilledBySource              // a miss that the source filled
+	FilledByOrigin              // a miss that the origin filled
+	JoinedFill                  // a miss that joined a fill in flight
+	StaleHit                    // a hit on a stale copy
+	SourceRefused               // the source turned the fill away
+	SourceLost                  // the connection to the source was lost
+	SourceMiss                  // the source does not hold the object
+	NoFillCapacity              // the node had no room for the fill
+	OriginFailed                // the origin failed
 )
 
-// How holds the options of a pull, as bits.
-type How int
+// PullOptions holds the options of a pull, as bits.
+type PullOptions int
 
 // The options of a pull.
 const (
-	Join       How = 1 << iota // join a fill in flight
-	OnlyHeld                   // the source serves only a copy that it holds
-	PassParent                 // the parent keeps no copy
-	Renew                      // serve an ageing copy and refresh it in the background (stale-while-revalidate)
+	JoinFill             PullOptions = 1 << iota // join a fill in flight
+	HeldOnly                                     // the source serves only a copy that it holds
+	SkipParentCopy                               // the parent keeps no copy
+	StaleWhileRevalidate                         // serve an ageing copy and refresh it in the background (stale-while-revalidate)
 )
--- a/router/failures_test.go
+++ b/router/failures_test.go
@@ -8,7 +8,7 @@
 )
 
 // healthyReply answers a pull with a fill after 30 ms.
-func healthyReply(Pull) (Status, Note, float64) { return Fulfilled, FilledBySource, 30 }
+func healthyReply(Pull) (Status, AnswerSource, float64) { return Fulfilled, FilledBySource, 30 }
 
 // Each fault starts after two good seconds and lasts for a while. The pulls of its last two seconds are checked; after
 // it all nodes must be in use again.
@@ -16,38 +16,38 @@
 	for _, c := range []struct {
 		name         string
 		faultSeconds int // seconds of the fault before the two that are checked
-		reply        func(Pull) (Status, Note, float64)
+		reply        func(Pull) (Status, AnswerSource, float64)
 		wrong        func(at, by map[string]int) bool
 	}{
-		{"an edge cache answers with errors and passes probes", 8, func(p Pull) (Status, Note, float64) {
+		{"an edge cache answers with errors and passes probes", 8, func(p Pull) (Status, AnswerSource, float64) {
 			if p.Node == "e1" {
-				return Failed, NotTold, 1
+				return Failed, SourceUnknown, 1
 			}
 			return healthyReply(p)
 		}, func(at, by map[string]int) bool { return at["e1"] > at["e2"]/3 || by["p1"] == 0 || by["p2"] == 0 }},
-		{"a parent answers with errors behind healthy edge caches", 8, func(p Pull) (Status, Note, float64) {
+		{"a parent answers with errors behind healthy edge caches", 8, func(p Pull) (Status, AnswerSource, float64) {
 			if p.Source == "p1" {
-				return Failed, NotTold, 1
+				return Failed, SourceUnknown, 1
 			}
 			return healthyReply(p)
 		}, func(at, by map[string]int) bool { return by["p1"] > by["p2"]/3 || at["e1"] < at["e2"]/3 }},
-		{"a parent hangs", 1, func(p Pull) (Status, Note, float64) {
+		{"a parent hangs", 1, func(p Pull) (Status, AnswerSource, float64) {
 			if p.Source == "p1" {
-				return TimedOut, NotTold, -1
+				return TimedOut, SourceUnknown, -1
 			}
 			return healthyReply(p)
 		}, func(_, by map[string]int) bool { return by["p1"] > by["p2"]/3 }},
-		{"an edge cache is slow", 8, func(p Pull) (Status, Note, float64) {
+		{"an edge cache is slow", 8, func(p Pull) (Status, AnswerSource, float64) {
 			if p.Node == "e1" {
-				return Fulfilled, Held, 400
+				return Fulfilled, Hit, 400
 			}
 			return healthyReply(p)
 		}, func(at, _ map[string]int) bool { return at["e1"] > at["e2"] }},
-		{"all nodes fail alike", 8, func(Pull) (Status, Note, float64) { return Failed, NotTold, 1 },
+		{"all nodes fail alike", 8, func(Pull) (Status, AnswerSource, float64) { return Failed, SourceUnknown, 1 },
 			func(at, by map[string]int) bool { return at["e1"]+at["e2"] == 0 || at["e1"]+at["e2"] > 4*400 }},
-		{"the link is full", 8, func(p Pull) (Status, Note, float64) {
+		{"the link is full", 8, func(p Pull) (Status, AnswerSource, float64) {
 			if p.Source == p.Node {
-				return Missed, NotTold, 1
+				return Missed, SourceUnknown, 1
 			}
 			return Fulfilled, FilledBySource, 2000
 		}, func(_, by map[string]int) bool { return by["p1"]+by["p2"]+by["o"] > 100 || by["e1"] == 0 }},
@@ -66,7 +66,7 @@
 }
 
 // playSparse sends one download every 150 ms, the low rate of one gateway in a large fleet. Probes fail.
-func (g *harness) playSparse(seconds int, reply func(Pull) (Status, Note, float64)) (throttled int, bySource map[string]int) {
+func (g *harness) playSparse(seconds int, reply func(Pull) (Status, AnswerSource, float64)) (throttled int, bySource map[string]int) {
 	bySource = map[string]int{}
 	for i := range seconds * 1000 / 150 {
 		a := videoRequest(fmt.Sprint("few ", g.now))
@@ -74,7 +74,7 @@
 		for e, next := Event(a), g.now+150; ; {
 			for _, action := range g.r.Handle(g.now, e) {
 				switch action := action.(type) {
-				case Alarm:
+				case SetTimer:
 					g.alarms = append(g.alarms, action)
 				case Throttle:
 					throttled++
@@ -83,17 +83,17 @@
 				case Pull:
 					bySource[action.Source]++
 					status, note, took := reply(action)
-					g.pending = append(g.pending, pendingEvent{g.now + took, Ended{ID: action.ID, Pull: g.pulls[action.ID], Status: status,
-						Note: note, Took: took, Closed: status == Fulfilled}})
+					g.pending = append(g.pending, pendingEvent{g.now + took, PullEnded{ID: action.ID, Pull: g.pulls[action.ID], Status: status,
+						AnswerSource: note, Duration: took, DownloadDone: status == Fulfilled}})
 					g.pulls[action.ID]++
 				}
 			}
 			slices.SortStableFunc(g.pending, func(a, b pendingEvent) int { return cmp.Compare(a.at, b.at) })
-			slices.SortStableFunc(g.alarms, func(a, b Alarm) int { return cmp.Compare(a.At, b.At) })
+			slices.SortStableFunc(g.alarms, func(a, b SetTimer) int { return cmp.Compare(a.At, b.At) })
 			if len(g.pending) > 0 && g.pending[0].at <= next && (len(g.alarms) == 0 || g.pending[0].at <= g.alarms[0].At) {
 				g.now, e, g.pending = max(g.now, g.pending[0].at), g.pending[0].event, g.pending[1:]
 			} else if len(g.alarms) > 0 && g.alarms[0].At <= next {
-				g.now, e, g.alarms = max(g.now, g.alarms[0].At), Rang{Token: g.alarms[0].Token}, g.alarms[1:]
+				g.now, e, g.alarms = max(g.now, g.alarms[0].At), TimerFired{Token: g.alarms[0].Token}, g.alarms[1:]
 			} else {
 				g.now = next
 				break
@@ -109,22 +109,22 @@
 func TestUnreachableSource(t *testing.T) {
 	g := newHarness()
 	g.playSparse(4, healthyReply)
-	throttled, bySource := g.playSparse(6, func(p Pull) (Status, Note, float64) {
+	throttled, bySource := g.playSparse(6, func(p Pull) (Status, AnswerSource, float64) {
 		if p.Source == "p1" {
-			return TurnedAway, NotTold, 401
+			return Rejected, SourceUnknown, 401
 		}
 		return healthyReply(p)
 	})
-	fills, _ := g.r.Limiters()
-	if throttled > 0 || bySource["p1"] > 4 || bySource["p2"] < 30 || fills.Most < 1e8 {
-		t.Errorf("%d throttled, fills by %v, limit of the limiter of fills %.1f", throttled, bySource, fills.Most)
+	fills, _ := g.r.LimiterViews()
+	if throttled > 0 || bySource["p1"] > 4 || bySource["p2"] < 30 || fills.Limit < 1e8 {
+		t.Errorf("%d throttled, fills by %v, limit of the limiter of fills %.1f", throttled, bySource, fills.Limit)
 	}
 	// Fills that are turned away at once mean a lack of room, and lower the limit.
 	g = newHarness()
 	g.playSparse(4, healthyReply)
-	g.playSparse(6, func(p Pull) (Status, Note, float64) { return TurnedAway, NotTold, 5 })
-	if fills, _ := g.r.Limiters(); fills.Most > 10 {
-		t.Errorf("fills are turned away at once, and the limit of their limiter is %.1f", fills.Most)
+	g.playSparse(6, func(p Pull) (Status, AnswerSource, float64) { return Rejected, SourceUnknown, 5 })
+	if fills, _ := g.r.LimiterViews(); fills.Limit > 10 {
+		t.Errorf("fills are turned away at once, and the limit of their limiter is %.1f", fills.Limit)
 	}
 }
 
@@ -154,7 +154,7 @@
 func TestWholeListReplacesNodes(t *testing.T) {
 	g := newHarness()
 	l := testFleet()
-	l.Scope, l.Entries = Whole, l.Entries[1:]
+	l.Scope, l.Entries = FullList, l.Entries[1:]
 	g.r.Handle(0, l)
 	if byNode, _ := g.play(1, healthyReply); byNode["e1"] > 0 || byNode["e2"] == 0 {
 		t.Errorf("e1 left the list: pulls to %v", byNode)
@@ -177,13 +177,13 @@
 	for i := range 5000 {
 		a := videoRequest(fmt.Sprint(i))
 		a.Expiry = 3000
-		for _, alarm := range actionsOf[Alarm](r.Handle(2, a)) {
+		for _, alarm := range actionsOf[SetTimer](r.Handle(2, a)) {
 			tokens[alarm.Token] = true
 		}
 	}
 	done := 0
 	for token := range tokens {
-		done += len(actionsOf[Throttle](r.Handle(2900, Rang{Token: token})))
+		done += len(actionsOf[Throttle](r.Handle(2900, TimerFired{Token: token})))
 	}
 	if done != 5000 || len(r.downloads) != 0 {
 		t.Errorf("%d of 5000 answered, %d still open", done, len(r.downloads))
@@ -213,14 +213,14 @@
 func TestInvalidSettingsEndInTime(t *testing.T) {
 	f := testSettings()
 	f["benefit"], f["gateways by zone"], f["gateways"], f["fall time"] = []any{-3.0}, []any{"many"}, -1.0, 0.0
-	for _, l := range []Listed{{Scope: Whole}, {Entries: []Entry{{Node: "e1", Kind: "odd", Weight: -5, Booted: 1e12}}}} {
+	for _, l := range []NodesListed{{Scope: FullList}, {Entries: []Entry{{Node: "e1", Kind: "odd", Weight: -5, StartedAt: 1e12}}}} {
 		r := startedRouter(f)
 		r.Handle(1, l)
-		r.Handle(2, Ended{ID: "nobody", Pull: 9, Note: 99})
+		r.Handle(2, PullEnded{ID: "nobody", Pull: 9, AnswerSource: 99})
 		a := videoRequest("a")
 		a.Expiry = 3000
 		answers := runToAnswer(r, 10, a)
-		answers = append(answers, runToAnswer(r, 2999, Ended{ID: "a", Status: Failed, Note: 99,
+		answers = append(answers, runToAnswer(r, 2999, PullEnded{ID: "a", Status: Failed, AnswerSource: 99,
 			Load: map[string]float64{"held": -1e300}})...)
 		if len(answers) != 1 {
 			t.Errorf("%+v: answers %+v, want one", l, answers)
@@ -238,7 +238,7 @@
 		if len(p) != 1 {
 			t.Fatalf("%s: %+v", object, p)
 		}
-		r.Handle(now+1, Ended{ID: a.ID, Status: Fulfilled, Closed: true, Note: FilledBySource})
+		r.Handle(now+1, PullEnded{ID: a.ID, Status: Fulfilled, DownloadDone: true, AnswerSource: FilledBySource})
 		return p[0]
 	}
 	get(10, "match")
@@ -254,21 +254,21 @@
 
 // downloadWithKnownHitTime answers downloads of an object as hits at the edge, so that its hit time is known, and then
 // requests it again. It returns the pull and the timers of that request.
-func downloadWithKnownHitTime(g *harness, f Footprint) (Pull, []Alarm) {
+func downloadWithKnownHitTime(g *harness, f Settings) (Pull, []SetTimer) {
 	g.r = startedRouter(f)
 	for i := range 20 {
 		a := videoRequest(fmt.Sprint("first", i))
 		for _, p := range actionsOf[Pull](g.r.Handle(float64(10*i), a)) {
-			note := Held
+			note := Hit
 			if i < 5 {
 				note = FilledBySource
 			}
-			g.r.Handle(float64(10*i+5), Ended{ID: p.ID, Status: Fulfilled, Note: note, Took: 40, Closed: true})
+			g.r.Handle(float64(10*i+5), PullEnded{ID: p.ID, Status: Fulfilled, AnswerSource: note, Duration: 40, DownloadDone: true})
 		}
 	}
 	again := videoRequest("again")
 	actions := g.r.Handle(1000, again)
-	return actionsOf[Pull](actions)[0], actionsOf[Alarm](actions)
+	return actionsOf[Pull](actions)[0], actionsOf[SetTimer](actions)
 }
 
 // A pull that takes much longer than earlier hits of its object causes one second copy from another node, where that is
@@ -282,7 +282,7 @@
 		var second []Pull
 		for _, b := range alarms {
 			if b.At <= 1000+600+1.5*40 {
-				second = append(second, actionsOf[Pull](g.r.Handle(b.At, Rang{Token: b.Token}))...)
+				second = append(second, actionsOf[Pull](g.r.Handle(b.At, TimerFired{Token: b.Token}))...)
 			}
 		}
 		if len(second) > 1 || (len(second) == 1) != allowed || allowed && second[0].Node == first.Node {
@@ -291,18 +291,18 @@
 		if !allowed {
 			continue
 		}
-		actions := g.r.Handle(1700, Ended{ID: "again", Pull: 1, Status: Fulfilled, Note: Held, Took: 40, Closed: true})
-		if cancelled := actionsOf[CallOff](actions); len(cancelled) != 1 || cancelled[0].Pull != 0 {
+		actions := g.r.Handle(1700, PullEnded{ID: "again", Pull: 1, Status: Fulfilled, AnswerSource: Hit, Duration: 40, DownloadDone: true})
+		if cancelled := actionsOf[CancelPull](actions); len(cancelled) != 1 || cancelled[0].Pull != 0 {
 			t.Errorf("cancelled: %+v, want pull 0", cancelled)
 		}
-		g.r.Handle(1701, Ended{ID: "again", Pull: 0, Status: CalledOff, Took: 700, Closed: true})
+		g.r.Handle(1701, PullEnded{ID: "again", Pull: 0, Status: Cancelled, Duration: 700, DownloadDone: true})
 		if n := g.r.nodes[first.Node]; n.failures.Sum(1701) == 0 || n.limiter.inFlight != 0 || len(g.r.downloads) != 0 {
 			t.Errorf("the overtaken node: %.1f failures, %d pulls in flight", n.failures.Sum(1701), n.limiter.inFlight)
 		}
 		// A download without room for its second copy goes on waiting for its first pull.
-		g.r.Handle(2000, Listed{Entries: []Entry{{Node: second[0].Node, Kind: "box", Zone: "club", Weight: 10, State: Draining}}})
-		for _, b := range actionsOf[Alarm](g.r.Handle(2000, videoRequest("alone"))) {
-			if given := g.r.Handle(b.At, Rang{Token: b.Token}); len(actionsOf[Throttle](given))+
+		g.r.Handle(2000, NodesListed{Entries: []Entry{{Node: second[0].Node, Kind: "box", Zone: "club", Weight: 10, State: Draining}}})
+		for _, b := range actionsOf[SetTimer](g.r.Handle(2000, videoRequest("alone"))) {
+			if given := g.r.Handle(b.At, TimerFired{Token: b.Token}); len(actionsOf[Throttle](given))+
 				len(actionsOf[Abandon](given)) > 0 {
 				t.Errorf("given up while its pull is in flight: %+v", given)
 			}
@@ -320,7 +320,7 @@
 		a.Object = fmt.Sprint("made up", i)
 		g.now += 2
 		for pulls, n := actionsOf[Pull](g.r.Handle(g.now, a)), 0; len(pulls) > 0; n++ {
-			pulls = actionsOf[Pull](g.r.Handle(g.now, Ended{ID: a.ID, Pull: n, Status: Failed, Took: 1}))
+			pulls = actionsOf[Pull](g.r.Handle(g.now, PullEnded{ID: a.ID, Pull: n, Status: Failed, Duration: 1}))
 		}
 	}
 	for _, n := range g.r.sortedNodes {
@@ -337,7 +337,7 @@
 	for i := range 100 {
 		a := videoRequest(fmt.Sprint(i))
 		for pulls, n := actionsOf[Pull](g.r.Handle(float64(i), a)), 0; len(pulls) > 0; n++ {
-			pulls = actionsOf[Pull](g.r.Handle(float64(i), Ended{ID: a.ID, Pull: n, Status: NeverSent}))
+			pulls = actionsOf[Pull](g.r.Handle(float64(i), PullEnded{ID: a.ID, Pull: n, Status: NeverSent}))
 		}
 	}
 	for _, n := range g.r.sortedNodes {
@@ -358,9 +358,9 @@
 	for i := range 3000 {
 		now += 100
 		if i%10 == 0 {
-			fresh := Entry{Node: fmt.Sprint("n", i), Kind: "box", Zone: "club", Weight: 10, Booted: now}
+			fresh := Entry{Node: fmt.Sprint("n", i), Kind: "box", Zone: "club", Weight: 10, StartedAt: now}
 			goneNode := Entry{Node: fmt.Sprint("n", i-10), State: Gone}
-			r.Handle(now, Listed{Entries: []Entry{fresh, goneNode}})
+			r.Handle(now, NodesListed{Entries: []Entry{fresh, goneNode}})
 			if n := r.nodes[fresh.Node]; n.failures.Sum(now)+n.successes.Sum(now)+n.coldSpent.Sum(now) != 0 ||
 				n.limiter.inFlight != 0 {
 				t.Fatalf("%s starts with %v", n.id, n)
@@ -374,9 +374,9 @@
 		}
 		for n, p := range pulls {
 			for token := range r.timers {
-				r.Handle(now, Rang{Token: token})
+				r.Handle(now, TimerFired{Token: token})
 			}
-			r.Handle(now+50, Ended{ID: p.ID, Pull: n, Status: Fulfilled, Note: FilledBySource, Took: 50, Closed: true})
+			r.Handle(now+50, PullEnded{ID: p.ID, Pull: n, Status: Fulfilled, AnswerSource: FilledBySource, Duration: 50, DownloadDone: true})
 		}
 	}
 	if len(r.nodes) > 30 || len(r.sortedNodes) != len(r.nodes) || len(r.holders.entries) > 700 ||
@@ -403,16 +403,16 @@
 		cancelled int
 	}{{30, "video", 1}, {2000, "video", 0}, {2000, "sale", 1}} {
 		g := newHarness()
-		g.play(4, func(p Pull) (Status, Note, float64) { return Fulfilled, FilledBySource, c.took })
+		g.play(4, func(p Pull) (Status, AnswerSource, float64) { return Fulfilled, FilledBySource, c.took })
 		a := videoRequest("left")
 		a.Type, a.Object, a.Expiry = c.typ, "new", g.now+3000
 		if pulls := actionsOf[Pull](g.r.Handle(g.now, a)); len(pulls) != 1 {
 			t.Fatalf("%d pulls", len(pulls))
 		}
-		if cancelled := actionsOf[CallOff](g.r.Handle(g.now+50, Left{ID: "left"})); len(cancelled) != c.cancelled {
+		if cancelled := actionsOf[CancelPull](g.r.Handle(g.now+50, ClientGone{ID: "left"})); len(cancelled) != c.cancelled {
 			t.Errorf("%s, fills take %.0f ms: %d pulls cancelled, want %d", c.typ, c.took, len(cancelled), c.cancelled)
 		}
-		g.r.Handle(g.now+100, Ended{ID: "left", Status: Fulfilled, Note: FilledByOrigin, Took: 100, Closed: true})
+		g.r.Handle(g.now+100, PullEnded{ID: "left", Status: Fulfilled, AnswerSource: FilledByOrigin, Duration: 100, DownloadDone: true})
 		if g.r.downloads["left"] != nil {
 			t.Error("the download was not forgotten")
 		}
@@ -424,10 +424,10 @@
 func TestColdBudgetAfterGatewayRestart(t *testing.T) {
 	for _, after := range []float64{50, 250, 500, 900} {
 		r, startedAt := New(), 100_000.0
-		r.Handle(startedAt, Started{Seed: 7, Footprint: testSettings()})
+		r.Handle(startedAt, Started{Seed: 7, Settings: testSettings()})
 		cold := testFleet()
 		for i := range cold.Entries[:2] {
-			cold.Entries[i].Booted = startedAt - 5000
+			cold.Entries[i].StartedAt = startedAt - 5000
 		}
 		r.Handle(startedAt, cold)
 		charged := map[string]float64{}
--- a/router/helpers_test.go
+++ b/router/helpers_test.go
@@ -3,8 +3,8 @@
 import "fmt"
 
 // testSettings returns the settings of a deployment with edge caches, parents and an origin.
-func testSettings() Footprint {
-	return Footprint{
+func testSettings() Settings {
+	return Settings{
 		"zones": []any{"hub", "club"}, "zone": "club", "kinds": []any{"box", "parent", "origin"},
 		"parent kind": 1.0, "origin kind": 2.0, "gateways": 1.0, "gateways by zone": []any{0.0, 1.0},
 		"types": []any{"video", "sale"}, "repeat": []any{"retriable", "non-retriable"},
@@ -16,8 +16,8 @@
 }
 
 // testFleet returns a list of two edge caches, two parents and the origin.
-func testFleet() Listed {
-	return Listed{Scope: Restored, Entries: []Entry{
+func testFleet() NodesListed {
+	return NodesListed{Scope: RestoredList, Entries: []Entry{
 		{Node: "e1", Kind: "box", Zone: "club", Weight: 10}, {Node: "e2", Kind: "box", Zone: "club", Weight: 10},
 		{Node: "p1", Kind: "parent", Zone: "hub", Weight: 20}, {Node: "p2", Kind: "parent", Zone: "hub", Weight: 20},
 		{Node: "o", Kind: "origin", Zone: "hub", Weight: 5},
@@ -25,9 +25,9 @@
 }
 
 // startedRouter returns a router at time 0 that was given the list of testFleet.
-func startedRouter(f Footprint) *Router {
+func startedRouter(f Settings) *Router {
 	r := New()
-	r.Handle(0, Started{Seed: 7, Footprint: f})
+	r.Handle(0, Started{Seed: 7, Settings: f})
 	r.Handle(0, testFleet())
 	return r
 }
@@ -44,8 +44,8 @@
 }
 
 // videoRequest returns a download of the same video for each id.
-func videoRequest(id string) Arrived {
-	return Arrived{ID: id, Type: "video", Object: "match", Expiry: 1e6, Part: 3, Group: 4}
+func videoRequest(id string) DownloadArrived {
+	return DownloadArrived{ID: id, Type: "video", Object: "match", Expiry: 1e6, Part: 3, Group: 4}
 }
 
 // finalAnswer is a Throttle or Abandon and its time.
@@ -57,10 +57,10 @@
 // runToAnswer hands an event over, then fires every timer in turn, and returns the final answers.
 func runToAnswer(r *Router, now float64, e Event) []finalAnswer {
 	var answers []finalAnswer
-	var alarms []Alarm
+	var alarms []SetTimer
 	for {
 		actions := r.Handle(now, e)
-		alarms = append(alarms, actionsOf[Alarm](actions)...)
+		alarms = append(alarms, actionsOf[SetTimer](actions)...)
 		for _, a := range actionsOf[Throttle](actions) {
 			answers = append(answers, finalAnswer{now, a})
 		}
@@ -70,7 +70,7 @@
 		if len(alarms) == 0 {
 			return answers
 		}
-		now, e = max(now, alarms[0].At), Rang{Token: alarms[0].Token}
+		now, e = max(now, alarms[0].At), TimerFired{Token: alarms[0].Token}
 		alarms = alarms[1:]
 	}
 }
@@ -80,7 +80,7 @@
 	r       *Router
 	now     float64
 	pending []pendingEvent
-	alarms  []Alarm
+	alarms  []SetTimer
 	pulls   map[string]int
 }
 
@@ -97,12 +97,12 @@
 // play sends one download every 5 ms for some seconds. The reply function gives the status, note and time in ms of each
 // pull; a negative time means that no answer comes before the expiry. play returns how many pulls each node got as
 // target and as source.
-func (g *harness) play(seconds int, reply func(Pull) (Status, Note, float64)) (byNode, bySource map[string]int) {
+func (g *harness) play(seconds int, reply func(Pull) (Status, AnswerSource, float64)) (byNode, bySource map[string]int) {
 	byNode, bySource = map[string]int{}, map[string]int{}
 	run := func(e Event) {
 		for _, action := range g.r.Handle(g.now, e) {
 			switch action := action.(type) {
-			case Alarm:
+			case SetTimer:
 				g.alarms = append(g.alarms, action)
 			case Probe:
 				g.pending = append(g.pending, pendingEvent{g.now + 1, Probed{Node: action.Node}})
@@ -113,8 +113,8 @@
 				if took < 0 || took > action.Timeout {
 					status, took = TimedOut, action.Timeout
 				}
-				g.pending = append(g.pending, pendingEvent{g.now + took, Ended{ID: action.ID, Pull: g.pulls[action.ID],
-					Status: status, Note: note, Took: took, Closed: status == Fulfilled}})
+				g.pending = append(g.pending, pendingEvent{g.now + took, PullEnded{ID: action.ID, Pull: g.pulls[action.ID],
+					Status: status, AnswerSource: note, Duration: took, DownloadDone: status == Fulfilled}})
 				g.pulls[action.ID]++
 			}
 		}
@@ -125,7 +125,7 @@
 			if alarm := g.alarms[j]; alarm.At <= g.now {
 				g.alarms = append(g.alarms[:j:j], g.alarms[j+1:]...)
 				j--
-				run(Rang{Token: alarm.Token})
+				run(TimerFired{Token: alarm.Token})
 			}
 		}
 		for j := 0; j < len(g.pending); j++ {
--- a/router/model_test.go
+++ b/router/model_test.go
@@ -9,7 +9,7 @@
 
 // ruleModel is a slow, direct form of the rules: it remembers every pull and checks each action against all of them.
 type ruleModel struct {
-	settings       Footprint
+	settings       Settings
 	now            float64
 	nodeStates     map[string]State
 	nodeBooted     map[string]float64
@@ -23,7 +23,7 @@
 
 // modelDownload is a download that the router must answer, and its pulls.
 type modelDownload struct {
-	Arrived
+	DownloadArrived
 	effectClass string
 	answered    bool
 	pulls       []*modelPull
@@ -46,9 +46,9 @@
 }
 
 // checkAction checks that the rules allow an action; alarms are collected.
-func (m *ruleModel) checkAction(a Action, alarms *[]Alarm) {
+func (m *ruleModel) checkAction(a Action, alarms *[]SetTimer) {
 	switch a := a.(type) {
-	case Alarm:
+	case SetTimer:
 		*alarms = append(*alarms, a)
 	case Throttle:
 		if d := m.downloads[a.ID]; m.checkFinalAnswer(d, a.ID) && d.effectClass != "retriable" {
@@ -155,7 +155,7 @@
 	m := &ruleModel{settings: f, now: 50_000, nodeStates: map[string]State{}, nodeBooted: map[string]float64{},
 		startLearnedAt: map[string]float64{}, nodeZones: map[string]string{}}
 	var r *Router
-	var alarms []Alarm
+	var alarms []SetTimer
 	handle := func(e Event) {
 		for _, a := range r.Handle(m.now, e) {
 			m.checkAction(a, &alarms)
@@ -169,8 +169,8 @@
 		for _, p := range m.pulls {
 			p.inFlight = false
 		}
-		handle(Started{Seed: uint64(seed), Footprint: f})
-		list.Scope = Restored
+		handle(Started{Seed: uint64(seed), Settings: f})
+		list.Scope = RestoredList
 		for _, e := range list.Entries {
 			m.nodeStates[e.Node], m.nodeZones[e.Node] = e.State, e.Zone
 		}
@@ -184,7 +184,7 @@
 			for i, a := range alarms {
 				if a.At <= m.now {
 					alarms, due = append(alarms[:i:i], alarms[i+1:]...), true
-					handle(Rang{Token: a.Token})
+					handle(TimerFired{Token: a.Token})
 					break
 				}
 			}
@@ -199,11 +199,11 @@
 			i := random.Intn(len(list.Entries))
 			e := list.Entries[i]
 			if e.State = State(random.Intn(3)); e.State == Running && random.Intn(2) == 0 {
-				e.Booted = m.now - float64(random.Intn(2000))
-				m.nodeBooted[e.Node], m.startLearnedAt[e.Node] = e.Booted, m.now
+				e.StartedAt = m.now - float64(random.Intn(2000))
+				m.nodeBooted[e.Node], m.startLearnedAt[e.Node] = e.StartedAt, m.now
 			}
 			list.Entries[i], m.nodeStates[e.Node] = e, e.State
-			handle(Listed{Scope: Changes, Entries: []Entry{e}})
+			handle(NodesListed{Scope: ListChanges, Entries: []Entry{e}})
 		case 1:
 			group, age := int64(random.Intn(3)), float64(random.Intn(300))
 			m.purgedAt[group] = max(m.purgedAt[group], m.now-age)
@@ -214,10 +214,10 @@
 			}
 		default:
 			k := random.Intn(3)
-			a := Arrived{ID: fmt.Sprint(step, "-", seed), Type: f.textAt("types", k), Object: fmt.Sprint(random.Intn(60)),
+			a := DownloadArrived{ID: fmt.Sprint(step, "-", seed), Type: f.textAt("types", k), Object: fmt.Sprint(random.Intn(60)),
 				Expiry: m.now + float64(random.Intn(2500)), Size: 500 * float64(k+1), Write: k == 1}
 			a.Group = int64(len(a.Object)) // any number that depends only on the object
-			m.downloads[a.ID] = &modelDownload{Arrived: a, effectClass: f.textAt("repeat", k)}
+			m.downloads[a.ID] = &modelDownload{DownloadArrived: a, effectClass: f.textAt("repeat", k)}
 			handle(a)
 		}
 		for _, d := range m.downloads {
@@ -232,7 +232,7 @@
 // endPull hands over a random end of a pull.
 func endPull(m *ruleModel, sent *modelPull, handle func(Event), random *rand.Rand) {
 	d := m.downloads[sent.ID]
-	e := Ended{ID: sent.ID, Status: Status(random.Intn(9)), Took: m.now - sent.sentAt}
+	e := PullEnded{ID: sent.ID, Status: Status(random.Intn(9)), Duration: m.now - sent.sentAt}
 	for i, p := range d.pulls {
 		if p == sent {
 			e.Pull = i
@@ -247,12 +247,12 @@
 	if e.Status == Fulfilled {
 		d.answered = true
 		if m.settings.text("notes") == "hit" {
-			e.Note = Note(1 + random.Intn(2))
-			sent.answeredFromCopy = e.Note == Held
+			e.AnswerSource = AnswerSource(1 + random.Intn(2))
+			sent.answeredFromCopy = e.AnswerSource == Hit
 		}
 	}
-	sent.inFlight, e.Closed = false, d.answered
-	sent.mayHaveRun = e.Status != TurnedAway && e.Status != NotConnected && e.Status != NeverSent && e.Status != Missed
+	sent.inFlight, e.DownloadDone = false, d.answered
+	sent.mayHaveRun = e.Status != Rejected && e.Status != NotConnected && e.Status != NeverSent && e.Status != Missed
 	handle(e)
 }
 
@@ -264,14 +264,14 @@
 		m := &ruleModel{settings: testSettings(), now: 100_000, nodeStates: map[string]State{},
 			nodeBooted: map[string]float64{"p1": 100_000}, startLearnedAt: map[string]float64{}}
 		list := testFleet()
-		list.Entries[2].Booted = 100_000
+		list.Entries[2].StartedAt = 100_000
 		routers := make([]*Router, 50+random.Intn(150))
 		for i := range routers {
 			f := testSettings()
 			f["gateways"], f["number"] = float64(len(routers)), float64(i)
 			f["gateways by zone"] = []any{0.0, float64(len(routers) / 5)}
 			routers[i] = New()
-			routers[i].Handle(0, Started{Seed: uint64(i), Footprint: f})
+			routers[i].Handle(0, Started{Seed: uint64(i), Settings: f})
 			routers[i].Handle(100_000, list)
 		}
 		fills := 0
@@ -289,9 +289,9 @@
 					m.pulls = append(m.pulls, &modelPull{Pull: p, sentAt: m.now, cost: 300})
 					m.checkColdBudget("p1")
 				}
-				e = Ended{ID: a.ID, Pull: n, Status: Fulfilled, Closed: true, Note: FilledBySource}
-				if pulls[0].How&OnlyHeld != 0 {
-					e = Ended{ID: a.ID, Pull: n, Status: Missed}
+				e = PullEnded{ID: a.ID, Pull: n, Status: Fulfilled, DownloadDone: true, AnswerSource: FilledBySource}
+				if pulls[0].Options&HeldOnly != 0 {
+					e = PullEnded{ID: a.ID, Pull: n, Status: Missed}
 				}
 			}
 		}
--- a/router/prefetch_test.go
+++ b/router/prefetch_test.go
@@ -10,10 +10,10 @@
 // cache. It does not count as demand.
 func TestPrefetchFillsOnlyItsCache(t *testing.T) {
 	r := startedRouter(testSettings())
-	r.Handle(0, Listed{Entries: []Entry{{Node: "e3", Kind: "box", Zone: "club", Weight: 10, Booted: 1}}})
-	prefetch := func(id, only, object string) Arrived {
+	r.Handle(0, NodesListed{Entries: []Entry{{Node: "e3", Kind: "box", Zone: "club", Weight: 10, StartedAt: 1}}})
+	prefetch := func(id, only, object string) DownloadArrived {
 		a := videoRequest(id)
-		a.Only, a.Object, a.Size = only, object, 500
+		a.PrefetchNode, a.Object, a.Size = only, object, 500
 		return a
 	}
 	pulls, throttled := 0, 0
@@ -25,7 +25,7 @@
 				t.Fatalf("a prefetch for e3 goes to %s", p.Node)
 			}
 			pulls++
-			r.Handle(at, Ended{ID: p.ID, Status: Fulfilled, Note: FilledBySource, Took: 1, Closed: true})
+			r.Handle(at, PullEnded{ID: p.ID, Status: Fulfilled, AnswerSource: FilledBySource, Duration: 1, DownloadDone: true})
 		}
 		throttled += len(actionsOf[Throttle](actions))
 		if len(actionsOf[Abandon](actions)) > 0 {
@@ -35,7 +35,7 @@
 	if pulls == 0 || throttled == 0 || pulls+throttled != 400 {
 		t.Errorf("%d pulls and %d throttled of 400, within one window of a cold cache", pulls, throttled)
 	}
-	if hot := r.Hot("e3", 10); len(hot) != 0 {
+	if hot := r.HotObjects("e3", 10); len(hot) != 0 {
 		t.Errorf("prefetches count as demand: %v", hot)
 	}
 	if actions := r.Handle(3000, prefetch("none", "e9", "o")); len(actionsOf[Throttle](actions)) != 1 || len(actionsOf[Pull](actions)) != 0 {
@@ -53,7 +53,7 @@
 	seen := map[string]int{}
 	for _, node := range []string{"e1", "e2", "e3"} {
 		last := 1 << 30
-		for _, w := range r.Hot(node, 100) {
+		for _, w := range r.HotObjects(node, 100) {
 			n := 0
 			fmt.Sscanf(w.Object, "w%d", &n)
 			if seen[w.Object]++; n > last || w.Type != "video" || w.Part != 3 || w.Group != 4 {
@@ -65,7 +65,7 @@
 	if len(seen) != 30 {
 		t.Errorf("%d of 30 objects are hot somewhere", len(seen))
 	}
-	if got := r.Hot("e1", 2); len(got) > 2 || len(r.Hot("gone", 2)) != 0 {
+	if got := r.HotObjects("e1", 2); len(got) > 2 || len(r.HotObjects("gone", 2)) != 0 {
 		t.Errorf("e1 with a limit of 2: %v; or an unknown node has hot objects", got)
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -25,11 +25,11 @@
 	switch e := e.(type) {
 	case Started:
 		r.start(e)
-	case Listed:
+	case NodesListed:
 		r.applyList(e)
-	case Arrived:
+	case DownloadArrived:
 		r.arrive(e)
-	case Ended:
+	case PullEnded:
 		if d := r.downloads[e.ID]; d != nil && e.Pull >= 0 && e.Pull < len(d.pulls) && d.pulls[e.Pull].inFlight {
 			r.post(message{to: d, kind: msgEnded, pull: d.pulls[e.Pull], event: e})
 		}
@@ -37,14 +37,14 @@
 		if d := r.downloads[e.ID]; d != nil {
 			d.streaming = true
 		}
-	case Left:
+	case ClientGone:
 		if d := r.downloads[e.ID]; d != nil {
 			// While fills are late, the fill of a client that left continues: a repeated request would otherwise
 			// start it over each time and it would never complete.
 			d.streaming = d.streaming || !d.write && r.zoneGateways < 3 && !r.fillLimiter.calm(r)
 			d.finish(r)
 		}
-	case Rang:
+	case TimerFired:
 		if m, ok := r.timers[e.Token]; ok {
 			delete(r.timers, e.Token)
 			r.post(m)
@@ -67,7 +67,7 @@
 
 // start reads the settings.
 func (r *Router) start(e Started) {
-	r.settings, r.startedAt, r.random = e.Footprint, r.now, Chance(e.Seed|1)
+	r.settings, r.startedAt, r.random = e.Settings, r.now, Chance(e.Seed|1)
 	zoneIndex := slices.Index(r.settings.list("zones"), any(r.settings.text("zone")))
 	// Without a count for its zone, this gateway counts as one of all gateways: a cold cache then gets less than it
 	// can take, by a factor of the number of zones. Without any count it assumes that it is alone; if it is not,
@@ -83,13 +83,13 @@
 		r.types[t.name] = t
 	}
 	if r.settings.text("list") == "asked" {
-		r.emit(Watch{})
+		r.emit(WatchNodes{})
 	}
 }
 
 // applyList passes each entry of a list of nodes to its node and reports as gone the nodes that a whole list leaves out.
-func (r *Router) applyList(e Listed) {
-	if e.Scope == NoList {
+func (r *Router) applyList(e NodesListed) {
+	if e.Scope == ListUnavailable {
 		r.setTimer(r.now+statsWindow/statsBuckets, message{to: listRetrier{}, kind: msgTimerFired})
 		return
 	}
@@ -115,7 +115,7 @@
 		r.post(message{to: n, kind: msgListed, event: entry})
 	}
 	for _, n := range r.sortedNodes {
-		if e.Scope != Changes && !listedNodes[n.id] {
+		if e.Scope != ListChanges && !listedNodes[n.id] {
 			r.post(message{to: n, kind: msgListed, event: Entry{Node: n.id, State: Gone}})
 		}
 	}
@@ -151,7 +151,7 @@
 }
 
 // arrive creates the download for a request and ranks the edge caches and parents for its object.
-func (r *Router) arrive(e Arrived) {
+func (r *Router) arrive(e DownloadArrived) {
 	t := r.types[e.Type]
 	if t == nil {
 		r.emit(Abandon{ID: e.ID})
@@ -159,7 +159,7 @@
 		return
 	}
 	d := &Download{id: e.ID, typ: t, key: objectKey{e.Object, e.Part}, group: e.Group, expiry: e.Expiry,
-		arrivedAt: r.now, write: e.Write || t.write, prefetch: e.Only != ""}
+		arrivedAt: r.now, write: e.Write || t.write, prefetch: e.PrefetchNode != ""}
 	if flow := r.settings.num("flow"); flow > 0 && e.Size > 0 {
 		d.transferTime = 1000 * e.Size / flow
 		t.transferCount.Add(r.now, 1)
@@ -173,7 +173,7 @@
 	}
 	if d.prefetch {
 		// No client waits for a prefetch: it does not count as demand, and goes only to the cache that it fills.
-		d.edges = slices.DeleteFunc(d.edges, func(n *Node) bool { return n.id != e.Only })
+		d.edges = slices.DeleteFunc(d.edges, func(n *Node) bool { return n.id != e.PrefetchNode })
 		r.post(message{to: d, kind: msgArrived})
 		return
 	}
@@ -230,7 +230,7 @@
 	case msgGranted:
 		d.send(r, m.pull)
 	case msgEnded:
-		d.pullEnded(r, m.pull, m.event.(Ended))
+		d.pullEnded(r, m.pull, m.event.(PullEnded))
 	case msgOverdue:
 		if m.pull.late = m.pull.inFlight; m.pull.late && m.pull.source != m.pull.node {
 			r.post(message{to: m.pull.source, kind: msgOverdue, pull: m.pull})
@@ -371,8 +371,8 @@
 	for _, q := range d.pulls {
 		remaining := q.sentAt + d.typ.dedupeWindow - r.now
 		if d.typ.effectClass == "deduped" && (q.mayHaveRun || q.inFlight) &&
-			(a.Within == 0 || remaining < a.Within) {
-			a.Within = remaining
+			(a.SendWithin == 0 || remaining < a.SendWithin) {
+			a.SendWithin = remaining
 		}
 	}
 	if len(d.pulls) > 0 {
@@ -385,13 +385,13 @@
 			a.Rank = 1
 		}
 		if p.onlyHeld {
-			d.askedHeld, a.Rank, a.How = true, 1, OnlyHeld
+			d.askedHeld, a.Rank, a.Options = true, 1, HeldOnly
 		}
 		if r.settings.flag("join") {
-			a.How |= Join
+			a.Options |= JoinFill
 		}
 		if d.typ.freshFor > 0 {
-			a.How |= Renew
+			a.Options |= StaleWhileRevalidate
 		}
 		a.MaxAge = r.purges.maxAge(r, d)
 		if (p.source == p.node || r.fillLimiter.overloaded(r) || r.heldLimiter.overloaded(r)) &&
@@ -421,7 +421,7 @@
 }
 
 // pullEnded assigns blame for a failed pull, passes the outcome on, and ends the download or offers its next pull.
-func (d *Download) pullEnded(r *Router, p *pull, e Ended) {
+func (d *Download) pullEnded(r *Router, p *pull, e PullEnded) {
 	p.inFlight = false
 	// An error counts only once another pull brings the object: one that every node answers with an error, such as
 	// an object that does not exist, is no node's fault.
@@ -441,18 +441,18 @@
 	// A fill that is turned away only after the time that connecting may take means that its source can't be reached:
 	// neither the link nor the edge cache is at fault.
 	connectTime := r.settings.num("connect time")
-	if p.sourceUnreachable = e.Status == TurnedAway && p.source != p.node &&
+	if p.sourceUnreachable = e.Status == Rejected && p.source != p.node &&
 		connectTime > 0 && r.now-p.sentAt >= connectTime; p.sourceUnreachable {
 		p.sourceBlame = 1
 	}
-	p.mayHaveRun = !slices.Contains([]Status{TurnedAway, NotConnected, NeverSent, Missed}, e.Status)
+	p.mayHaveRun = !slices.Contains([]Status{Rejected, NotConnected, NeverSent, Missed}, e.Status)
 	r.postToBoth(message{kind: msgEnded, pull: p, event: e})
 	if !d.write {
 		r.post(message{to: &r.holders, kind: msgOutcome, pull: p, event: e})
 	}
-	if e.Status == Fulfilled && !d.write && d.transferTime == 0 && (e.Note == Held || e.Note == NotTold) {
+	if e.Status == Fulfilled && !d.write && d.transferTime == 0 && (e.AnswerSource == Hit || e.AnswerSource == SourceUnknown) {
 		d.typ.transferCount.Add(r.now, 1)
-		d.typ.transferTime.Add(r.now, e.Took)
+		d.typ.transferTime.Add(r.now, e.Duration)
 		// Lateness is measured against the lowest mean seen, once it is of enough samples: congestion must not raise the
 		// bar by which it is detected.
 		mean := d.typ.meanTransferTime(r.now)
@@ -461,7 +461,7 @@
 		}
 		d.typ.unloadedTime += (mean - d.typ.unloadedTime) / 1000
 	}
-	if e.Closed {
+	if e.DownloadDone {
 		d.finish(r)
 	} else if !d.done && !d.hasPullInFlight() && !d.streaming {
 		if p.onlyHeld && e.Status == Missed {
@@ -498,7 +498,7 @@
 	d.done = true
 	for i, p := range d.pulls {
 		if p.inFlight && r.settings.flag("call off") && !d.streaming {
-			r.emit(CallOff{ID: d.id, Pull: i})
+			r.emit(CancelPull{ID: d.id, Pull: i})
 		}
 	}
 	if !d.hasPullInFlight() {
@@ -536,7 +536,7 @@
 		n.coldSpent.Add(r.now, -m.pull.cost)
 		r.limiterFor(n, m.pull).inFlight--
 	case msgEnded:
-		n.pullEnded(r, m.pull, m.event.(Ended))
+		n.pullEnded(r, m.pull, m.event.(PullEnded))
 	case msgOverdue:
 		// An overdue pull counts against its source only, and by half: a slow edge cache still holds copies, and pulls of
 		// large objects are overdue too.
@@ -562,17 +562,17 @@
 		n.state, n.changedAt = Gone, r.now
 		return
 	}
-	if n.state == Gone || n.booted != e.Booted {
+	if n.state == Gone || n.booted != e.StartedAt {
 		// A new process starts without the record of the old one.
 		n.successes.Clear()
 		n.failures.Clear()
 		n.health = healthy
 	}
-	if n.coldSpent.width == 0 || n.booted != e.Booted {
+	if n.coldSpent.width == 0 || n.booted != e.StartedAt {
 		// A process that merely left the list and returned keeps the charges against its cold budget.
 		n.coldSpent = NewRing(max(1, r.settings.num("fall time"))*1.1, 11)
 	}
-	n.kind, n.zone, n.cell, n.weight, n.booted, n.state = e.Kind, e.Zone, e.Cell, e.Weight, e.Booted, e.State
+	n.kind, n.zone, n.cell, n.weight, n.booted, n.state = e.Kind, e.Zone, e.Cell, e.Weight, e.StartedAt, e.State
 	switch n.role = edge; slices.Index(r.settings.list("kinds"), any(e.Kind)) {
 	case int(r.settings.num("parent kind")):
 		n.role = parent
@@ -712,12 +712,12 @@
 }
 
 // pullEnded updates a node's limiter, cold budget and health from the end of a pull.
-func (n *Node) pullEnded(r *Router, p *pull, e Ended) {
+func (n *Node) pullEnded(r *Router, p *pull, e PullEnded) {
 	limiter := r.limiterFor(n, p)
 	limiter.inFlight--
 	if e.Status == Fulfilled {
 		n.served.Add(r.now, p.cost)
-		if n != p.node && e.Note == Held {
+		if n != p.node && e.AnswerSource == Hit {
 			// The source was not asked after all: its charge is returned, and the answer says nothing about its health.
 			if p.sentAt > n.booted {
 				n.coldSpent.Add(p.sentAt, -p.cost)
@@ -726,9 +726,9 @@
 		}
 	}
 	// Where answers tell fills from hits, a late fill counts against the source only: the edge goes on serving copies.
-	unknownSource := e.Note == NotTold && e.Status != TurnedAway && r.settings.text("notes") == "none"
-	if !p.sourceUnreachable && (n != p.node || p.source == p.node || e.Note == Held || unknownSource) {
-		limiter.recordAnswer(r, p.late || e.Status == TurnedAway)
+	unknownSource := e.AnswerSource == SourceUnknown && e.Status != Rejected && r.settings.text("notes") == "none"
+	if !p.sourceUnreachable && (n != p.node || p.source == p.node || e.AnswerSource == Hit || unknownSource) {
+		limiter.recordAnswer(r, p.late || e.Status == Rejected)
 		if e.Status != Fulfilled && e.Status != Missed && e.Status != NeverSent {
 			limiter.failures.Add(r.now, 1)
 		}
@@ -739,7 +739,7 @@
 	case p.late && n != p.node || p.errorPending:
 	case e.Status == Fulfilled, e.Status == Missed:
 		n.successes.Add(r.now, 1)
-	case e.Status != NeverSent && (e.Status != CalledOff || p.overtaken): // a pull that hung was overtaken by a second copy
+	case e.Status != NeverSent && (e.Status != Cancelled || p.overtaken): // a pull that hung was overtaken by a second copy
 		n.failures.Add(r.now, p.blameShare(n))
 	}
 	n.ejectIfFailing(r)
@@ -868,14 +868,14 @@
 		return
 	}
 	switch e := m.event.(type) {
-	case Ended:
+	case PullEnded:
 		entry := h.touch(r, m.pull.download)
 		if entry.fillInFlight == m.pull {
 			entry.fillInFlight = nil
 		}
-		if e.Status == Fulfilled && e.Note == Held {
-			entry.hitTime = e.Took
-		} else if e.Status == Fulfilled && m.pull.source.role == parent && e.Note != HeldOld {
+		if e.Status == Fulfilled && e.AnswerSource == Hit {
+			entry.hitTime = e.Duration
+		} else if e.Status == Fulfilled && m.pull.source.role == parent && e.AnswerSource != StaleHit {
 			entry.parent, entry.heldSince = m.pull.source, r.now
 		}
 	case Purged:
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -12,7 +12,7 @@
 	if len(first) != 1 || first[0].Rank != 0 {
 		t.Fatalf("first request: %+v, want one pull that keeps nothing", first)
 	}
-	r.Handle(50, Ended{ID: "a", Status: Fulfilled, Closed: true, Note: FilledBySource})
+	r.Handle(50, PullEnded{ID: "a", Status: Fulfilled, DownloadDone: true, AnswerSource: FilledBySource})
 	if again := actionsOf[Pull](r.Handle(60, videoRequest("b"))); len(again) != 1 || again[0].Rank == 0 {
 		t.Errorf("after a fill through the parent: %+v, want the copy kept", again)
 	}
@@ -25,16 +25,16 @@
 	f["gateways by zone"] = []any{0.0, 12.0}
 	r := startedRouter(f)
 	first := actionsOf[Pull](r.Handle(10, videoRequest("a")))
-	if len(first) != 1 || first[0].How&OnlyHeld == 0 || first[0].Rank == 0 {
+	if len(first) != 1 || first[0].Options&HeldOnly == 0 || first[0].Rank == 0 {
 		t.Fatalf("first request: %+v, want a pull for held copies only whose answer is kept", first)
 	}
-	then := actionsOf[Pull](r.Handle(20, Ended{ID: "a", Status: Missed}))
-	if len(then) != 1 || then[0].How&OnlyHeld != 0 || then[0].Rank != 0 || then[0].Source != first[0].Source {
+	then := actionsOf[Pull](r.Handle(20, PullEnded{ID: "a", Status: Missed}))
+	if len(then) != 1 || then[0].Options&HeldOnly != 0 || then[0].Rank != 0 || then[0].Source != first[0].Source {
 		t.Errorf("miss at the parent: %+v, want a fill by the parent that keeps nothing at the edge", then)
 	}
-	r.Handle(50, Ended{ID: "a", Pull: 1, Status: Fulfilled, Closed: true, Note: FilledBySource})
+	r.Handle(50, PullEnded{ID: "a", Pull: 1, Status: Fulfilled, DownloadDone: true, AnswerSource: FilledBySource})
 	if again := actionsOf[Pull](r.Handle(60, videoRequest("b"))); len(again) != 1 ||
-		again[0].How&OnlyHeld != 0 || again[0].Rank == 0 {
+		again[0].Options&HeldOnly != 0 || again[0].Rank == 0 {
 		t.Errorf("the holder table has the object: %+v, want a fill that is kept", again)
 	}
 }
@@ -43,13 +43,13 @@
 func TestColdParentKeepsItsBudget(t *testing.T) {
 	r := startedRouter(testSettings())
 	cold := testFleet()
-	cold.Entries[2].Booted = 100_000
-	cold.Entries[3].Booted = 100_000
+	cold.Entries[2].StartedAt = 100_000
+	cold.Entries[3].StartedAt = 100_000
 	r.Handle(101_000, cold)
 	fills := 0
 	for i := range 200 {
 		if i == 100 { // leaving the list and returning is no new process and grants no new budget
-			r.Handle(101_600, Listed{Entries: []Entry{{Node: "p1", State: Gone}}})
+			r.Handle(101_600, NodesListed{Entries: []Entry{{Node: "p1", State: Gone}}})
 			r.Handle(101_600, cold)
 		}
 		a := videoRequest(fmt.Sprint(i))
@@ -92,17 +92,17 @@
 	f["siblings"] = "any"
 	r := startedRouter(f)
 	sibling := Entry{Node: "x1", Kind: "box", Zone: "other", Weight: 10}
-	r.Handle(1, Listed{Entries: []Entry{sibling, {Node: "p1", Kind: "parent", Zone: "hub", Weight: 20, State: Draining},
+	r.Handle(1, NodesListed{Entries: []Entry{sibling, {Node: "p1", Kind: "parent", Zone: "hub", Weight: 20, State: Draining},
 		{Node: "p2", Kind: "parent", Zone: "hub", Weight: 20, State: Draining}}})
 	pulls := actionsOf[Pull](r.Handle(10, videoRequest("a")))
-	if len(pulls) != 1 || pulls[0].Source != "x1" || pulls[0].How&OnlyHeld == 0 || pulls[0].Rank == 0 || pulls[0].Node == "x1" {
+	if len(pulls) != 1 || pulls[0].Source != "x1" || pulls[0].Options&HeldOnly == 0 || pulls[0].Rank == 0 || pulls[0].Node == "x1" {
 		t.Fatalf("no parent left: %+v, want the copy that x1 holds, kept at an edge cache of this zone", pulls)
 	}
-	if pulls = actionsOf[Pull](r.Handle(20, Ended{ID: "a", Status: Missed})); len(pulls) != 1 || pulls[0].Source != "o" {
+	if pulls = actionsOf[Pull](r.Handle(20, PullEnded{ID: "a", Status: Missed})); len(pulls) != 1 || pulls[0].Source != "o" {
 		t.Errorf("miss at x1: %+v, want the origin", pulls)
 	}
 	sibling.State = Draining
-	r.Handle(30, Listed{Entries: []Entry{sibling}})
+	r.Handle(30, NodesListed{Entries: []Entry{sibling}})
 	if pulls = actionsOf[Pull](r.Handle(40, videoRequest("b"))); len(pulls) != 1 || pulls[0].Source != "o" {
 		t.Errorf("x1 drains: %+v, want the origin", pulls)
 	}
@@ -120,7 +120,7 @@
 	sentPulls := map[string]int{}
 	for i := range 400 {
 		for j, typ := range []string{"video", "page"} {
-			a := Arrived{ID: fmt.Sprint(typ, i), Type: typ, Object: fmt.Sprint(typ, i), Expiry: 1e6,
+			a := DownloadArrived{ID: fmt.Sprint(typ, i), Type: typ, Object: fmt.Sprint(typ, i), Expiry: 1e6,
 				Size: []float64{4000, 400}[j]}
 			sentPulls[typ] += len(actionsOf[Pull](r.Handle(10, a)))
 			for _, n := range r.sortedNodes {
@@ -153,9 +153,9 @@
 		r := startedRouter(f)
 		pulls := actionsOf[Pull](r.Handle(1000, videoRequest("d")))
 		for n, status := range c.earlier {
-			pulls = actionsOf[Pull](r.Handle(1100+100*float64(n), Ended{ID: "d", Pull: n, Status: status}))
+			pulls = actionsOf[Pull](r.Handle(1100+100*float64(n), PullEnded{ID: "d", Pull: n, Status: status}))
 		}
-		if len(pulls) != 1 || pulls[0].Within != c.want {
+		if len(pulls) != 1 || pulls[0].SendWithin != c.want {
 			t.Errorf("%s: %+v, want one pull within %.0f", c.name, pulls, c.want)
 		}
 	}
--- a/router/settings.go
+++ b/router/settings.go
@@ -1,28 +1,28 @@
 package router
 
-// Footprint holds the settings of a deployment, by name. Values are float64, string, bool or lists of these; a missing
+// Settings holds the settings of a deployment, by name. Values are float64, string, bool or lists of these; a missing
 // name or a value of another type reads as the zero value.
-type Footprint map[string]any
+type Settings map[string]any
 
-func (f Footprint) num(name string) float64 { return number(f[name]) }
+func (f Settings) num(name string) float64 { return number(f[name]) }
 
-func (f Footprint) flag(name string) bool {
+func (f Settings) flag(name string) bool {
 	v, _ := f[name].(bool)
 	return v
 }
 
-func (f Footprint) text(name string) string {
+func (f Settings) text(name string) string {
 	v, _ := f[name].(string)
 	return v
 }
 
-func (f Footprint) list(name string) []any {
+func (f Settings) list(name string) []any {
 	v, _ := f[name].([]any)
 	return v
 }
 
 // numAt returns element i of a list of numbers, 0 where there is none.
-func (f Footprint) numAt(name string, i int) float64 {
+func (f Settings) numAt(name string, i int) float64 {
 	if l := f.list(name); i >= 0 && i < len(l) {
 		return number(l[i])
 	}
@@ -30,7 +30,7 @@
 }
 
 // textAt returns element i of a list of strings, empty where there is none.
-func (f Footprint) textAt(name string, i int) string {
+func (f Settings) textAt(name string, i int) string {
 	if l := f.list(name); i >= 0 && i < len(l) {
 		v, _ := l[i].(string)
 		return v
@@ -39,7 +39,7 @@
 }
 
 // flagAt returns element i of a list of booleans, false where there is none.
-func (f Footprint) flagAt(name string, i int) bool {
+func (f Settings) flagAt(name string, i int) bool {
 	if l := f.list(name); i >= 0 && i < len(l) {
 		v, _ := l[i].(bool)
 		return v
--- a/router/state.go
+++ b/router/state.go
@@ -100,7 +100,7 @@
 // Router decides for one gateway from which node each download is pulled and what is kept. It is not safe for
 // concurrent use.
 type Router struct {
-	settings         Footprint
+	settings         Settings
 	now              float64
 	startedAt        float64
 	random           Chance
@@ -243,13 +243,13 @@
 func (r *Router) setTimer(at float64, m message) {
 	r.lastToken++
 	r.timers[r.lastToken] = m
-	r.emit(Alarm{At: at, Token: r.lastToken})
+	r.emit(SetTimer{At: at, Token: r.lastToken})
 }
 
 // listRetrier requests the list of nodes again after a call for it failed.
 type listRetrier struct{}
 
-func (listRetrier) receive(r *Router, _ message) { r.emit(Watch{}) }
+func (listRetrier) receive(r *Router, _ message) { r.emit(WatchNodes{}) }
 
 // nodesByRole returns the listed nodes of a role in a zone, or in all zones where that is empty, in order of their ids.
 func (r *Router) nodesByRole(role role, zone string) []*Node {
@@ -274,27 +274,27 @@
 	return p.sourceBlame
 }
 
-// Beliefs returns this router's view of each listed node, in order of their ids.
-func (r *Router) Beliefs() (views []Belief) {
+// NodeViews returns this router's view of each listed node, in order of their ids.
+func (r *Router) NodeViews() (views []LoadView) {
 	for _, n := range r.sortedNodes {
-		views = append(views, Belief{Node: n.id, Out: n.limiter.inFlight, Aside: n.health == ejected, Warm: n.warmShare(r),
-			Good: n.successes.Sum(r.now), Bad: n.failures.Sum(r.now), Most: n.limiter.limit,
-			Late: n.limiter.lateAnswers.Sum(r.now), All: n.limiter.answers.Sum(r.now)})
+		views = append(views, LoadView{Node: n.id, InFlight: n.limiter.inFlight, Ejected: n.health == ejected, WarmShare: n.warmShare(r),
+			Successes: n.successes.Sum(r.now), Failures: n.failures.Sum(r.now), Limit: n.limiter.limit,
+			LateAnswers: n.limiter.lateAnswers.Sum(r.now), Answers: n.limiter.answers.Sum(r.now)})
 	}
 	return views
 }
 
-// Limiters returns the state of the limiters that belong to no node: that of all fills, and that of the pulls that ask
+// LimiterViews returns the state of the limiters that belong to no node: that of all fills, and that of the pulls that ask
 // a source only for what it holds.
-func (r *Router) Limiters() (fills, heldOnly Belief) {
-	view := func(name string, l *Limiter) Belief {
-		return Belief{Node: name, Out: l.inFlight, Most: l.limit, Late: l.lateAnswers.Sum(r.now), All: l.answers.Sum(r.now)}
+func (r *Router) LimiterViews() (fills, heldOnly LoadView) {
+	view := func(name string, l *Limiter) LoadView {
+		return LoadView{Node: name, InFlight: l.inFlight, Limit: l.limit, LateAnswers: l.lateAnswers.Sum(r.now), Answers: l.answers.Sum(r.now)}
 	}
 	return view("fills", &r.fillLimiter), view("questions", &r.heldLimiter)
 }
 
-// Hot lists the objects in most demand for which an edge cache ranks first, the most demanded first.
-func (r *Router) Hot(node string, limit int) (objects []Wanted) {
+// HotObjects lists the objects in most demand for which an edge cache ranks first, the most demanded first.
+func (r *Router) HotObjects(node string, limit int) (objects []HotObject) {
 	n := r.nodes[node]
 	if n == nil || n.state != Running {
 		return nil
@@ -319,7 +319,7 @@
 			break
 		}
 		if r.rankByHash(slices.Clone(edges), hash(c.e.key.name, fmt.Sprint(c.e.key.part)))[0] == n {
-			objects = append(objects, Wanted{Type: c.e.typ.name, Object: c.e.key.name, Part: c.e.key.part,
+			objects = append(objects, HotObject{Type: c.e.typ.name, Object: c.e.key.name, Part: c.e.key.part,
 				Group: c.e.group})
 		}
 	}
