--- a/internal/channel/channel_test.go
+++ b/internal/channel/channel_test.go
@@ -84,9 +84,9 @@
 func TestParse(t *testing.T) {
 	node := Node{"x:1", router.Entry{Node: "a", Kind: "t", Zone: "z", State: router.Draining, Weight: 1.5, Cell: 2, StartedAt: 9}}
 	for in, want := range map[string]string{
-		listEvent:    fmt.Sprint(News{Cursor: 3, Scope: router.FullList, Nodes: []Node{node}}),
-		dropByID:     fmt.Sprint(News{Cursor: 4, Purge: true, Purged: router.Purged{Object: "7f"}, PurgeTime: 99.5}),
-		dropByFamily: fmt.Sprint(News{Cursor: 5, Purge: true, PurgeTime: 98}),
+		listEvent:    fmt.Sprint(Event{Cursor: 3, Scope: router.FullList, Nodes: []Node{node}}),
+		dropByID:     fmt.Sprint(Event{Cursor: 4, Purge: true, PurgeScope: router.Purged{Object: "7f"}, PurgeTime: 99.5}),
+		dropByFamily: fmt.Sprint(Event{Cursor: 5, Purge: true, PurgeTime: 98}),
 	} {
 		if n, err := Parse([]byte(in)); err != nil || fmt.Sprint(n) != want {
 			t.Errorf("%s: %v, %v; want %s", in, n, err, want)
@@ -99,12 +99,12 @@
 			t.Errorf("%s: %v, want an error", in, n)
 		}
 	}
-	if at, all, err := Known([]byte(`{"cursor":8,"cmds":[` + listEvent + "," + dropByID + `]}`)); at != 8 || len(all) != 2 ||
+	if at, all, err := ParseKnown([]byte(`{"cursor":8,"cmds":[` + listEvent + "," + dropByID + `]}`)); at != 8 || len(all) != 2 ||
 		err != nil || all[0].Scope != router.RestoredList {
 		t.Errorf("Known: %v, %v, %v", at, all, err)
 	}
 	for _, in := range []string{"", "{}", `{"cursor":1,"cmds":[{}]}`} {
-		if _, _, err := Known([]byte(in)); err == nil {
+		if _, _, err := ParseKnown([]byte(in)); err == nil {
 			t.Errorf("Known(%s): no error", in)
 		}
 	}
@@ -188,7 +188,7 @@
 			address, calls := startServer(t, c.scripts...)
 			ctx, cancel := context.WithCancel(context.Background())
 			delivered, done := make(chan int64, 9), make(chan bool)
-			f := &Follower{Address: address, Cursor: 2, Tell: func(n News) { delivered <- n.Cursor }, Trouble: func(error) {}}
+			f := &Follower{Address: address, Cursor: 2, OnEvent: func(n Event) { delivered <- n.Cursor }, OnError: func(error) {}}
 			go func() { f.Run(ctx); close(done) }()
 			for _, want := range c.events {
 				if got := <-delivered; got != want {
@@ -201,8 +201,8 @@
 				}
 			}
 			cancel()
-			if <-done; len(delivered) > 0 || f.Passed.Load() != c.skipped {
-				t.Errorf("%d more delivered, %d skipped", len(delivered), f.Passed.Load())
+			if <-done; len(delivered) > 0 || f.Skipped.Load() != c.skipped {
+				t.Errorf("%d more delivered, %d skipped", len(delivered), f.Skipped.Load())
 			}
 		})
 	}
@@ -216,15 +216,15 @@
 	newAddress, calls := startServer(t, okHead+purgeEvents(6)+"...")
 	delivered, done := make(chan int64, 9), make(chan bool)
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &Follower{Address: oldAddress, Cursor: 2, Tell: func(n News) { delivered <- n.Cursor }, Trouble: func(error) {}}
+	f := &Follower{Address: oldAddress, Cursor: 2, OnEvent: func(n Event) { delivered <- n.Cursor }, OnError: func(error) {}}
 	go func() { f.Run(ctx); close(done) }()
 	if got := <-delivered; got != 3 {
 		t.Errorf("delivered %d first, want 3", got)
 	}
 	f.mu.Lock() // both moves before the follower sees either
-	f.nextPlace = &Place{Address: skippedAddress}
+	f.nextPlace = &Source{Address: skippedAddress}
 	f.mu.Unlock()
-	f.Move(Place{Address: newAddress, Known: []News{{Cursor: 2}, {Cursor: 3}, {Cursor: 4}, {Cursor: 5}, {Cursor: 8}}})
+	f.Move(Source{Address: newAddress, PastEvents: []Event{{Cursor: 2}, {Cursor: 3}, {Cursor: 4}, {Cursor: 5}, {Cursor: 8}}})
 	for want := int64(4); want <= 6; want++ {
 		if got := <-delivered; got != want {
 			t.Errorf("delivered %d, want %d", got, want)
--- a/internal/channel/event.go
+++ b/internal/channel/event.go
@@ -8,14 +8,14 @@
 	"poppymill/router"
 )
 
-// News is one numbered event: a change to the list of nodes, or a purge.
-type News struct {
-	Cursor    int64
-	Scope     router.Scope
-	Nodes     []Node
-	Purge     bool
-	Purged    router.Purged // without Age, which depends on when the event is processed
-	PurgeTime float64       // in Unix ms
+// Event is one numbered event: a change to the list of nodes, or a purge.
+type Event struct {
+	Cursor     int64
+	Scope      router.Scope
+	Nodes      []Node
+	Purge      bool
+	PurgeScope router.Purged // without Age, which depends on when the event is processed
+	PurgeTime  float64       // in Unix ms
 }
 
 // Node is an entry of the list of nodes with its address.
@@ -24,8 +24,8 @@
 	router.Entry
 }
 
-// event is the JSON form of an event.
-type event struct {
+// eventJSON is the JSON form of an eventJSON.
+type eventJSON struct {
 	Cursor int64 `json:"cursor"`
 	Nodes  *struct {
 		Snapshot  bool `json:"snapshot"`
@@ -53,17 +53,17 @@
 }
 
 // Parse parses the data of one event.
-func Parse(data []byte) (News, error) {
-	var e event
+func Parse(data []byte) (Event, error) {
+	var e eventJSON
 	if err := json.Unmarshal(data, &e); err != nil {
-		return News{}, err
+		return Event{}, err
 	}
 	return e.toNews()
 }
 
 // toNews validates and converts an event. After an error, the cursor is still that of the event.
-func (e event) toNews() (News, error) {
-	n := News{Cursor: e.Cursor}
+func (e eventJSON) toNews() (Event, error) {
+	n := Event{Cursor: e.Cursor}
 	switch {
 	case e.Cursor <= 0:
 		return n, errors.New("cursor is missing")
@@ -83,9 +83,9 @@
 		if e.Drop.ID == "" && e.Drop.Family == nil {
 			return n, errors.New("purge has neither id nor family")
 		}
-		n.Purge, n.PurgeTime, n.Purged.Object = true, e.Drop.When, e.Drop.ID
+		n.Purge, n.PurgeTime, n.PurgeScope.Object = true, e.Drop.When, e.Drop.ID
 		if e.Drop.Family != nil {
-			n.Purged.Group = *e.Drop.Family
+			n.PurgeScope.Group = *e.Drop.Family
 		}
 	default:
 		return n, errors.New("event has neither nodes nor drop")
@@ -93,12 +93,12 @@
 	return n, nil
 }
 
-// Known parses the past events of the channel in a configuration. It returns the cursor of the last event and the events
+// ParseKnown parses the past events of the channel in a configuration. It returns the cursor of the last event and the events
 // up to it.
-func Known(data []byte) (int64, []News, error) {
+func ParseKnown(data []byte) (int64, []Event, error) {
 	var known struct {
-		Cursor *int64  `json:"cursor"`
-		Cmds   []event `json:"cmds"`
+		Cursor *int64      `json:"cursor"`
+		Cmds   []eventJSON `json:"cmds"`
 	}
 	if err := json.Unmarshal(data, &known); err != nil {
 		return 0, nil, err
@@ -106,7 +106,7 @@
 	if known.Cursor == nil {
 		return 0, nil, errors.New("cursor is missing")
 	}
-	var all []News
+	var all []Event
 	for i, e := range known.Cmds {
 		n, err := e.toNews()
 		if err != nil {
--- a/internal/channel/follower.go
+++ b/internal/channel/follower.go
@@ -16,20 +16,20 @@
 type Follower struct {
 	Address string
 	Cursor  int64       // number of the last event processed
-	Tell    func(News)  // receives each event, in order
-	Trouble func(error) // receives errors of connections and of events that can't be parsed
+	OnEvent func(Event) // receives each event, in order
+	OnError func(error) // receives errors of connections and of events that can't be parsed
 
-	Passed        atomic.Int64 // events skipped because they were still invalid or missing when requested again
+	Skipped       atomic.Int64 // events skipped because they were still invalid or missing when requested again
 	mu            sync.Mutex
-	nextPlace     *Place
+	nextPlace     *Source
 	cancel        context.CancelFunc // ends the current connection or back-off
 	retriedCursor int64              // cursor from which events were requested again, as the next one was invalid or missing
 }
 
-// Place is an address of the channel with the past events known there.
-type Place struct {
-	Address string
-	Known   []News
+// Source is an address of the channel with the past events known there.
+type Source struct {
+	Address    string
+	PastEvents []Event
 }
 
 // Time-outs of a connection, and the back-off between attempts. The channel sends a comment each second, so a longer
@@ -43,7 +43,7 @@
 )
 
 // Move makes the follower reconnect to another place at once. The latest of several moves wins.
-func (f *Follower) Move(p Place) {
+func (f *Follower) Move(p Source) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.nextPlace = &p
@@ -64,7 +64,7 @@
 		return connCtx, false
 	}
 	f.Address = p.Address
-	for _, n := range p.Known {
+	for _, n := range p.PastEvents {
 		if n.Cursor <= f.Cursor {
 			continue
 		}
@@ -72,7 +72,7 @@
 			return connCtx, true
 		}
 		f.Cursor = n.Cursor
-		f.Tell(n)
+		f.OnEvent(n)
 	}
 	return connCtx, true
 }
@@ -90,7 +90,7 @@
 		err := f.stream(connCtx)
 		if connCtx.Err() == nil {
 			if !errors.Is(err, io.EOF) {
-				f.Trouble(err)
+				f.OnError(err)
 			}
 			// Reconnect at once if the connection had lasted, or to request an event again. Otherwise back off
 			// exponentially, so that all gateways together don't overload a channel that is starting.
@@ -174,8 +174,8 @@
 		}
 		return fmt.Errorf("event %q after %d: %w: %w", m.ID, f.Cursor, err, errRetry)
 	default:
-		f.Passed.Add(1)
-		f.Trouble(fmt.Errorf("event %q after %d: skipped what is missing or invalid (%v)", m.ID, f.Cursor, err))
+		f.Skipped.Add(1)
+		f.OnError(fmt.Errorf("event %q after %d: skipped what is missing or invalid (%v)", m.ID, f.Cursor, err))
 		if err != nil {
 			// The cursor of an invalid event may be wrong too, so it must not mark earlier events as delivered.
 			if news.Cursor == f.Cursor+1 {
@@ -185,6 +185,6 @@
 		}
 	}
 	f.Cursor = news.Cursor
-	f.Tell(news)
+	f.OnEvent(news)
 	return nil
 }
--- a/internal/footprint/config.go
+++ b/internal/footprint/config.go
@@ -33,7 +33,7 @@
 	Seed                  uint64
 	MemoryMB, Sockets     int
 	Cursor                int64
-	Known                 []channel.News
+	Known                 []channel.Event
 	Footprint             router.Settings
 	Types                 []Type
 
@@ -164,7 +164,7 @@
 	if c.Sockets < 64 {
 		return nil, fmt.Errorf("limits.sockets: %d is too few, 64 at least", c.Sockets)
 	}
-	if c.Cursor, c.Known, err = channel.Known(f.Known); err != nil {
+	if c.Cursor, c.Known, err = channel.ParseKnown(f.Known); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	var s gatewaySettings
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -40,7 +40,7 @@
 				b.Fatal(err)
 			}
 			now := 1e12
-			list := channel.News{Scope: router.FullList}
+			list := channel.Event{Scope: router.FullList}
 			for i := range nodes {
 				e := router.Entry{Node: fmt.Sprintf("edge-%03d", i), Kind: "box", Zone: "club", Weight: 1}
 				switch {
--- a/internal/gateway/channel_events.go
+++ b/internal/gateway/channel_events.go
@@ -10,12 +10,12 @@
 )
 
 // handleChannelEvent applies a purge or a node list of the command channel.
-func (g *Core) handleChannelEvent(n channel.News) {
+func (g *Core) handleChannelEvent(n channel.Event) {
 	if n.Purge {
-		n.Purged.Age = max(0, g.now-n.PurgeTime)
-		g.emit(n.Purged)
+		n.PurgeScope.Age = max(0, g.now-n.PurgeTime)
+		g.emit(n.PurgeScope)
 		g.withdrawPulls(func(p *pull) bool {
-			return n.Purged.Object == p.download.object || n.Purged.Object == "" && n.Purged.Group == p.download.group
+			return n.PurgeScope.Object == p.download.object || n.PurgeScope.Object == "" && n.PurgeScope.Group == p.download.group
 		})
 		return
 	}
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -50,7 +50,7 @@
 	}
 	// Told reports an event of the command channel.
 	Told struct {
-		News channel.News
+		News channel.Event
 		At   float64
 	}
 )
--- a/internal/gateway/core_ordering_test.go
+++ b/internal/gateway/core_ordering_test.go
@@ -88,7 +88,7 @@
 		for _, n := range list {
 			h.notRunning[n.Node] = n.State != router.Running
 		}
-		h.core.Handle(Told{News: channel.News{Scope: scope, Nodes: list}, At: h.now})
+		h.core.Handle(Told{News: channel.Event{Scope: scope, Nodes: list}, At: h.now})
 	}
 	withState := func(n channel.Node, s router.State) channel.Node {
 		n.State = s
@@ -186,9 +186,9 @@
 	c := testConfig(t)
 	drained := c.Known[0].Nodes[0]
 	drained.State = router.Draining
-	purge := channel.News{Purge: true, PurgeTime: 1e12 - 700}
-	purge.Purged.Object = fmt.Sprintf("%016x", 3)
-	c.Known = append(c.Known, channel.News{Nodes: []channel.Node{drained}}, purge)
+	purge := channel.Event{Purge: true, PurgeTime: 1e12 - 700}
+	purge.PurgeScope.Object = fmt.Sprintf("%016x", 3)
+	c.Known = append(c.Known, channel.Event{Nodes: []channel.Node{drained}}, purge)
 	h := newHarnessWithConfig(t, c)
 	h.notRunning[drained.Node] = true
 	for i := range 8 {
@@ -197,7 +197,7 @@
 	limits := 0
 	for _, d := range h.core.downloads {
 		if strings.Contains(d.pulls[0].cachePull.Fields, "agelim=") {
-			if limits++; d.object != purge.Purged.Object || d.pulls[0].cachePull.MaxAge > 700 {
+			if limits++; d.object != purge.PurgeScope.Object || d.pulls[0].cachePull.MaxAge > 700 {
 				t.Errorf("%s: %s", d.object, d.pulls[0].cachePull.Fields)
 			}
 		}
--- a/internal/gateway/core_test.go
+++ b/internal/gateway/core_test.go
@@ -267,10 +267,10 @@
 		node := known[r.Intn(len(known))]
 		node.State = router.State(r.Intn(3))
 		h.notRunning[node.Node] = node.State != router.Running
-		h.core.Handle(Told{News: channel.News{Nodes: []channel.Node{node}}, At: h.now})
+		h.core.Handle(Told{News: channel.Event{Nodes: []channel.Node{node}}, At: h.now})
 	case n < 85:
-		h.core.Handle(Told{News: channel.News{Purge: true, PurgeTime: h.now - 50,
-			Purged: router.Purged{Object: fmt.Sprintf("%016x", r.Intn(5))}}, At: h.now})
+		h.core.Handle(Told{News: channel.Event{Purge: true, PurgeTime: h.now - 50,
+			PurgeScope: router.Purged{Object: fmt.Sprintf("%016x", r.Intn(5))}}, At: h.now})
 	default:
 		h.now += r.ExpFloat64() * 30
 		h.core.Ring(h.now)
@@ -381,7 +381,7 @@
 		{"the end of the process, while another download waits for a node", func(h *harness, w *fakeWire) {
 			for _, n := range h.core.config.Known[0].Nodes {
 				n.State = router.Draining
-				h.core.Handle(Told{News: channel.News{Nodes: []channel.Node{n}}, At: h.now})
+				h.core.Handle(Told{News: channel.Event{Nodes: []channel.Node{n}}, At: h.now})
 			}
 			waiting := h.sendRequest(h.clients[0], "renewal", 2, 500)
 			if got := h.statuses(waiting); got != "" {
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -87,7 +87,7 @@
 		if !reflect.DeepEqual(s.Operator.Quorum, r.quorum) {
 			needRestart = append(needRestart, "quorum")
 		}
-		r.follower.Move(channel.Place{Address: c.Channel, Known: c.Known})
+		r.follower.Move(channel.Source{Address: c.Channel, PastEvents: c.Known})
 		r.applied.Add(1)
 		log := r.log.WithField("channel", c.Channel)
 		if len(needRestart) > 0 {
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -122,8 +122,8 @@
 		Keep: append(s.Operator.Links.Params(), s.Operator.Fair.Params()...)}
 	channelWarnings := &warnLimiter{log: log}
 	follower := &channel.Follower{Address: c.Channel, Cursor: c.Cursor,
-		Tell:    func(n channel.News) { p.post(Told{News: n, At: clock.now()}) },
-		Trouble: func(err error) { channelWarnings.Warn(clock.now(), "command channel error", err) }}
+		OnEvent: func(n channel.Event) { p.post(Told{News: n, At: clock.now()}) },
+		OnError: func(err error) { channelWarnings.Warn(clock.now(), "command channel error", err) }}
 
 	var g errgroup.Group
 	serviceCtx, stopServices := context.WithCancel(context.Background())
@@ -279,6 +279,6 @@
 		"old":     p.Old,
 		"buffers": l.buffers.InUse(), "broken": assert.Broken(),
 		"shed":    l.server.Shed.Load(),
-		"reloads": l.reload.applied.Load(), "misread": l.reload.failed.Load(), "passed": l.reload.follower.Passed.Load(),
+		"reloads": l.reload.applied.Load(), "misread": l.reload.failed.Load(), "passed": l.reload.follower.Skipped.Load(),
 	}).Info("counters")
 }
--- a/internal/rehearsal/virtual/virtual.go
+++ b/internal/rehearsal/virtual/virtual.go
@@ -44,7 +44,7 @@
 
 // Faults are injected into the gateways to test that the auditor finds them. The zero value injects none.
 type Faults struct {
-	News     func(channel.News) bool                    // false: the gateways never receive this event
+	News     func(channel.Event) bool                   // false: the gateways never receive this event
 	Answers  func(world.Answer) []world.Answer          // replaces an answer to a client
 	Reply    func(world.Reply) world.Reply              // replaces a box's reply before the gateway reads it
 	Links    func(*links.Settings) bool                 // changes how gateways check links; false: they don't check them
@@ -81,7 +81,7 @@
 	conns        int64
 	buffers      *buffer.Pool
 	channelState world.ChannelState
-	published    []channel.News
+	published    []channel.Event
 	stats        Stats
 
 	consensus *replicatedLog // nil: the gateways have no consensus group
--- a/internal/rehearsal/virtual/virtual_test.go
+++ b/internal/rehearsal/virtual/virtual_test.go
@@ -185,10 +185,10 @@
 			}
 			return r
 		}}},
-		{"ignores a drain", auditor.Drains, Faults{News: func(n channel.News) bool {
+		{"ignores a drain", auditor.Drains, Faults{News: func(n channel.Event) bool {
 			return !slices.ContainsFunc(n.Nodes, func(n channel.Node) bool { return n.State == router.Draining })
 		}}},
-		{"ignores a purge", auditor.Purges, Faults{News: func(n channel.News) bool { return !n.Purge }}},
+		{"ignores a purge", auditor.Purges, Faults{News: func(n channel.Event) bool { return !n.Purge }}},
 		{"floods a cold hub", auditor.Cold, Faults{Settings: func(s map[string]any) {
 			extra := s["extra"].(map[string]any)
 			extra["parent_cold_from"], extra["upper_cold"] = 1.0, 0.0
