--- a/cmd/poppymill/get.go
+++ b/cmd/poppymill/get.go
@@ -59,7 +59,7 @@
 		}
 	}
 	start := time.Now()
-	r, err := clients.Get(ctx, cmd.String("at"), params, []byte(cmd.String("body")))
+	r, err := clients.Do(ctx, cmd.String("at"), params, []byte(cmd.String("body")))
 	if err != nil {
 		return fmt.Errorf("get: %w", err)
 	}
--- a/internal/clients/call.go
+++ b/internal/clients/call.go
@@ -21,9 +21,9 @@
 	Body   []byte
 }
 
-// Caller is a FastCGI client: the web server's end of one connection to a gateway. It multiplexes requests, whose responses
+// Client is a FastCGI client: the web server's end of one connection to a gateway. It multiplexes requests, whose responses
 // may arrive in any order.
-type Caller struct {
+type Client struct {
 	nc       net.Conn
 	mu       sync.Mutex
 	open     map[uint16]*pendingRequest
@@ -40,21 +40,21 @@
 // ErrTooManyRequests is returned when a connection has the maximum number of open requests.
 var ErrTooManyRequests = errors.New("too many open requests on the connection")
 
-// NewCaller connects to a gateway; the context applies to the dialling only.
-func NewCaller(ctx context.Context, address string) (*Caller, error) {
+// Dial connects to a gateway; the context applies to the dialling only.
+func Dial(ctx context.Context, address string) (*Client, error) {
 	var dialer net.Dialer
 	nc, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	c := &Caller{nc: nc, open: map[uint16]*pendingRequest{}}
+	c := &Client{nc: nc, open: map[uint16]*pendingRequest{}}
 	go c.readLoop()
 	return c, nil
 }
 
-// Ask sends a request. done is called once, from another goroutine, with the response or with the reason why there is none.
-// It is not called if Ask returns an error.
-func (c *Caller) Ask(params map[string]string, body []byte, done func(Response, error)) (id uint16, err error) {
+// Send sends a request. done is called once, from another goroutine, with the response or with the reason why there is none.
+// It is not called if Send returns an error.
+func (c *Client) Send(params map[string]string, body []byte, done func(Response, error)) (id uint16, err error) {
 	var pairs []byte
 	names := make([]string, 0, len(params))
 	for name := range params {
@@ -94,7 +94,7 @@
 }
 
 // Abort aborts a request; its done function is still called.
-func (c *Caller) Abort(id uint16) {
+func (c *Client) Abort(id uint16) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.open[id] != nil && c.closeErr == nil {
@@ -103,17 +103,17 @@
 }
 
 // Open returns the number of requests that wait for their response, and whether the connection is still up.
-func (c *Caller) Open() (int, bool) {
+func (c *Client) Open() (int, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open), c.closeErr == nil
 }
 
 // Close closes the connection; all open requests fail.
-func (c *Caller) Close() { c.nc.Close() }
+func (c *Client) Close() { c.nc.Close() }
 
 // readLoop reads until the connection ends, and then fails all open requests.
-func (c *Caller) readLoop() {
+func (c *Client) readLoop() {
 	err := c.readRecords()
 	c.nc.Close()
 	c.mu.Lock()
@@ -127,7 +127,7 @@
 }
 
 // readRecords reads records and completes requests until an error.
-func (c *Caller) readRecords() error {
+func (c *Client) readRecords() error {
 	for reader := bufio.NewReader(c.nc); ; {
 		var header [headerLen]byte
 		if _, err := io.ReadFull(reader, header[:]); err != nil {
@@ -158,9 +158,9 @@
 	}
 }
 
-// Get sends one request to a gateway on a new connection and returns the response.
-func Get(ctx context.Context, address string, params map[string]string, body []byte) (Response, error) {
-	c, err := NewCaller(ctx, address)
+// Do sends one request to a gateway on a new connection and returns the response.
+func Do(ctx context.Context, address string, params map[string]string, body []byte) (Response, error) {
+	c, err := Dial(ctx, address)
 	if err != nil {
 		return Response{}, err
 	}
@@ -171,7 +171,7 @@
 		err      error
 	}
 	done := make(chan result, 1)
-	if _, err = c.Ask(params, body, func(r Response, err error) { done <- result{r, err} }); err != nil {
+	if _, err = c.Send(params, body, func(r Response, err error) { done <- result{r, err} }); err != nil {
 		return Response{}, err
 	}
 	got := <-done
--- a/internal/clients/close_test.go
+++ b/internal/clients/close_test.go
@@ -76,7 +76,7 @@
 
 func newTestServer(t *testing.T, maxConns int) *testServer {
 	s := &testServer{t: t, listener: newGatedListener(t), handler: recordingHandler{make(chan func(Answer), 99), make(chan *Conn, 99), make(chan error, 99)}, done: make(chan error, 1)}
-	s.Server = &Server{Pool: buffer.NewPool(1 << 22), Reads: buffer.NewPool(1 << 20), Handler: s.handler, Most: maxConns,
+	s.Server = &Server{Bodies: buffer.NewPool(1 << 22), ReadBuffers: buffer.NewPool(1 << 20), Handler: s.handler, MaxConns: maxConns,
 		Now: func() float64 { return float64(s.now.Load()) }}
 	go func() { s.done <- s.Serve(context.Background(), s.listener) }()
 	return s
@@ -131,9 +131,9 @@
 func (s *testServer) stop() {
 	s.t.Helper()
 	s.listener.Close()
-	s.Cut()
-	if err := <-s.done; err != nil || s.Pool.InUse() != 0 || s.Reads.InUse() != 0 || s.Open() != 0 {
-		s.t.Errorf("not released: %d and %d buffers, %d connections, %v", s.Pool.InUse(), s.Reads.InUse(), s.Open(), err)
+	s.CloseAll()
+	if err := <-s.done; err != nil || s.Bodies.InUse() != 0 || s.ReadBuffers.InUse() != 0 || s.OpenConns() != 0 {
+		s.t.Errorf("not released: %d and %d buffers, %d connections, %v", s.Bodies.InUse(), s.ReadBuffers.InUse(), s.OpenConns(), err)
 	}
 }
 
@@ -142,14 +142,14 @@
 	name  string
 	apply func(*testServer)
 }{
-	{"End", func(s *testServer) { s.End() }},
-	{"Shut", func(s *testServer) { s.Shut() }},
+	{"End", func(s *testServer) { s.Drain() }},
+	{"Shut", func(s *testServer) { s.DrainAndDiscard() }},
 	{"idle for too long", func(s *testServer) {
 		s.now.Store(idleTimeout + 100)
 		s.sweep(idleTimeout + 100)
 	}},
 	{"room for new connections", func(s *testServer) {
-		for range s.Most {
+		for range s.MaxConns {
 			s.dial()
 		}
 	}},
@@ -203,14 +203,14 @@
 	reply := <-s.handler.requests
 	release := <-s.listener.held
 	client.Write([]byte(beginRequest(3, 1)))
-	body := buffer.NewChain(s.Pool)
+	body := buffer.NewChain(s.Bodies)
 	body.Append(make([]byte, 200_000))
 	// With this buffer the kernel takes the whole response at once, before the client has received it.
 	s.updateConns(func(c *Conn) { c.nc.(*gatedConn).SetWriteBuffer(1 << 20) }, func() {})
-	s.End()
-	s.Shut()
+	s.Drain()
+	s.DrainAndDiscard()
 	reply(Answer{Status: 200, Body: body})
-	for s.Pool.InUse() > 0 { // until the response is written
+	for s.Bodies.InUse() > 0 { // until the response is written
 		time.Sleep(time.Millisecond)
 	}
 	if n := s.readResponse(client); n < 200_000 {
@@ -229,7 +229,7 @@
 func TestLingerIsBounded(t *testing.T) {
 	s := newTestServer(t, 3)
 	client := s.dialIdle()
-	s.Shut()
+	s.DrainAndDiscard()
 	if data, err := io.ReadAll(client); len(data) != 0 || err != nil {
 		t.Errorf("%d bytes, %v", len(data), err)
 	}
@@ -242,7 +242,7 @@
 // is accepted after Shut is closed without its request being handled.
 func TestAcceptDuringShutdown(t *testing.T) {
 	s := newTestServer(t, 3)
-	s.End()
+	s.Drain()
 	client := s.dial()
 	client.Write(completeRequest(1, 1))
 	(<-s.handler.requests)(Answer{Status: 200})
@@ -250,7 +250,7 @@
 	if n, err := client.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("%d bytes after the response, %v", n, err)
 	}
-	s.Shut()
+	s.DrainAndDiscard()
 	late := s.dial()
 	late.Write(completeRequest(1, 1))
 	if n, err := late.Read(make([]byte, 1)); n != 0 || err != io.EOF {
--- a/internal/clients/fastcgi.go
+++ b/internal/clients/fastcgi.go
@@ -331,12 +331,12 @@
 
 // Answer is the response to a request.
 type Answer struct {
-	Status int
-	Wait   float64      // ms after which the client may retry; 0: not sent
-	Still  bool         // the client's own copy is still valid
-	Body   *buffer.Body // is released once the response is written
-	Link   *Link        // the signed link that replaces the client's; nil: none
-	None   bool         // no response is sent; the request's ID is freed
+	Status      int
+	RetryAfter  float64      // ms after which the client may retry; 0: not sent
+	NotModified bool         // the client's own copy is still valid
+	Body        *buffer.Body // is released once the response is written
+	Link        *Link        // the signed link that replaces the client's; nil: none
+	NoResponse  bool         // no response is sent; the request's ID is freed
 }
 
 // Link is a signed link that is sent with a response.
@@ -354,17 +354,17 @@
 
 // encode appends the response as a list of byte slices to write; the body's slices are not copied.
 func (a Answer) encode(id uint16, pieces [][]byte) [][]byte {
-	if a.None {
+	if a.NoResponse {
 		return append(pieces, appendEndRequest(nil, id, statusRequestComplete))
 	}
 	fields := make([]byte, headerLen, 160)
 	fields = strconv.AppendInt(append(fields, "Status: "...), int64(a.Status), 10)
 	fields = append(append(append(fields, ' '), reasonPhrases[a.Status]...), "\r\n"...)
-	if a.Still {
+	if a.NotModified {
 		fields = append(fields, "X-Still: 1\r\n"...)
 	}
-	if a.Wait > 0 {
-		fields = fmt.Appendf(fields, "X-Wait-Ms: %.0f\r\n", max(1, a.Wait))
+	if a.RetryAfter > 0 {
+		fields = fmt.Appendf(fields, "X-Wait-Ms: %.0f\r\n", max(1, a.RetryAfter))
 	}
 	if l := a.Link; l != nil && l.Ticket != "" {
 		fields = fmt.Appendf(fields, "X-Ticket: %s\r\n", l.Ticket)
--- a/internal/clients/fastcgi_test.go
+++ b/internal/clients/fastcgi_test.go
@@ -163,8 +163,8 @@
 		header, body string
 	}{
 		{Answer{Status: 200, Body: body}, "Status: 200 OK\r\n" + contentType, strings.Repeat("0123456789", 4000)},
-		{Answer{Status: 200, Still: true}, "Status: 200 OK\r\nX-Still: 1\r\n" + contentType, ""},
-		{Answer{Status: 503, Wait: 0.2}, "Status: 503 Service Unavailable\r\nX-Wait-Ms: 1\r\n" + contentType, ""},
+		{Answer{Status: 200, NotModified: true}, "Status: 200 OK\r\nX-Still: 1\r\n" + contentType, ""},
+		{Answer{Status: 503, RetryAfter: 0.2}, "Status: 503 Service Unavailable\r\nX-Wait-Ms: 1\r\n" + contentType, ""},
 		{Answer{Status: 500}, "Status: 500 Internal Server Error\r\n" + contentType, ""},
 	} {
 		b := bytes.Join(c.answer.encode(5, nil), nil)
@@ -180,7 +180,7 @@
 			t.Errorf("%d: %.200q of %d bytes, then %s", c.answer.Status, text, len(text), decodeRecords(b))
 		}
 	}
-	if got := decodeRecords(bytes.Join(Answer{None: true}.encode(5, nil), nil)); got != endRequest {
+	if got := decodeRecords(bytes.Join(Answer{NoResponse: true}.encode(5, nil), nil)); got != endRequest {
 		t.Errorf("no response: %s", got)
 	}
 }
@@ -220,13 +220,13 @@
 	errs     chan error
 }
 
-func (h recordingHandler) Asked(c *Conn, id uint16, _ map[string]string, body *buffer.Body, _ float64) {
+func (h recordingHandler) HandleRequest(c *Conn, id uint16, _ map[string]string, body *buffer.Body, _ float64) {
 	body.Release()
 	h.requests <- func(a Answer) { c.Answer(id, a) }
 }
-func (h recordingHandler) Aborted(*Conn, uint16, float64) {}
-func (h recordingHandler) Closed(c *Conn, _ float64)      { h.closed <- c }
-func (h recordingHandler) Malformed(err error)            { h.errs <- err }
+func (h recordingHandler) HandleAbort(*Conn, uint16, float64) {}
+func (h recordingHandler) HandleClose(c *Conn, _ float64)     { h.closed <- c }
+func (h recordingHandler) HandleError(err error)              { h.errs <- err }
 func (l pipeListener) dial() (client net.Conn) {
 	client, server := net.Pipe()
 	l.conns <- server
@@ -244,7 +244,7 @@
 	bodies, reads := buffer.NewPool(1<<20), buffer.NewPool(1<<20)
 	h := recordingHandler{make(chan func(Answer), 9), make(chan *Conn, 9), make(chan error, 9)}
 	var now atomic.Int64
-	s := &Server{Pool: bodies, Reads: reads, Handler: h, Now: func() float64 { return float64(now.Load()) }, Most: 3}
+	s := &Server{Bodies: bodies, ReadBuffers: reads, Handler: h, Now: func() float64 { return float64(now.Load()) }, MaxConns: 3}
 	l := pipeListener{make(chan net.Conn)}
 	done := make(chan error)
 	go func() { done <- s.Serve(context.Background(), l) }()
@@ -283,7 +283,7 @@
 	go io.Copy(io.Discard, late)
 	quick.Write(completeRequest(8, 1))
 	respondEight := <-h.requests
-	s.End()
+	s.Drain()
 	l.Close()
 	<-h.closed // late, which has no open requests
 	answer(respondEight)
@@ -291,8 +291,8 @@
 	<-h.closed // quick, after its last response
 	slow.Close()
 	<-h.closed
-	if err := <-done; err != nil || bodies.InUse() != 0 || reads.InUse() != 0 || s.Open() != 0 {
-		t.Errorf("not released: %d and %d buffers, %d connections, %v", bodies.InUse(), reads.InUse(), s.Open(), err)
+	if err := <-done; err != nil || bodies.InUse() != 0 || reads.InUse() != 0 || s.OpenConns() != 0 {
+		t.Errorf("not released: %d and %d buffers, %d connections, %v", bodies.InUse(), reads.InUse(), s.OpenConns(), err)
 	}
 }
 
@@ -300,7 +300,7 @@
 // closed before it.
 func TestMakeRoom(t *testing.T) {
 	h := recordingHandler{make(chan func(Answer), 9), make(chan *Conn, 9), make(chan error, 9)}
-	s := &Server{Pool: buffer.NewPool(1 << 20), Reads: buffer.NewPool(1 << 20), Handler: h, Most: 2,
+	s := &Server{Bodies: buffer.NewPool(1 << 20), ReadBuffers: buffer.NewPool(1 << 20), Handler: h, MaxConns: 2,
 		Now: func() float64 { return 0 }}
 	l := pipeListener{make(chan net.Conn)}
 	done := make(chan error)
@@ -320,7 +320,7 @@
 		(<-h.requests)(Answer{Status: 200})
 	}
 	l.Close()
-	s.Cut()
+	s.CloseAll()
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
@@ -331,7 +331,7 @@
 func TestSweep(t *testing.T) {
 	var now atomic.Int64
 	h := recordingHandler{make(chan func(Answer), 99), make(chan *Conn, 99), make(chan error, 99)}
-	s := &Server{Pool: buffer.NewPool(1 << 20), Reads: buffer.NewPool(1 << 20), Handler: h, Most: 99,
+	s := &Server{Bodies: buffer.NewPool(1 << 20), ReadBuffers: buffer.NewPool(1 << 20), Handler: h, MaxConns: 99,
 		Now: func() float64 { return float64(now.Load()) }}
 	l := pipeListener{make(chan net.Conn)}
 	done := make(chan error)
@@ -361,30 +361,30 @@
 		for range want {
 			<-h.closed
 		}
-		if n := s.Open(); n != 9-1-want && want > 1 {
+		if n := s.OpenConns(); n != 9-1-want && want > 1 {
 			t.Errorf("%d connections are open after %d have closed", n, want)
 		}
 	}
 	now.Store(1900)
 	s.sweep(1900)
-	if s.Shed.Load() != 0 {
-		t.Errorf("%d connections were closed too soon", s.Shed.Load())
+	if s.ClosedEarly.Load() != 0 {
+		t.Errorf("%d connections were closed too soon", s.ClosedEarly.Load())
 	}
 	now.Store(2100)
 	waitClosed(len(useless)) // by the server's own sweep
 	now.Store(4900)
 	s.sweep(4900)
-	if s.Open() != 2 {
-		t.Errorf("%d connections are open", s.Open())
+	if s.OpenConns() != 2 {
+		t.Errorf("%d connections are open", s.OpenConns())
 	}
 	now.Store(5100)
 	<-h.closed // answered, which has been idle for too long
 	reply(Answer{Status: 200})
 	go io.Copy(io.Discard, open)
-	s.End()
+	s.Drain()
 	l.Close()
 	<-h.closed
-	if err := <-done; err != nil || s.Pool.InUse() != 0 || s.Reads.InUse() != 0 {
+	if err := <-done; err != nil || s.Bodies.InUse() != 0 || s.ReadBuffers.InUse() != 0 {
 		t.Errorf("not released: %v", err)
 	}
 }
@@ -393,7 +393,7 @@
 func TestAbortInSameRead(t *testing.T) {
 	h := recordingHandler{make(chan func(Answer), 9), make(chan *Conn, 9), make(chan error, 9)}
 	bodies := buffer.NewPool(1 << 20)
-	s := &Server{Pool: bodies, Reads: buffer.NewPool(1 << 20), Handler: h, Most: 2, Now: func() float64 { return 0 }}
+	s := &Server{Bodies: bodies, ReadBuffers: buffer.NewPool(1 << 20), Handler: h, MaxConns: 2, Now: func() float64 { return 0 }}
 	l := pipeListener{make(chan net.Conn)}
 	done := make(chan error)
 	go func() { done <- s.Serve(context.Background(), l) }()
@@ -409,7 +409,7 @@
 	}
 	(<-h.requests)(Answer{Status: 200})
 	l.Close()
-	s.Cut()
+	s.CloseAll()
 	if err := <-done; err != nil || bodies.InUse() != 0 || len(h.requests) != 0 {
 		t.Errorf("%v, %d buffers are not released, %d more requests reached the handler", err, bodies.InUse(), len(h.requests))
 	}
--- a/internal/clients/serve.go
+++ b/internal/clients/serve.go
@@ -18,30 +18,30 @@
 // Handler handles the events of client connections. It must not block for long: it runs on the goroutine that reads the
 // connection.
 type Handler interface {
-	// Asked is called with each complete request. The handler takes over the body, and answers by Conn.Answer.
-	Asked(c *Conn, id uint16, params map[string]string, body *buffer.Body, at float64)
-	// Aborted is called when the client aborts a complete request.
-	Aborted(c *Conn, id uint16, at float64)
-	// Closed is called once for each connection, after it has closed.
-	Closed(c *Conn, at float64)
-	// Malformed is called when a connection is refused, or closed because of a protocol error.
-	Malformed(err error)
+	// HandleRequest is called with each complete request. The handler takes over the body, and answers by Conn.Answer.
+	HandleRequest(c *Conn, id uint16, params map[string]string, body *buffer.Body, at float64)
+	// HandleAbort is called when the client aborts a complete request.
+	HandleAbort(c *Conn, id uint16, at float64)
+	// HandleClose is called once for each connection, after it has closed.
+	HandleClose(c *Conn, at float64)
+	// HandleError is called when a connection is refused, or closed because of a protocol error.
+	HandleError(err error)
 }
 
 // Server accepts and serves FastCGI connections.
 type Server struct {
-	Pool       *buffer.Pool // for request bodies
-	Reads      *buffer.Pool // read buffers, one per connection
-	Handler    Handler
-	Now        func() float64
-	Keep       []string     // params to pass on beside those that the gateway always needs
-	Most       int          // maximum number of open connections
-	Shed       atomic.Int64 // connections closed as too slow or idle, or to make room
-	open       atomic.Int64
-	mu         sync.Mutex
-	conns      map[*Conn]bool
-	draining   bool // new connections close after their first response
-	discarding bool // input of new connections is discarded
+	Bodies      *buffer.Pool // for request bodies
+	ReadBuffers *buffer.Pool // read buffers, one per connection
+	Handler     Handler
+	Now         func() float64
+	ExtraParams []string     // params to pass on beside those that the gateway always needs
+	MaxConns    int          // maximum number of open connections
+	ClosedEarly atomic.Int64 // connections closed as too slow or idle, or to make room
+	open        atomic.Int64
+	mu          sync.Mutex
+	conns       map[*Conn]bool
+	draining    bool // new connections close after their first response
+	discarding  bool // input of new connections is discarded
 }
 
 // Limits in ms after which a connection is closed: for receiving a whole request, and for sending another one.
@@ -91,13 +91,13 @@
 		}
 		if !s.makeRoom() {
 			nc.Close()
-			s.Handler.Malformed(errors.New("connection refused: the limit of open connections is reached"))
+			s.Handler.HandleError(errors.New("connection refused: the limit of open connections is reached"))
 			continue
 		}
 		s.open.Add(1)
 		now := s.Now()
-		c := &Conn{server: s, nc: nc, parser: NewParser(s.Pool, s.Most), wake: make(chan struct{}, 1), lastActive: now}
-		c.parser.ExtraParams = s.Keep
+		c := &Conn{server: s, nc: nc, parser: NewParser(s.Bodies, s.MaxConns), wake: make(chan struct{}, 1), lastActive: now}
+		c.parser.ExtraParams = s.ExtraParams
 		s.mu.Lock()
 		s.conns[c] = true
 		if c.draining, c.discarding = s.draining, s.discarding; c.discarding {
@@ -120,7 +120,7 @@
 // to the reading goroutines first.
 func (s *Server) makeRoom() bool {
 	s.mu.Lock()
-	full := len(s.conns) >= s.Most
+	full := len(s.conns) >= s.MaxConns
 	s.mu.Unlock()
 	if !full {
 		return true
@@ -145,7 +145,7 @@
 		}
 		c.mu.Unlock()
 	}
-	full = len(s.conns) >= s.Most
+	full = len(s.conns) >= s.MaxConns
 	if full && least != nil && least.stopReading(false) {
 		delete(s.conns, least)
 	} else if full {
@@ -158,7 +158,7 @@
 	if least == nil {
 		return false
 	}
-	s.Shed.Add(1)
+	s.ClosedEarly.Add(1)
 	least.nc.Close()
 	return true
 }
@@ -181,12 +181,12 @@
 		switch {
 		case !expired || discarding:
 		case late && !useful: // must be closed in time, even with requests open
-			s.Shed.Add(1)
+			s.ClosedEarly.Add(1)
 			delete(s.conns, c)
 			c.stopReading(true)
 			c.nc.Close()
 		case c.stopReading(late):
-			s.Shed.Add(1)
+			s.ClosedEarly.Add(1)
 		}
 	}
 }
@@ -207,13 +207,13 @@
 	return stopped
 }
 
-// End closes each connection once it has no open requests and its responses are written.
-func (s *Server) End() {
+// Drain closes each connection once it has no open requests and its responses are written.
+func (s *Server) Drain() {
 	s.updateConns(func(c *Conn) { c.draining = true }, func() { s.draining = true })
 }
 
-// Shut does the same, and discards all further input and all requests received in part.
-func (s *Server) Shut() {
+// DrainAndDiscard does the same, and discards all further input and all requests received in part.
+func (s *Server) DrainAndDiscard() {
 	s.updateConns(func(c *Conn) { c.draining, c.discarding = true, true }, func() { s.draining, s.discarding = true, true })
 }
 
@@ -291,12 +291,12 @@
 // read feeds input to the parser and passes events to the handler until the connection ends.
 func (c *Conn) read() {
 	defer c.close()
-	b := c.server.Reads.Get()
+	b := c.server.ReadBuffers.Get()
 	if b == nil {
-		c.server.Handler.Malformed(errors.New("no read buffer left"))
+		c.server.Handler.HandleError(errors.New("no read buffer left"))
 		return
 	}
-	defer c.server.Reads.Put(b)
+	defer c.server.ReadBuffers.Put(b)
 	b = b[:cap(b)]
 	var events []Event
 	for {
@@ -328,19 +328,19 @@
 				if j := i + 1 + slices.IndexFunc(events[i+1:], func(f Event) bool { return f.Kind == Aborted && f.ID == e.ID }); j > i {
 					e.Body.Release()
 					events[j].Kind = Ignored
-					c.Answer(e.ID, Answer{None: true})
+					c.Answer(e.ID, Answer{NoResponse: true})
 					break
 				}
-				c.server.Handler.Asked(c, e.ID, e.Params, e.Body, at)
+				c.server.Handler.HandleRequest(c, e.ID, e.Params, e.Body, at)
 			case Aborted:
-				c.server.Handler.Aborted(c, e.ID, at)
+				c.server.Handler.HandleAbort(c, e.ID, at)
 			case Reply:
 				c.wakeWriter()
 			}
 			events[i] = Event{}
 		}
 		if protocolErr != nil {
-			c.server.Handler.Malformed(protocolErr)
+			c.server.Handler.HandleError(protocolErr)
 			return
 		}
 		if err != nil {
@@ -429,14 +429,14 @@
 	delete(c.server.conns, c)
 	c.server.mu.Unlock()
 	c.wakeWriter()
-	c.server.Handler.Closed(c, c.server.Now())
+	c.server.Handler.HandleClose(c, c.server.Now())
 }
 
-// Open returns the number of open connections.
-func (s *Server) Open() int { return int(s.open.Load()) }
+// OpenConns returns the number of open connections.
+func (s *Server) OpenConns() int { return int(s.open.Load()) }
 
-// Cut closes all connections immediately.
-func (s *Server) Cut() {
+// CloseAll closes all connections immediately.
+func (s *Server) CloseAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -155,7 +155,7 @@
 		// The request may have been answered meanwhile, and its id reused by another.
 		if d := g.clients[e.Client][e.ID]; d != nil {
 			g.cancel(d)
-			e.Client.Answer(e.ID, clients.Answer{None: true})
+			e.Client.Answer(e.ID, clients.Answer{NoResponse: true})
 		}
 	case ClientClosed:
 		g.Ring(e.At)
@@ -291,7 +291,7 @@
 	for _, id := range slices.Sorted(maps.Keys(g.downloads)) {
 		if d := g.downloads[id]; !d.answered && len(d.pulls) == 0 {
 			g.Throttled++ // it was never sent, so a retry is safe
-			g.answer(d, clients.Answer{Status: 503, Wait: g.config.Advice})
+			g.answer(d, clients.Answer{Status: 503, RetryAfter: g.config.Advice})
 			g.emit(router.ClientGone{ID: d.id})
 		} else if !d.answered {
 			g.Abandoned++
@@ -348,7 +348,7 @@
 	case router.Throttle:
 		if d := g.downloads[a.ID]; d != nil && !d.answered {
 			g.Throttled++
-			g.answer(d, clients.Answer{Status: 503, Wait: a.Wait})
+			g.answer(d, clients.Answer{Status: 503, RetryAfter: a.Wait})
 		}
 	case router.Abandon:
 		if d := g.downloads[a.ID]; d != nil && !d.answered {
@@ -455,7 +455,7 @@
 	if err == nil && (g.open >= g.maxOpen || g.stopped) {
 		g.Turned++
 		e.Body.Release()
-		e.Client.Answer(e.ID, clients.Answer{Status: 503, Wait: g.config.Advice})
+		e.Client.Answer(e.ID, clients.Answer{Status: 503, RetryAfter: g.config.Advice})
 		return
 	}
 	if err != nil {
@@ -689,7 +689,7 @@
 		if e.Keep {
 			g.Kept++
 		}
-		g.answer(d, clients.Answer{Status: 200, Still: e.Keep, Body: e.Body})
+		g.answer(d, clients.Answer{Status: 200, NotModified: e.Keep, Body: e.Body})
 	} else {
 		e.Body.Release()
 	}
--- a/internal/gateway/core_test.go
+++ b/internal/gateway/core_test.go
@@ -251,7 +251,7 @@
 			if req := h.requests[id]; req.client == c && !req.gone && len(c.answers[req.number]) == 0 {
 				req.gone = true
 				h.core.Handle(Aborted{Client: c, ID: req.number, At: h.now})
-				if got := c.answers[req.number]; len(got) != 1 || !got[0].None {
+				if got := c.answers[req.number]; len(got) != 1 || !got[0].NoResponse {
 					h.faultf("%s was aborted and answered %v", id, got)
 				}
 				break
--- a/internal/gateway/fairness.go
+++ b/internal/gateway/fairness.go
@@ -159,7 +159,7 @@
 		case fair.Throttle:
 			if d := g.downloads[a.ID]; d != nil && !d.answered {
 				g.Throttled++
-				g.answer(d, clients.Answer{Status: 503, Wait: a.Wait, Link: ticketLink(a.Ticket)})
+				g.answer(d, clients.Answer{Status: 503, RetryAfter: a.Wait, Link: ticketLink(a.Ticket)})
 			}
 		}
 	}
--- a/internal/gateway/links_test.go
+++ b/internal/gateway/links_test.go
@@ -47,7 +47,7 @@
 	s.requests++
 	id := fmt.Sprintf("%016x", s.requests)
 	s.mu.Unlock()
-	r, err := clients.Get(context.Background(), s.address, map[string]string{"SCRIPT_NAME": "/invoke/" + typ,
+	r, err := clients.Do(context.Background(), s.address, map[string]string{"SCRIPT_NAME": "/invoke/" + typ,
 		"HTTP_X_JOB_ID": id, "HTTP_X_ALLOW_MS": "2400", "HTTP_X_ITEM": object, "HTTP_X_N": part, "HTTP_X_SHARD": "7",
 		"REMOTE_ADDR": "127.0.0.1", "QUERY_STRING": "URISigningPackage=" + token}, map[bool][]byte{true: []byte("x")}[typ == "renewal"])
 	if err != nil {
--- a/internal/gateway/scripted_peers_test.go
+++ b/internal/gateway/scripted_peers_test.go
@@ -191,7 +191,7 @@
 func (s *scripted) address() string { return s.config["listen"].(string) }
 
 func (s *scripted) health() int {
-	r, err := clients.Get(context.Background(), s.address(), map[string]string{"SCRIPT_NAME": healthPath}, nil)
+	r, err := clients.Do(context.Background(), s.address(), map[string]string{"SCRIPT_NAME": healthPath}, nil)
 	if err != nil {
 		return 0
 	}
@@ -199,9 +199,9 @@
 }
 
 // newCaller opens a client's connection.
-func (s *scripted) newCaller() *clients.Caller {
+func (s *scripted) newCaller() *clients.Client {
 	s.t.Helper()
-	c, err := clients.NewCaller(context.Background(), s.address())
+	c, err := clients.Dial(context.Background(), s.address())
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -210,10 +210,10 @@
 }
 
 // ask sends a request. The returned channel receives the status of the answer, or 0 if the connection ends.
-func (s *scripted) ask(c *clients.Caller, typ string, id, allow int) chan int {
+func (s *scripted) ask(c *clients.Client, typ string, id, allow int) chan int {
 	s.t.Helper()
 	status := make(chan int, 1)
-	if _, err := c.Ask(map[string]string{"SCRIPT_NAME": "/invoke/" + typ, "HTTP_X_JOB_ID": fmt.Sprintf("%016x", id),
+	if _, err := c.Send(map[string]string{"SCRIPT_NAME": "/invoke/" + typ, "HTTP_X_JOB_ID": fmt.Sprintf("%016x", id),
 		"HTTP_X_ALLOW_MS": strconv.Itoa(allow), "HTTP_X_ITEM": fmt.Sprintf("%016x", id), "HTTP_X_N": "0", "HTTP_X_SHARD": "7"},
 		nil, func(r clients.Response, err error) { status <- r.Status }); err != nil {
 		s.t.Fatal(err)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -73,14 +73,14 @@
 
 func (p *poster) post(e any) { p.inbox <- e }
 
-func (p *poster) Asked(c *clients.Conn, id uint16, params map[string]string, body *buffer.Body, at float64) {
+func (p *poster) HandleRequest(c *clients.Conn, id uint16, params map[string]string, body *buffer.Body, at float64) {
 	p.post(Asked{Client: c, ID: id, Params: params, Body: body, At: at})
 }
-func (p *poster) Aborted(c *clients.Conn, id uint16, at float64) {
+func (p *poster) HandleAbort(c *clients.Conn, id uint16, at float64) {
 	p.post(Aborted{Client: c, ID: id, At: at})
 }
-func (p *poster) Closed(c *clients.Conn, at float64) { p.post(ClientClosed{Client: c, At: at}) }
-func (p *poster) Malformed(err error) {
+func (p *poster) HandleClose(c *clients.Conn, at float64) { p.post(ClientClosed{Client: c, At: at}) }
+func (p *poster) HandleError(err error) {
 	p.warnings.Warn(p.now(), "client connection closed", err)
 }
 
@@ -118,8 +118,8 @@
 		listener.Close()
 		return err
 	}
-	server := &clients.Server{Pool: buffers, Reads: reads, Handler: p, Now: clock.now, Most: budget.Clients,
-		Keep: append(s.Operator.Links.Params(), s.Operator.Fair.Params()...)}
+	server := &clients.Server{Bodies: buffers, ReadBuffers: reads, Handler: p, Now: clock.now, MaxConns: budget.Clients,
+		ExtraParams: append(s.Operator.Links.Params(), s.Operator.Fair.Params()...)}
 	channelWarnings := &warnLimiter{log: log}
 	follower := &channel.Follower{Address: c.Channel, Cursor: c.Cursor,
 		OnEvent: func(n channel.Event) { p.post(Told{News: n, At: clock.now()}) },
@@ -145,7 +145,7 @@
 	member.leave()
 	stopServices()
 	pool.Close()
-	server.Shut()
+	server.DrainAndDiscard()
 	ended := make(chan error, 1)
 	go func() {
 		err := g.Wait()
@@ -158,7 +158,7 @@
 		case e := <-p.inbox:
 			core.Handle(e)
 		case <-flushDeadline:
-			server.Cut()
+			server.CloseAll()
 		case err = <-ended:
 			finished = true
 		}
@@ -249,7 +249,7 @@
 		case <-stopAccepting:
 			stopAccepting = nil
 			l.listener.Close()
-			l.server.End()
+			l.server.Drain()
 		case <-answerDeadline:
 			return flushed
 		}
@@ -278,7 +278,7 @@
 		"conns": p.Conns(), "dialled": p.Dialled, "malformed": p.Malformed, "short": p.Short, "late": p.Late, "mute": p.Mute,
 		"old":     p.Old,
 		"buffers": l.buffers.InUse(), "broken": assert.Broken(),
-		"shed":    l.server.Shed.Load(),
+		"shed":    l.server.ClosedEarly.Load(),
 		"reloads": l.reload.applied.Load(), "misread": l.reload.failed.Load(), "passed": l.reload.follower.Skipped.Load(),
 	}).Info("counters")
 }
--- a/internal/gateway/serve_test.go
+++ b/internal/gateway/serve_test.go
@@ -123,7 +123,7 @@
 		}}, discardLogger())
 	}()
 	for i := 0; ; i++ {
-		if r, err := clients.Get(ctx, s.address, map[string]string{"SCRIPT_NAME": healthPath}, nil); err == nil &&
+		if r, err := clients.Do(ctx, s.address, map[string]string{"SCRIPT_NAME": healthPath}, nil); err == nil &&
 			r.Status == 200 {
 			return s
 		} else if i == 1000 {
@@ -152,7 +152,7 @@
 	if ownCopy != "" {
 		params["HTTP_X_MINE"] = ownCopy
 	}
-	r, err := clients.Get(context.Background(), s.address, params, []byte(body))
+	r, err := clients.Do(context.Background(), s.address, params, []byte(body))
 	if err != nil {
 		s.t.Errorf("%s %s: %v", typ, object, err)
 	}
@@ -251,7 +251,7 @@
 	}()
 	until(t, "a download is open", func() bool { return s.count(s.pullsByType, "pages") > 0 })
 	s.stop()
-	if r, err := clients.Get(context.Background(), s.address, map[string]string{"SCRIPT_NAME": "/invoke/video",
+	if r, err := clients.Do(context.Background(), s.address, map[string]string{"SCRIPT_NAME": "/invoke/video",
 		"HTTP_X_JOB_ID": "ffffffffffffffff", "HTTP_X_ALLOW_MS": "2400", "HTTP_X_ITEM": object, "HTTP_X_N": "2",
 		"HTTP_X_SHARD": "7"}, nil); err != nil || r.Status != 200 {
 		t.Errorf("request during the shutdown: status %+v, %v", r.Status, err)
--- a/internal/rehearsal/sockets/process.go
+++ b/internal/rehearsal/sockets/process.go
@@ -26,7 +26,7 @@
 	ending  bool            // its exit is expected: it was signalled, or has a failpoint that kills it
 	ready   bool            // it has passed a health check
 	exited  context.Context // cancelled once the process has exited
-	callers []*clients.Caller
+	callers []*clients.Client
 	aborts  map[string]func() // abort functions of the open requests, by request ID
 }
 
@@ -124,7 +124,7 @@
 	s := p.stage
 	for exited.Err() == nil {
 		ctx, cancel := context.WithTimeout(exited, time.Second)
-		r, err := clients.Get(ctx, p.address, map[string]string{"SCRIPT_NAME": "/_health"}, nil)
+		r, err := clients.Do(ctx, p.address, map[string]string{"SCRIPT_NAME": "/_health"}, nil)
 		cancel()
 		if err == nil && r.Status == 200 {
 			at := s.now()
@@ -211,8 +211,8 @@
 			s.apply(s.world.Handle(at, e))
 		})
 	}
-	var kept []*clients.Caller
-	var best *clients.Caller
+	var kept []*clients.Client
+	var best *clients.Client
 	idle := 0
 	for _, c := range p.callers {
 		open, alive := c.Open()
@@ -231,8 +231,8 @@
 		}
 	}
 	p.callers = kept
-	sendOn := func(c *clients.Caller) error {
-		id, err := c.Ask(world.Params(r), make([]byte, r.Body), done)
+	sendOn := func(c *clients.Client) error {
+		id, err := c.Send(world.Params(r), make([]byte, r.Body), done)
 		if err == nil {
 			p.aborts[r.ID] = func() { c.Abort(id) }
 		}
@@ -244,7 +244,7 @@
 	// On loopback a connection attempt succeeds or is refused at once, so dialling here does not block the event loop.
 	ctx, cancel := context.WithTimeout(s.ctx, time.Second)
 	defer cancel()
-	c, err := clients.NewCaller(ctx, p.address)
+	c, err := clients.Dial(ctx, p.address)
 	if err == nil {
 		p.callers = append(p.callers, c)
 		err = sendOn(c)
--- a/internal/rehearsal/virtual/virtual.go
+++ b/internal/rehearsal/virtual/virtual.go
@@ -418,10 +418,10 @@
 func (c *caller) Answer(_ uint16, a clients.Answer) {
 	d := c.g.d
 	delete(c.g.callers, c.id)
-	if a.None {
+	if a.NoResponse {
 		return
 	}
-	got := world.Answer{Gateway: c.g.number, ID: c.id, Status: a.Status, Wait: a.Wait, Still: a.Still, Copy: Head(a.Body.Parts())}
+	got := world.Answer{Gateway: c.g.number, ID: c.id, Status: a.Status, Wait: a.RetryAfter, Still: a.NotModified, Copy: Head(a.Body.Parts())}
 	if a.Link != nil {
 		got.Token, got.Ticket = a.Link.Token, a.Link.Ticket
 	}
