--- a/internal/bite/crossings.go
+++ b/internal/bite/crossings.go
@@ -22,7 +22,7 @@
 	{"each gateway uses the whole budget of a cold cache", "router/router.go", "n.weight * window / max(1, gateways)", "n.weight * window / max(1, 0*gateways)", routerPackage, "TestGatewayGroupKeepsColdBudget"},
 	{"a pull waits for a new connection although one is up", "internal/caches/pool.go", "if ready := c.responsive(p, now); best == nil", "if ready := c.responsive(p, now) && false; best == nil", cachesPackage, "TestPrefersConnected"},
 	{"pulls waiting for a slow connection stay there", "internal/caches/pool.go", "\t\t\tp.moveQueued(c.node, e.At)\n", "", cachesPackage, "TestPrefersConnected"},
-	{"pulls are still sent on a silent connection", "internal/caches/pool.go", "return now-max(oldestSent, c.lastReply) <= cmp.Or(p.meanAnswer, p.limits.Answer)", "return now-max(oldestSent, c.lastReply) <= 1e9*cmp.Or(p.meanAnswer, p.limits.Answer)", cachesPackage, "TestPrefersConnected"},
+	{"pulls are still sent on a silent connection", "internal/caches/pool.go", "return now-max(oldestSent, c.lastReply) <= cmp.Or(p.meanAnswer, p.limits.AnswerTimeout)", "return now-max(oldestSent, c.lastReply) <= 1e9*cmp.Or(p.meanAnswer, p.limits.AnswerTimeout)", cachesPackage, "TestPrefersConnected"},
 	{"the token of a request is not passed on", "internal/gateway/core.go", "if d.idempotencyKey != \"\" {", "if false {", gatewayPackage, "TestPullFields"},
 	{"a download that was never sent gets a failure", "internal/gateway/core.go", "!d.answered && len(d.pulls) == 0 {", "!d.answered && len(d.pulls) < 0 {", gatewayPackage, "TestCompetingEnds"},
 	{"the flush margin takes up a short expiry", "internal/gateway/serve.go", "min(flushPeriod, wait/4)", "min(flushPeriod, wait)", gatewayPackage, "TestAnswerBy"},
--- a/internal/bite/main.go
+++ b/internal/bite/main.go
@@ -86,7 +86,7 @@
 	{"a new process inherits the progress of the previous one", "internal/purges/statemachine.go", "\t\t\told.Confirmed = 0\n", "", purgesPackage, "TestStagesAndConfirmations"},
 	{"a pattern matches part of a name", "internal/purges/bounds.go", "regexp.Compile(`\\A(?:` + text + `)\\z`)", "regexp.Compile(text)", purgesPackage, "TestBoundsMatchModel"},
 	{"patterns are lost in a restart", "internal/purges/bounds.go", "\t\ts.Patterns[i].re = re\n", "\t\ts.Patterns[i].re = regexp.MustCompile(\"^$\")\n\t\t_ = re\n", purgesPackage, "TestBoundsMatchModel"},
-	{"the age of an arriving copy is not checked", "internal/caches/pool.go", "p.Oldest != nil && createdAt < p.Oldest(pull)", "p.Oldest != nil && createdAt < p.Oldest(pull)-1e9", gatewayPackage, "TestPurgeBounds"},
+	{"the age of an arriving copy is not checked", "internal/caches/pool.go", "p.OldestAllowed != nil && createdAt < p.OldestAllowed(pull)", "p.OldestAllowed != nil && createdAt < p.OldestAllowed(pull)-1e9", gatewayPackage, "TestPurgeBounds"},
 	{"a gateway without news of purges keeps serving", "internal/purges/view.go", "v.Delay > 0 && now-known > blindAfter*v.Delay {", "v.Delay > 0 && now-known > 1e9*v.Delay {", gatewayPackage, "TestPurgeBounds"},
 	{"a resumed gateway uses the time before it was frozen", "internal/gateway/purge_bounds.go", "Oldest(b.now(), b.knownUntil(),", "Oldest(b.knownUntil(), b.knownUntil(),", gatewayPackage, "TestPurgeBounds"},
 	{"a first pull accepts a stale copy", "internal/purges/view.go", "\t\treturn max(hard, soft)\n", "\t\treturn max(hard, 0*soft)\n", gatewayPackage, "TestPurgeBounds"},
--- a/internal/caches/caches_test.go
+++ b/internal/caches/caches_test.go
@@ -52,10 +52,10 @@
 		replies, err = p.Feed(b[:min(size, len(b))], nil)
 		for _, reply := range replies {
 			body := fmt.Sprintf("%q", bytes.Join(reply.Body.Parts(), nil))
-			if reply.Short {
+			if reply.Truncated {
 				body = "short"
 			}
-			out = append(out, fmt.Sprintf("%s %s %s %s", reply.Tag, reply.Word, reply.Fields, body))
+			out = append(out, fmt.Sprintf("%s %s %s %s", reply.ID, reply.Word, reply.Fields, body))
 			reply.Body.Release()
 		}
 	}
@@ -94,7 +94,7 @@
 
 // fakeWire is a Wire that writes only when the test calls write.
 type fakeWire struct {
-	queue    []*Item
+	queue    []*Command
 	sent     string
 	closed   bool
 	stuck    bool
@@ -102,12 +102,12 @@
 	midReply bool
 }
 
-func (w *fakeWire) Heard() (float64, bool) { return w.lastRead, w.midReply }
+func (w *fakeWire) LastRead() (float64, bool) { return w.lastRead, w.midReply }
 
 func (w *fakeWire) Stuck() bool { return w.stuck }
 func (w *fakeWire) Close()      { w.closed = true }
 
-func (w *fakeWire) Send(item *Item) bool {
+func (w *fakeWire) Send(item *Command) bool {
 	if w.closed {
 		item.body.Release()
 		return false
@@ -116,7 +116,7 @@
 	return true
 }
 
-func (w *fakeWire) Remove(item *Item) bool {
+func (w *fakeWire) Remove(item *Command) bool {
 	for n, other := range w.queue {
 		if other == item {
 			w.queue = append(w.queue[:n], w.queue[n+1:]...)
@@ -129,11 +129,11 @@
 
 func (w *fakeWire) write(whole bool) {
 	for _, item := range w.queue {
-		item.Take()
+		item.MarkWriting()
 		if whole {
 			w.sent += string(bytes.Join(item.Pieces(nil), nil))
 		}
-		item.Wrote(whole)
+		item.MarkWritten(whole)
 	}
 	w.queue = nil
 }
@@ -147,12 +147,12 @@
 
 func newPoolTest(conns int) *poolTest {
 	pt := &poolTest{}
-	pt.Pool = NewPool(Limits{Streams: 2, Idle: 1000, Conns: conns, Answer: 400, Checks: true,
-		Names: strings.ToUpper}, func(address string) Wire {
+	pt.Pool = NewPool(Limits{PullsPerConn: 2, IdleTimeout: 1000, Conns: conns, AnswerTimeout: 400, HealthChecks: true,
+		GaugeName: strings.ToUpper}, func(address string) Wire {
 		pt.wires, pt.addresses = append(pt.wires, &fakeWire{}), append(pt.addresses, address)
 		return pt.wires[len(pt.wires)-1]
 	})
-	pt.List("n", "here:1", 0)
+	pt.SetNode("n", "here:1", 0)
 	return pt
 }
 
@@ -163,12 +163,12 @@
 }
 
 func (pt *poolTest) reply(wire int, id, word, fields string, now float64) {
-	pt.Handle(Answered{Wire: pt.wires[wire], Reply: Reply{Tag: id, Word: word, Fields: fields}, At: now})
+	pt.Handle(Replied{Wire: pt.wires[wire], Reply: Reply{ID: id, Word: word, Fields: fields}, At: now})
 }
 
 func (pt *poolTest) results() string {
 	var out []string
-	for _, e := range pt.Ends() {
+	for _, e := range pt.TakeResults() {
 		out = append(out, fmt.Sprintf("%s:%d", e.Pull.ID, e.Status))
 	}
 	return strings.Join(out, " ")
@@ -198,15 +198,15 @@
 	pt.wires[0].write(true)
 	pt.pull("part", 0)
 	pt.wires[0].write(false)
-	pt.Handle(Down{Wire: pt.wires[0], Up: true, At: 1})
+	pt.Handle(Down{Wire: pt.wires[0], WasUp: true, At: 1})
 	expect(t, "results of a broken connection", pt.results(), fmt.Sprintf("part:%d whole:%d", router.NeverSent, router.Broken))
 	pull := pt.pull("queued", 2)
-	pt.Drop(pull, router.TimedOut, 3)
+	pt.Cancel(pull, router.TimedOut, 3)
 	expect(t, "result of a time-out before the connection is up", pt.results(), fmt.Sprintf("queued:%d", router.NotConnected))
 	expect(t, "written", pt.wires[1].sent, "")
 	pull = pt.pull("out", 4)
 	pt.wires[1].write(true)
-	pt.Drop(pull, router.TimedOut, 5)
+	pt.Cancel(pull, router.TimedOut, 5)
 	pt.wires[1].write(true)
 	expect(t, "result of a time-out", pt.results(), fmt.Sprintf("out:%d", router.TimedOut))
 	expect(t, "written", pt.wires[1].sent, bulk("GET", "out", "kind=k", "")+bulk("DROP", "out"))
@@ -218,7 +218,7 @@
 	pt := newPoolTest(9)
 	pull := pt.pull("a", 0)
 	pt.wires[0].write(true)
-	pt.Drop(pull, router.Cancelled, 1)
+	pt.Cancel(pull, router.Cancelled, 1)
 	pt.results()
 	pt.pull("a", 2)
 	expect(t, "connections", len(pt.wires), 2)
@@ -240,7 +240,7 @@
 			pt.reply(0, id, "DONE", "-", 1)
 		}
 		pt.results()
-		pt.Pool.Pull(&Pull{ID: "a", Node: "n", Before: first}, 2)
+		pt.Pool.Pull(&Pull{ID: "a", Node: "n", Previous: first}, 2)
 		pt.wires[1].write(true)
 		pt.reply(0, "a", word, "-", 3)
 		expect(t, "results after a duplicate "+word, pt.results(), "")
@@ -269,14 +269,14 @@
 		{"DONE", "sum=00000000000000aa,t0=4949", 3, router.Failed}, {"DONE", "sum=00000000000000aa,t0=4950", 3, router.Fulfilled},
 	} {
 		pt := newPoolTest(9)
-		pt.limits.Conns, pt.limits.Streams = 1, 9
-		pt.Pool.Pull(&Pull{ID: "a", Node: "n", Mine: "00000000000000aa", Copies: true, MaxAge: 1000}, 6000)
+		pt.limits.Conns, pt.limits.PullsPerConn = 1, 9
+		pt.Pool.Pull(&Pull{ID: "a", Node: "n", ClientSum: "00000000000000aa", RequireCopy: true, MaxAge: 1000}, 6000)
 		pt.pull("other", 6000)
 		pt.wires[0].write(true)
 		pt.pull("unwritten", 6001)
 		body := buffer.NewChain(buffer.NewPool(1 << 20))
 		body.Append(make([]byte, c.body))
-		pt.Handle(Answered{Wire: pt.wires[0], Reply: Reply{Tag: "a", Word: c.word, Fields: c.fields, Body: body}, At: 6002})
+		pt.Handle(Replied{Wire: pt.wires[0], Reply: Reply{ID: "a", Word: c.word, Fields: c.fields, Body: body}, At: 6002})
 		want := fmt.Sprintf("a:%d", c.want)
 		if c.want == router.Broken {
 			want = fmt.Sprintf("unwritten:%d a:%d other:%d", router.NeverSent, router.Broken, router.Broken)
@@ -298,19 +298,19 @@
 	expect(t, "result beyond the limit of connections, not a failure of the node", pt.results(), fmt.Sprintf("e:%d", router.NeverSent))
 	pt.reply(0, "a", "DONE", "-", 1)
 	pt.reply(0, "b", "DONE", "-", 1)
-	pt.List("m", "there:1", 0)
+	pt.SetNode("m", "there:1", 0)
 	pt.Pool.Pull(&Pull{ID: "f", Node: "m"}, 2)
 	expect(t, "idle connection closed for a new one", fmt.Sprint(pt.wires[0].closed, pt.addresses), "true [here:1 here:1 there:1]")
 
 	pt = newPoolTest(9)
 	pt.pull("a", 0)
-	pt.List("n", "here:2", 0)
+	pt.SetNode("n", "here:2", 0)
 	pt.pull("b", 0)
 	expect(t, "addresses dialed, and old connection closed", fmt.Sprint(pt.addresses, pt.wires[0].closed), "[here:1 here:2] false")
 	pt.reply(0, "a", "DONE", "-", 1)
 	expect(t, "old connection closed after its last reply", pt.wires[0].closed, true)
 	pt.reply(1, "b", "DONE", "-", 1)
-	pt.Tidy(800)
+	pt.CloseIdle(800)
 	expect(t, "closed before the idle limit", pt.wires[1].closed, false)
 	pt.pull("c", 950)
 	expect(t, "closed at the idle limit, and connections", fmt.Sprint(pt.wires[1].closed, len(pt.wires)), "true 3")
@@ -319,7 +319,7 @@
 // Pulls are spread over the connections that a node may have, so that a connection that breaks fails only a few.
 func TestSpreadsPulls(t *testing.T) {
 	pt := newPoolTest(8)
-	pt.limits.Streams = 32
+	pt.limits.PullsPerConn = 32
 	for i := range 12 {
 		pt.pull(fmt.Sprint(i), 0)
 	}
@@ -334,7 +334,7 @@
 // avoid a connection that has been silent for longer than replies usually take.
 func TestPrefersConnected(t *testing.T) {
 	pt := newPoolTest(16)
-	pt.limits.Streams = 32
+	pt.limits.PullsPerConn = 32
 	up := func(n int, at float64) { pt.Handle(Up{Wire: pt.wires[n], At: at}) }
 	sentCounts := func() (out string) {
 		for _, w := range pt.wires {
@@ -374,17 +374,17 @@
 	pt := newPoolTest(9)
 	for i := range 100 {
 		id := fmt.Sprint("n", i)
-		pt.List(id, "here:1", 0)
+		pt.SetNode(id, "here:1", 0)
 		pt.Pool.Pull(&Pull{ID: "a", Node: id}, 0)
 		w := pt.wires[len(pt.wires)-1]
 		w.write(true)
-		pt.Gone(id)
+		pt.RemoveNode(id)
 		expect(t, "closed while a pull is in flight", w.closed, false)
 		pt.reply(len(pt.wires)-1, "a", "DONE", "-", 1)
 		expect(t, "closed after the last reply", w.closed, true)
-		pt.Handle(Down{Wire: w, Up: true, At: 1})
+		pt.Handle(Down{Wire: w, WasUp: true, At: 1})
 	}
-	pt.Gone("n")
+	pt.RemoveNode("n")
 	expect(t, "connections opened, nodes and connections left", fmt.Sprint(len(pt.wires), len(pt.nodes), len(pt.conns)), "100 0 0")
 }
 
@@ -393,12 +393,12 @@
 func TestWatchStalled(t *testing.T) {
 	watch := func(pt *poolTest, from, to float64) {
 		for now := from; now <= to; now += 100 {
-			pt.Watch(now)
+			pt.CheckStalled(now)
 		}
 	}
 	newPair := func() *poolTest {
 		pt := newPoolTest(9)
-		pt.limits.Conns, pt.limits.Streams = 1, 9
+		pt.limits.Conns, pt.limits.PullsPerConn = 1, 9
 		pt.pull("a", 0)
 		pt.pull("b", 0)
 		pt.Handle(Up{Wire: pt.wires[0]})
@@ -412,7 +412,7 @@
 	watch(pt, 0, 600)
 	expect(t, "results while a reply stalls for a short time", pt.results(), "")
 	watch(pt, 700, 700)
-	expect(t, "stalled in the middle of a reply", fmt.Sprint(pt.results(), " ", pt.wires[0].closed, pt.Mute), bothBroken+" true 1")
+	expect(t, "stalled in the middle of a reply", fmt.Sprint(pt.results(), " ", pt.wires[0].closed, pt.Stalled), bothBroken+" true 1")
 
 	pt = newPair()
 	watch(pt, 0, 500)
@@ -425,7 +425,7 @@
 
 	pt = newPair()
 	for now := 0.0; now < 5000; now += 100 {
-		pt.Watch(now)
+		pt.CheckStalled(now)
 		for _, item := range pt.wires[0].queue {
 			pt.reply(0, string(bytes.Split(item.head, lineEnd)[4]), "FIT", "-", now)
 			pt.wires[0].lastRead = now
@@ -450,10 +450,10 @@
 	expect(t, "health checks after them", len(pt.wires[0].queue), 1)
 
 	pt = newPair()
-	pt.Watch(0)
-	pt.Watch(3000)
+	pt.CheckStalled(0)
+	pt.CheckStalled(3000)
 	expect(t, "after a pause of its own, a gateway reads first", fmt.Sprint(pt.results(), " ", len(pt.wires[0].queue)), " 0")
-	pt.Shun("n")
+	pt.ExcludeNode("n")
 	watch(pt, 3100, 5000)
 	expect(t, "health checks while the node drains", len(pt.wires[0].queue), 0)
 }
@@ -465,19 +465,19 @@
 	pt.wires[0].closed = true
 	pt.pull("b", 1)
 	expect(t, "connections and results", fmt.Sprintf("%d %q", len(pt.wires), pt.results()), `2 ""`)
-	pt.Handle(Down{Wire: pt.wires[0], Up: true, At: 2})
+	pt.Handle(Down{Wire: pt.wires[0], WasUp: true, At: 2})
 	expect(t, "results after Down", pt.results(), fmt.Sprintf("a:%d", router.NeverSent))
 }
 
 // A drain or a purge also applies to pulls queued on a connection that is slow to come up. Written pulls continue.
 func TestWithdraw(t *testing.T) {
 	pt := newPoolTest(4)
-	pt.List("m", "there:1", 0)
+	pt.SetNode("m", "there:1", 0)
 	pt.Pool.Pull(&Pull{ID: "out", Node: "n"}, 0)
 	pt.wires[0].write(true)
 	pt.Pool.Pull(&Pull{ID: "at", Node: "n"}, 0)
 	pt.Pool.Pull(&Pull{ID: "other", Node: "m"}, 0)
-	pt.Withdraw(func(pull *Pull) bool { return pull.Node == "n" }, 1)
+	pt.RecallMatching(func(pull *Pull) bool { return pull.Node == "n" }, 1)
 	expect(t, "results", pt.results(), fmt.Sprintf("at:%d", router.NeverSent))
 	pt.wires[0].write(true)
 	pt.wires[1].write(true)
@@ -491,12 +491,12 @@
 	pt.pull("whole", 0)
 	pt.wires[0].write(true)
 	half := pt.pull("half", 0)
-	half.command.Take()
+	half.command.MarkWriting()
 	pt.wires[0].queue, pt.wires[0].stuck = nil, true
-	pt.Drop(half, router.TimedOut, 9)
+	pt.Cancel(half, router.TimedOut, 9)
 	expect(t, "results, and connection closed", fmt.Sprintf("%s %v", pt.results(), pt.wires[0].closed),
 		fmt.Sprintf("half:%d true", router.TimedOut))
-	pt.Handle(Down{Wire: pt.wires[0], Up: true, At: 10})
+	pt.Handle(Down{Wire: pt.wires[0], WasUp: true, At: 10})
 	expect(t, "results of the other pull", pt.results(), fmt.Sprintf("whole:%d", router.Broken))
 }
 
@@ -505,16 +505,16 @@
 func TestRecallWhileStuck(t *testing.T) {
 	for name, cancel := range map[string]func(pt *poolTest, pull *Pull){
 		"recalled":  func(pt *poolTest, pull *Pull) { pt.Recall(pull, 9) },
-		"withdrawn": func(pt *poolTest, pull *Pull) { pt.Withdraw(func(other *Pull) bool { return other == pull }, 9) },
+		"withdrawn": func(pt *poolTest, pull *Pull) { pt.RecallMatching(func(other *Pull) bool { return other == pull }, 9) },
 	} {
 		for _, stuck := range []bool{true, false} {
 			pt := newPoolTest(2)
 			half := pt.pull("half", 0)
-			half.command.Take()
+			half.command.MarkWriting()
 			pt.wires[0].queue, pt.wires[0].stuck = nil, stuck
 			cancel(pt, half)
 			expect(t, name+": connection closed", pt.wires[0].closed, stuck)
-			pt.Handle(Down{Wire: pt.wires[0], Up: true, At: 10})
+			pt.Handle(Down{Wire: pt.wires[0], WasUp: true, At: 10})
 			expect(t, name+": results", pt.results(), fmt.Sprintf("half:%d", router.Broken))
 		}
 	}
@@ -526,11 +526,11 @@
 	pt := newPoolTest(2)
 	first, second := pt.pull("a", 0), pt.pull("b", 0)
 	pt.wires[0].write(true)
-	pt.Drop(first, router.TimedOut, 100)
+	pt.Cancel(first, router.TimedOut, 100)
 	pt.pull("c", 101)
 	expect(t, "connections", len(pt.wires), 2)
 	expect(t, "closed while a pull is in flight", pt.wires[0].closed, false)
-	pt.Drop(second, router.TimedOut, 110)
+	pt.Cancel(second, router.TimedOut, 110)
 	expect(t, "closed after its last pull", pt.wires[0].closed, true)
 	pt.Handle(Down{Wire: pt.wires[1], At: 500})
 	expect(t, "results", pt.results(), fmt.Sprintf("a:%d b:%d c:%d", router.TimedOut, router.TimedOut, router.NotConnected))
@@ -538,16 +538,16 @@
 
 func TestProbe(t *testing.T) {
 	pt := newPoolTest(9)
-	pt.limits.Reports = true
+	pt.limits.RequestLoad = true
 	pull := pt.Probe("n", 0)
 	pt.wires[0].write(true)
 	expect(t, "sent", pt.wires[0].sent, bulk("LOAD", pull.ID))
 	pt.reply(0, pull.ID, "UNFIT", "gauges=util:0.5;odd:x;nan:NaN;inf:1e999", 5)
-	e := pt.Ends()
-	expect(t, "node, status and load", fmt.Sprintln(e[0].Probe, e[0].Status, e[0].Load), fmt.Sprintln("n", router.Failed, "map[UTIL:0.5]"))
+	e := pt.TakeResults()
+	expect(t, "node, status and load", fmt.Sprintln(e[0].ProbedNode, e[0].Status, e[0].Load), fmt.Sprintln("n", router.Failed, "map[UTIL:0.5]"))
 	pull = pt.Probe("n", 6)
 	pt.wires[0].write(true)
-	pt.Drop(pull, router.TimedOut, 9)
+	pt.Cancel(pull, router.TimedOut, 9)
 	expect(t, "result of a time-out", pt.results(), fmt.Sprintf("%s:%d", pull.ID, router.TimedOut))
 	expect(t, "commands sent to drop a probe", len(pt.wires[0].queue), 0)
 	expect(t, "result for an unknown node", fmt.Sprint(pt.Probe("x", 9).ended, pt.results() != ""), "true true")
@@ -569,11 +569,11 @@
 		pt.pull("b"+fmt.Sprint(now), now)
 		if last := len(pt.wires) - 1; breaks && last == before {
 			pt.wires[last].write(true)
-			pt.Handle(Down{Wire: pt.wires[last], Up: true, At: now + 1})
+			pt.Handle(Down{Wire: pt.wires[last], WasUp: true, At: now + 1})
 		} else {
 			pt.wires[last].write(true)
 			pt.reply(last, "b"+fmt.Sprint(now), "DONE", "-", now)
-			pt.Handle(Down{Wire: pt.wires[last], Up: true, At: now})
+			pt.Handle(Down{Wire: pt.wires[last], WasUp: true, At: now})
 		}
 		now += 10
 		return len(pt.wires) - before
--- a/internal/caches/pool.go
+++ b/internal/caches/pool.go
@@ -21,58 +21,58 @@
 	ID, Node    string
 	Fields      string
 	Body        *buffer.Body // the pool takes its own reference
-	Mine        string       // checksum of the client's own copy, which the node may confirm by KEEP
-	Copies      bool         // a fulfilled reply carries a copy, so it must give sum and t0
+	ClientSum   string       // checksum of the client's own copy, which the node may confirm by KEEP
+	RequireCopy bool         // a fulfilled reply carries a copy, so it must give sum and t0
 	MaxAge      float64      // maximum age of the copy, in ms, when the pull is sent; 0: no limit
-	Before      *Pull        // the previous pull of the same download, which has the same ID
+	Previous    *Pull        // the previous pull of the same download, which has the same ID
 	Owner       any
 	conn        *conn
-	command     *Item
+	command     *Command
 	sentAt      float64
 	idleBefore  float64 // ms for which the connection was idle before this pull; 0: new or busy
 	healthCheck bool    // sent by the pool itself; its End is not reported
 	ended       bool
 }
 
-// End is the result of a pull or a probe.
-type End struct {
-	Pull   *Pull
-	Probe  string // the node, if this was a probe
-	Status router.Status
-	Note   router.AnswerSource
-	Load   map[string]float64
-	Keep   bool // the client's own copy is current
-	Body   *buffer.Body
-	At     float64
+// Result is the result of a pull or a probe.
+type Result struct {
+	Pull           *Pull
+	ProbedNode     string // the node, if this was a probe
+	Status         router.Status
+	Note           router.AnswerSource
+	Load           map[string]float64
+	KeepClientCopy bool // the client's own copy is current
+	Body           *buffer.Body
+	At             float64
 }
 
 // Limits are the limits of a pool, from the settings and from the resources of the machine.
 type Limits struct {
-	Streams int                 // pulls per connection
-	Idle    float64             // ms without traffic after which a connection is closed
-	Conns   int                 // connections to all nodes together
-	Reports bool                // probes also ask for the load
-	Checks  bool                // probes are allowed, so a silent connection may be sent a health check
-	Answer  float64             // ms within which a live node replies to a health check; equal to the connect timeout
-	Names   func(string) string // maps the name of a gauge to the name that the router uses
+	PullsPerConn  int                 // pulls per connection
+	IdleTimeout   float64             // ms without traffic after which a connection is closed
+	Conns         int                 // connections to all nodes together
+	RequestLoad   bool                // probes also ask for the load
+	HealthChecks  bool                // probes are allowed, so a silent connection may be sent a health check
+	AnswerTimeout float64             // ms within which a live node replies to a health check; equal to the connect timeout
+	GaugeName     func(string) string // maps the name of a gauge to the name that the router uses
 }
 
 // Pool is a connection pool to all nodes. It isn't safe for concurrent use.
 type Pool struct {
-	limits      Limits
-	dial        func(address string) Wire
-	Oldest      func(*Pull) float64 // oldest creation time, in Unix ms, that a copy may have when it arrives; nil: not checked
-	nodes       map[string]*node
-	conns       map[Wire]*conn
-	lastProbeID int
-	results     []End
-	probes      map[string]*Pull // by ID
-	reuse       reuseStats
-	closed      bool
-	lastWatch   float64
-	meanAnswer  float64 // moving average of the time to a reply, in ms
-
-	Dialled, Malformed, Short, Late, Mute, Old int // counters; Short: no connection or buffer available
+	limits        Limits
+	dial          func(address string) Wire
+	OldestAllowed func(*Pull) float64 // oldest creation time, in Unix ms, that a copy may have when it arrives; nil: not checked
+	nodes         map[string]*node
+	conns         map[Wire]*conn
+	lastProbeID   int
+	results       []Result
+	probes        map[string]*Pull // by ID
+	reuse         reuseStats
+	closed        bool
+	lastWatch     float64
+	meanAnswer    float64 // moving average of the time to a reply, in ms
+
+	Dialed, Malformed, Exhausted, LateReplies, Stalled, TooOld int // counters; Short: no connection or buffer available
 }
 
 // node is one node with the connections to it.
@@ -103,9 +103,9 @@
 	return &Pool{limits: l, dial: dial, nodes: map[string]*node{}, conns: map[Wire]*conn{}, probes: map[string]*Pull{}}
 }
 
-// List adds or updates a node. If its address or the start time of its process has changed, its connections are
+// SetNode adds or updates a node. If its address or the start time of its process has changed, its connections are
 // retired and new ones opened.
-func (p *Pool) List(id, address string, startedAt float64) {
+func (p *Pool) SetNode(id, address string, startedAt float64) {
 	n := p.nodes[id]
 	if n == nil {
 		n = &node{id: id}
@@ -117,15 +117,15 @@
 	n.address, n.startedAt, n.excluded, n.removed = address, startedAt, false, false
 }
 
-// Shun stops all new traffic to a node, health checks included.
-func (p *Pool) Shun(id string) {
+// ExcludeNode stops all new traffic to a node, health checks included.
+func (p *Pool) ExcludeNode(id string) {
 	if n := p.nodes[id]; n != nil {
 		n.excluded = true
 	}
 }
 
-// Gone removes a node. Pulls in flight to it continue.
-func (p *Pool) Gone(id string) {
+// RemoveNode removes a node. Pulls in flight to it continue.
+func (p *Pool) RemoveNode(id string) {
 	if n := p.nodes[id]; n != nil {
 		n.excluded, n.removed = true, true
 		p.retireConns(n)
@@ -167,7 +167,7 @@
 	c := p.pickConn(pull, now)
 	if c == nil {
 		// The pool is out of connections, which isn't a failure of the node.
-		p.finish(pull, End{Status: router.NeverSent, At: now})
+		p.finish(pull, Result{Status: router.NeverSent, At: now})
 		return
 	}
 	if !p.sendOn(c, pull, head, now) {
@@ -182,7 +182,7 @@
 		p.reuse.record(pull.idleBefore, now, true, false)
 	}
 	pull.conn, c.open[pull.ID], c.lastSent, pull.sentAt = c, pull, now, now
-	pull.command = &Item{head: head}
+	pull.command = &Command{head: head}
 	if pull.Body.Len() > 0 {
 		pull.command.body = pull.Body.Retain()
 	}
@@ -213,7 +213,7 @@
 	for _, c := range slices.Clone(n.conns) {
 		p.retireIfIdle(c, now)
 		connecting = connecting || !c.up && !c.retired
-		if c.retired || c.healthCheck != nil || len(c.open) >= p.limits.Streams ||
+		if c.retired || c.healthCheck != nil || len(c.open) >= p.limits.PullsPerConn ||
 			c.open[pull.ID] != nil || c.endedIDs[pull.ID] || pull.usedConn(c) {
 			continue
 		}
@@ -233,7 +233,7 @@
 	}
 	if p.closed || len(p.conns) >= p.limits.Conns && (best != nil || !p.evictIdle()) {
 		if best == nil {
-			p.Short++
+			p.Exhausted++
 		}
 		return best
 	}
@@ -249,7 +249,7 @@
 	for _, pull := range c.open {
 		oldestSent = min(oldestSent, pull.sentAt)
 	}
-	return now-max(oldestSent, c.lastReply) <= cmp.Or(p.meanAnswer, p.limits.Answer)
+	return now-max(oldestSent, c.lastReply) <= cmp.Or(p.meanAnswer, p.limits.AnswerTimeout)
 }
 
 // connect opens a connection to a node.
@@ -258,7 +258,7 @@
 		lastReply: math.Inf(-1)}
 	n.conns = append(n.conns, c)
 	p.conns[c.wire] = c
-	p.Dialled++
+	p.Dialed++
 	return c
 }
 
@@ -290,7 +290,7 @@
 
 // usedConn reports whether an earlier pull of the same download used a connection.
 func (q *Pull) usedConn(c *conn) bool {
-	for earlier := q.Before; earlier != nil; earlier = earlier.Before {
+	for earlier := q.Previous; earlier != nil; earlier = earlier.Previous {
 		if earlier.conn == c {
 			return true
 		}
@@ -342,9 +342,9 @@
 	c.endedOrder = append(c.endedOrder, id)
 }
 
-// Drop cancels a pull. Ends reports it with the given status, or as never sent (or not connected) if it provably wasn't
+// Cancel cancels a pull. Ends reports it with the given status, or as never sent (or not connected) if it provably wasn't
 // written.
-func (p *Pool) Drop(pull *Pull, status router.Status, now float64) {
+func (p *Pool) Cancel(pull *Pull, status router.Status, now float64) {
 	if pull.ended {
 		return
 	}
@@ -364,12 +364,12 @@
 		if status == router.TimedOut && c.lastReply < pull.sentAt {
 			c.retired = true
 		}
-		drop := &Item{head: appendCommand(nil, []string{"DROP", pull.ID}, -1)}
+		drop := &Command{head: appendCommand(nil, []string{"DROP", pull.ID}, -1)}
 		if p.probes[pull.ID] == nil && !c.wire.Send(drop) {
 			c.retired = true
 		}
 	}
-	p.finish(pull, End{Status: status, At: now})
+	p.finish(pull, Result{Status: status, At: now})
 	p.closeIfDrained(c)
 }
 
@@ -379,7 +379,7 @@
 	switch {
 	case pull.ended:
 	case pull.conn.wire.Remove(pull.command):
-		p.finish(pull, End{Status: router.NeverSent, At: now})
+		p.finish(pull, Result{Status: router.NeverSent, At: now})
 		p.closeIfDrained(pull.conn)
 	case pull.command.state.Load() == stateWriting && pull.conn.wire.Stuck():
 		pull.conn.retired = true
@@ -387,9 +387,9 @@
 	}
 }
 
-// Withdraw recalls the matching pulls that are still queued, for instance on a connection that is slow to come up, since
+// RecallMatching recalls the matching pulls that are still queued, for instance on a connection that is slow to come up, since
 // a drain or a purge applies to them too. They never ran, so they may be sent again at once.
-func (p *Pool) Withdraw(match func(*Pull) bool, now float64) {
+func (p *Pool) RecallMatching(match func(*Pull) bool, now float64) {
 	for _, c := range p.sortedConns() {
 		for _, id := range slices.Sorted(maps.Keys(c.open)) {
 			if pull := c.open[id]; match(pull) {
@@ -402,7 +402,7 @@
 // Probe asks a node for its health, and for its load if the limits say so. Ends reports the result.
 func (p *Pool) Probe(id string, now float64) *Pull {
 	name := "PING"
-	if p.limits.Reports {
+	if p.limits.RequestLoad {
 		name = "LOAD"
 	}
 	p.lastProbeID++
@@ -413,7 +413,7 @@
 }
 
 // finish records the result of a pull, a probe or a health check.
-func (p *Pool) finish(pull *Pull, e End) {
+func (p *Pool) finish(pull *Pull, e Result) {
 	assert.That(!pull.ended, "a pull ends only once")
 	if pull.ended {
 		e.Body.Release()
@@ -427,7 +427,7 @@
 		}
 	}
 	if e.Pull = pull; p.probes[pull.ID] == pull {
-		e.Probe = pull.Node
+		e.ProbedNode = pull.Node
 		delete(p.probes, pull.ID)
 	}
 	if pull.healthCheck {
@@ -436,8 +436,8 @@
 	p.results = append(p.results, e)
 }
 
-// Ends returns the results since the last call and clears them.
-func (p *Pool) Ends() []End {
+// TakeResults returns the results since the last call and clears them.
+func (p *Pool) TakeResults() []Result {
 	e := p.results
 	p.results = nil
 	return e
@@ -462,10 +462,10 @@
 			c.up = true
 			p.moveQueued(c.node, e.At)
 		}
-	case Answered:
+	case Replied:
 		p.handleReply(e)
 	case Down:
-		if e.Bad != nil {
+		if e.Err != nil {
 			p.Malformed++
 		}
 		c := p.conns[e.Wire]
@@ -473,7 +473,7 @@
 			return
 		}
 		p.removeConn(c)
-		p.connLost(c, e.Up, e.At)
+		p.connLost(c, e.WasUp, e.At)
 	}
 }
 
@@ -484,13 +484,13 @@
 		pull, status := c.open[id], router.NotConnected
 		if pull.command.state.Load() != stateQueued {
 			status = router.Broken
-			if pull.idleBefore > 0 && c.lastReply < pull.sentAt && now-pull.sentAt < p.limits.Answer {
+			if pull.idleBefore > 0 && c.lastReply < pull.sentAt && now-pull.sentAt < p.limits.AnswerTimeout {
 				p.reuse.record(pull.idleBefore, now, false, true)
 			}
 		} else if up {
 			status = router.NeverSent
 		}
-		p.finish(pull, End{Status: status, At: now})
+		p.finish(pull, Result{Status: status, At: now})
 	}
 }
 
@@ -499,7 +499,7 @@
 	for _, id := range slices.Sorted(maps.Keys(c.open)) {
 		// Queued pulls are removed first, so that they aren't written while the connection closes.
 		if pull := c.open[id]; c.wire.Remove(pull.command) {
-			p.finish(pull, End{Status: router.NeverSent, At: now})
+			p.finish(pull, Result{Status: router.NeverSent, At: now})
 		}
 	}
 	c.wire.Close()
@@ -508,25 +508,25 @@
 }
 
 // handleReply validates a reply and ends the pull or the probe that it belongs to.
-func (p *Pool) handleReply(e Answered) {
+func (p *Pool) handleReply(e Replied) {
 	c, reply := p.conns[e.Wire], e.Reply
 	if c == nil {
 		reply.Body.Release()
 		return
 	}
 	c.lastReply = e.At
-	pull := c.open[reply.Tag]
+	pull := c.open[reply.ID]
 	if pull == nil {
-		p.Late++ // a duplicate, or a reply to a dropped or unknown pull; harmless
+		p.LateReplies++ // a duplicate, or a reply to a dropped or unknown pull; harmless
 		reply.Body.Release()
 		return
 	}
 	status, known := statusByReply[reply.Word]
-	_, isProbe := p.probes[reply.Tag]
+	_, isProbe := p.probes[reply.ID]
 	fields, readable := parseFields(reply.Fields)
 	createdAt, hasTime := parseTime(fields["t0"])
-	complete := status != router.Fulfilled || isProbe || !pull.Copies || hasTime && isChecksum(fields["sum"])
-	validKeep := reply.Word != "KEEP" || pull.Mine != "" && fields["sum"] == pull.Mine && reply.Body.Len() == 0
+	complete := status != router.Fulfilled || isProbe || !pull.RequireCopy || hasTime && isChecksum(fields["sum"])
+	validKeep := reply.Word != "KEEP" || pull.ClientSum != "" && fields["sum"] == pull.ClientSum && reply.Body.Len() == 0
 	if !known || !readable || isProbe != (reply.Word == "FIT" || reply.Word == "UNFIT") || !validKeep || !complete {
 		// After one invalid reply, no later reply on this connection can be trusted.
 		p.Malformed++
@@ -535,20 +535,20 @@
 		return
 	}
 	switch {
-	case reply.Short:
-		p.Short++
+	case reply.Truncated:
+		p.Exhausted++
 		status = router.Broken
-	case status == router.Fulfilled && pull.Copies && !isProbe && pull.MaxAge > 0 &&
+	case status == router.Fulfilled && pull.RequireCopy && !isProbe && pull.MaxAge > 0 &&
 		createdAt < pull.sentAt-pull.MaxAge-ageTolerance:
-		p.Old++
+		p.TooOld++
 		status = router.Failed
-	case status == router.Fulfilled && pull.Copies && !isProbe && p.Oldest != nil && createdAt < p.Oldest(pull):
-		p.Old++
+	case status == router.Fulfilled && pull.RequireCopy && !isProbe && p.OldestAllowed != nil && createdAt < p.OldestAllowed(pull):
+		p.TooOld++
 		status = router.Failed
 	}
-	end := End{Status: status, Note: noteByResult[fields["res"]], Load: p.parseLoad(fields["gauges"]),
-		Keep: reply.Word == "KEEP", At: e.At}
-	if status == router.Fulfilled && !end.Keep {
+	end := Result{Status: status, Note: noteByResult[fields["res"]], Load: p.parseLoad(fields["gauges"]),
+		KeepClientCopy: reply.Word == "KEEP", At: e.At}
+	if status == router.Fulfilled && !end.KeepClientCopy {
 		end.Body = reply.Body
 	} else {
 		reply.Body.Release()
@@ -568,10 +568,10 @@
 // all gateways.
 const healthCheckFactor = 3.0
 
-// Watch finds connections that have stalled in the middle of a reply or gone silent, and fails them as a whole before
+// CheckStalled finds connections that have stalled in the middle of a reply or gone silent, and fails them as a whole before
 // their pulls time out one by one. A node that is only slow replies to the health check.
-func (p *Pool) Watch(now float64) {
-	delayed := now-p.lastWatch > p.limits.Answer/2 // this process was paused and may have unread data
+func (p *Pool) CheckStalled(now float64) {
+	delayed := now-p.lastWatch > p.limits.AnswerTimeout/2 // this process was paused and may have unread data
 	if p.lastWatch = now; delayed {
 		return
 	}
@@ -585,17 +585,17 @@
 				oldestSent = min(oldestSent, pull.sentAt)
 			}
 		}
-		lastRead, midReply := c.wire.Heard()
+		lastRead, midReply := c.wire.LastRead()
 		silentFor := now - max(oldestSent, lastRead)
 		switch {
-		case midReply && now-lastRead > p.limits.Answer,
-			c.healthCheck != nil && now-max(c.healthCheck.sentAt, lastRead) > p.limits.Answer:
-			p.Mute++
+		case midReply && now-lastRead > p.limits.AnswerTimeout,
+			c.healthCheck != nil && now-max(c.healthCheck.sentAt, lastRead) > p.limits.AnswerTimeout:
+			p.Stalled++
 			p.failConn(c, now)
 		case c.healthCheck != nil && lastRead > c.healthCheck.sentAt:
-			p.finish(c.healthCheck, End{Status: router.Cancelled, At: now}) // any data shows that the node is alive
+			p.finish(c.healthCheck, Result{Status: router.Cancelled, At: now}) // any data shows that the node is alive
 			p.closeIfDrained(c)
-		case c.healthCheck == nil && p.limits.Checks && silentFor > max(p.limits.Answer, healthCheckFactor*p.meanAnswer):
+		case c.healthCheck == nil && p.limits.HealthChecks && silentFor > max(p.limits.AnswerTimeout, healthCheckFactor*p.meanAnswer):
 			c.healthCheck = p.sendHealthCheck(c, now)
 		}
 	}
@@ -631,14 +631,14 @@
 	for pair := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(pair, ":")
 		if n, err := strconv.ParseFloat(value, 64); err == nil && !math.IsNaN(n) && !math.IsInf(n, 0) {
-			load[p.limits.Names(name)] = n
+			load[p.limits.GaugeName(name)] = n
 		}
 	}
 	return load
 }
 
-// Tidy closes connections that have been idle for too long.
-func (p *Pool) Tidy(now float64) {
+// CloseIdle closes connections that have been idle for too long.
+func (p *Pool) CloseIdle(now float64) {
 	for _, c := range p.sortedConns() {
 		p.retireIfIdle(c, now)
 	}
@@ -647,7 +647,7 @@
 // retireIfIdle closes an idle connection shortly before its peer would. A pull that crosses the peer's close is written
 // completely, so it can't be known whether it ran. The same applies if a device on the path drops idle connections sooner.
 func (p *Pool) retireIfIdle(c *conn, now float64) {
-	if idle := now - c.idleSince(); len(c.open) == 0 && (idle > 0.9*p.limits.Idle || idle > p.reuse.maxIdle(now)) {
+	if idle := now - c.idleSince(); len(c.open) == 0 && (idle > 0.9*p.limits.IdleTimeout || idle > p.reuse.maxIdle(now)) {
 		c.retired = true
 		p.closeIfDrained(c)
 	}
@@ -656,8 +656,8 @@
 // idleSince returns the time of the last command or reply on a connection.
 func (c *conn) idleSince() float64 { return max(c.lastSent, c.lastReply) }
 
-// Open returns the number of pulls in flight to a node, probes not counted.
-func (p *Pool) Open(id string) (open int) {
+// InFlight returns the number of pulls in flight to a node, probes not counted.
+func (p *Pool) InFlight(id string) (open int) {
 	if n := p.nodes[id]; n != nil {
 		for _, c := range n.conns {
 			for tag := range c.open {
--- a/internal/caches/resp.go
+++ b/internal/caches/resp.go
@@ -23,9 +23,9 @@
 
 // Reply is one reply as received: the ID of its command (Tag), a word for the outcome, fields and a body.
 type Reply struct {
-	Tag, Word, Fields string
-	Body              *buffer.Body
-	Short             bool // the body is incomplete, as no buffer was available
+	ID, Word, Fields string
+	Body             *buffer.Body
+	Truncated        bool // the body is incomplete, as no buffer was available
 }
 
 // Parser is an incremental parser of RESP arrays of bulk strings.
@@ -89,8 +89,8 @@
 		if p.stringsLeft--; p.stringsLeft > 0 {
 			continue
 		}
-		replies = append(replies, Reply{Tag: string(p.header[0]), Word: string(p.header[1]),
-			Fields: string(p.header[2]), Body: p.body, Short: p.truncated})
+		replies = append(replies, Reply{ID: string(p.header[0]), Word: string(p.header[1]),
+			Fields: string(p.header[2]), Body: p.body, Truncated: p.truncated})
 		p.body, p.truncated = nil, false
 		for i := range p.header {
 			p.header[i] = p.header[i][:0]
--- a/internal/caches/wire.go
+++ b/internal/caches/wire.go
@@ -12,8 +12,8 @@
 	"poppymill/internal/buffer"
 )
 
-// Item is one command to a node, in the write queue of a wire.
-type Item struct {
+// Command is one command to a node, in the write queue of a wire.
+type Command struct {
 	head  []byte
 	body  *buffer.Body
 	state atomic.Int32
@@ -28,11 +28,11 @@
 
 // Wire is a connection as the pool uses it. Its methods never block; it reports what happens by events.
 type Wire interface {
-	Send(*Item) bool                // false: the queue is full, or the wire is closed
-	Remove(*Item) bool              // true: the item has not been written and never will be
-	Stuck() bool                    // a write has blocked for too long, as the node does not read
-	Heard() (at float64, amid bool) // time of the last read, and whether a reply is incomplete
-	Close()                         // closes the connection with everything in flight on it
+	Send(*Command) bool                // false: the queue is full, or the wire is closed
+	Remove(*Command) bool              // true: the item has not been written and never will be
+	Stuck() bool                       // a write has blocked for too long, as the node does not read
+	LastRead() (at float64, amid bool) // time of the last read, and whether a reply is incomplete
+	Close()                            // closes the connection with everything in flight on it
 }
 
 // Event is an Up, Answered or Down event of a wire.
@@ -45,8 +45,8 @@
 		Wire Wire
 		At   float64
 	}
-	// Answered reports a reply.
-	Answered struct {
+	// Replied reports a reply.
+	Replied struct {
 		Wire  Wire
 		Reply Reply
 		At    float64
@@ -54,28 +54,28 @@
 	// Down is the last event of a wire. Bad is the protocol error, or nil if the peer or the gateway closed the
 	// connection.
 	Down struct {
-		Wire Wire
-		Up   bool // it had been established
-		Bad  error
-		At   float64
+		Wire  Wire
+		WasUp bool // it had been established
+		Err   error
+		At    float64
 	}
 )
 
 // Dialer opens wires over TCP.
 type Dialer struct {
-	Pool    *buffer.Pool // for bodies
-	Reads   *buffer.Pool // for reads; one buffer per connection
-	Now     func() float64
-	Connect time.Duration  // connect timeout
-	Post    func(Event)    // may block while the gateway is busy
-	Live    sync.WaitGroup // of the wires that are not down yet
+	Bodies         *buffer.Pool // for bodies
+	Reads          *buffer.Pool // for reads; one buffer per connection
+	Now            func() float64
+	ConnectTimeout time.Duration  // connect timeout
+	Emit           func(Event)    // may block while the gateway is busy
+	Wires          sync.WaitGroup // of the wires that are not down yet
 }
 
 // Dial starts to open a connection. Its events report the outcome.
 func (d *Dialer) Dial(address string) Wire {
 	w := &tcpWire{dialer: d, wake: make(chan struct{}, 1)}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
-	d.Live.Add(1)
+	d.Wires.Add(1)
 	go w.run(address)
 	return w
 }
@@ -91,7 +91,7 @@
 	dialer     *Dialer
 	mu         sync.Mutex
 	netConn    net.Conn
-	queue      []*Item
+	queue      []*Command
 	closed     bool
 	wake       chan struct{}
 	writeStart atomic.Int64    // start of the current write, in Unix ns; 0: none
@@ -101,7 +101,7 @@
 	cancel     context.CancelFunc
 }
 
-func (w *tcpWire) Send(item *Item) bool {
+func (w *tcpWire) Send(item *Command) bool {
 	w.mu.Lock()
 	full := len(w.queue) >= maxQueued || w.closed
 	if !full {
@@ -119,7 +119,7 @@
 	return true
 }
 
-func (w *tcpWire) Remove(item *Item) bool {
+func (w *tcpWire) Remove(item *Command) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if item.state.Load() != stateQueued {
@@ -140,7 +140,7 @@
 	return started != 0 && time.Now().UnixNano()-started > int64(stuckAfter)
 }
 
-func (w *tcpWire) Heard() (float64, bool) {
+func (w *tcpWire) LastRead() (float64, bool) {
 	return math.Float64frombits(w.lastRead.Load()), w.midReply.Load()
 }
 
@@ -159,8 +159,8 @@
 
 // run connects and then serves the connection until it ends.
 func (w *tcpWire) run(address string) {
-	defer w.dialer.Live.Done()
-	d := net.Dialer{Timeout: w.dialer.Connect}
+	defer w.dialer.Wires.Done()
+	d := net.Dialer{Timeout: w.dialer.ConnectTimeout}
 	netConn, err := d.DialContext(w.ctx, "tcp", address)
 	w.mu.Lock()
 	if err == nil && w.closed {
@@ -171,7 +171,7 @@
 	w.mu.Unlock()
 	var protocolErr error
 	if err == nil {
-		w.dialer.Post(Up{Wire: w, At: w.dialer.Now()})
+		w.dialer.Emit(Up{Wire: w, At: w.dialer.Now()})
 		done := make(chan struct{})
 		go func() {
 			w.write()
@@ -188,7 +188,7 @@
 	}
 	w.queue = nil
 	w.mu.Unlock()
-	w.dialer.Post(Down{Wire: w, Up: err == nil, Bad: protocolErr, At: w.dialer.Now()})
+	w.dialer.Emit(Down{Wire: w, WasUp: err == nil, Err: protocolErr, At: w.dialer.Now()})
 }
 
 // read posts replies until the connection ends. It returns an error only if a reply was malformed or no buffer was left.
@@ -199,7 +199,7 @@
 	}
 	defer w.dialer.Reads.Put(b)
 	b = b[:cap(b)]
-	parser := NewParser(w.dialer.Pool)
+	parser := NewParser(w.dialer.Bodies)
 	defer parser.Release()
 	var replies []Reply
 	for {
@@ -210,7 +210,7 @@
 		w.lastRead.Store(math.Float64bits(at))
 		w.midReply.Store(parser.MidReply())
 		for i, reply := range replies {
-			w.dialer.Post(Answered{Wire: w, Reply: reply, At: at})
+			w.dialer.Emit(Replied{Wire: w, Reply: reply, At: at})
 			replies[i] = Reply{}
 		}
 		if protocolErr != nil || err != nil {
@@ -234,7 +234,7 @@
 		batch := w.queue
 		w.queue = nil
 		for _, item := range batch {
-			item.Take()
+			item.MarkWriting()
 		}
 		w.mu.Unlock()
 		pieces = pieces[:0]
@@ -244,8 +244,8 @@
 		// A connection that can't take a command within about the connect timeout counts as down too. Setting the deadline
 		// costs as much as a small write, so one deadline serves several writes.
 		now := time.Now()
-		if deadline.Sub(now) < w.dialer.Connect {
-			deadline = now.Add(2 * w.dialer.Connect)
+		if deadline.Sub(now) < w.dialer.ConnectTimeout {
+			deadline = now.Add(2 * w.dialer.ConnectTimeout)
 			w.netConn.SetWriteDeadline(deadline)
 		}
 		w.writeStart.Store(now.UnixNano())
@@ -255,7 +255,7 @@
 		clear(pieces)
 		for _, item := range batch {
 			n -= item.size()
-			item.Wrote(n >= 0)
+			item.MarkWritten(n >= 0)
 		}
 		assert.That(err != nil || n == 0, "a write without error is complete")
 		if err != nil {
@@ -267,11 +267,11 @@
 // lineEnd terminates length lines and strings.
 var lineEnd = []byte("\r\n")
 
-// Take marks the item as being written. From now on the node may have received all of it at any time.
-func (i *Item) Take() { i.state.Store(stateWriting) }
+// MarkWriting marks the item as being written. From now on the node may have received all of it at any time.
+func (i *Command) MarkWriting() { i.state.Store(stateWriting) }
 
 // Pieces appends the bytes to write, as slices for a vectored write.
-func (i *Item) Pieces(pieces [][]byte) [][]byte {
+func (i *Command) Pieces(pieces [][]byte) [][]byte {
 	pieces = append(append(pieces, i.head), i.body.Parts()...)
 	if i.body != nil {
 		pieces = append(pieces, lineEnd)
@@ -279,9 +279,9 @@
 	return pieces
 }
 
-// Wrote records whether the whole item was written before the connection ended. If not, the node has not received all
+// MarkWritten records whether the whole item was written before the connection ended. If not, the node has not received all
 // of it and never will.
-func (i *Item) Wrote(whole bool) {
+func (i *Command) MarkWritten(whole bool) {
 	if whole {
 		i.state.Store(stateWritten)
 	} else {
@@ -291,7 +291,7 @@
 }
 
 // size returns the length of the item in bytes on the connection.
-func (i *Item) size() int64 {
+func (i *Command) size() int64 {
 	n := len(i.head) + i.body.Len()
 	if i.body != nil {
 		n += len(lineEnd)
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -18,13 +18,13 @@
 func (discardClient) Answer(_ uint16, a clients.Answer) { a.Body.Release() }
 
 // instantWire is a connection to a node that answers as soon as the benchmark asks for it.
-type instantWire struct{ queue []*caches.Item }
+type instantWire struct{ queue []*caches.Command }
 
-func (w *instantWire) Send(i *caches.Item) bool   { w.queue = append(w.queue, i); return true }
-func (w *instantWire) Remove(i *caches.Item) bool { return false }
-func (w *instantWire) Heard() (float64, bool)     { return 0, false }
-func (w *instantWire) Stuck() bool                { return false }
-func (w *instantWire) Close()                     {}
+func (w *instantWire) Send(i *caches.Command) bool   { w.queue = append(w.queue, i); return true }
+func (w *instantWire) Remove(i *caches.Command) bool { return false }
+func (w *instantWire) LastRead() (float64, bool)     { return 0, false }
+func (w *instantWire) Stuck() bool                   { return false }
+func (w *instantWire) Close()                        {}
 
 // BenchmarkDownload measures a download's path through the core without sockets: parsing the request, deciding and
 // writing the pull, and passing on the answer. A tenth of the downloads need a second pull.
@@ -52,7 +52,7 @@
 				list.Nodes = append(list.Nodes, channel.Node{Address: fmt.Sprintf("127.0.0.1:%d", 5000+i), Entry: e})
 			}
 			var wires []*instantWire
-			pool := caches.NewPool(caches.Limits{Streams: c.Streams, Idle: 1e9, Conns: 2 * nodes, Names: footprint.Report},
+			pool := caches.NewPool(caches.Limits{PullsPerConn: c.Streams, IdleTimeout: 1e9, Conns: 2 * nodes, GaugeName: footprint.Report},
 				func(string) caches.Wire {
 					w := &instantWire{}
 					wires = append(wires, w)
@@ -78,10 +78,10 @@
 						if len(w.queue) == 0 {
 							continue
 						}
-						w.queue[0].Take()
-						w.queue[0].Wrote(true)
+						w.queue[0].MarkWriting()
+						w.queue[0].MarkWritten(true)
 						w.queue = w.queue[:0]
-						core.Handle(caches.Answered{Wire: w, At: now + 290, Reply: caches.Reply{Tag: id, Word: word,
+						core.Handle(caches.Replied{Wire: w, At: now + 290, Reply: caches.Reply{ID: id, Word: word,
 							Fields: "res=warm,sum=00000000000000ab,t0=999999999999"}})
 						break
 					}
--- a/internal/gateway/channel_events.go
+++ b/internal/gateway/channel_events.go
@@ -32,7 +32,7 @@
 		if g.addresses[node.Node] = node.Address; g.nodeListed != nil && node.State == router.Running {
 			g.nodeListed(node.Entry)
 		}
-		g.pool.List(node.Node, node.Address, node.StartedAt)
+		g.pool.SetNode(node.Node, node.Address, node.StartedAt)
 		if g.drained.effective(node.Entry).State == router.Draining {
 			g.stopSending(node.Node) // after List, which allows probes of the node
 		}
@@ -51,7 +51,7 @@
 // withdrawPulls takes back the matching pulls that are not written yet. The router learns of their end after the event
 // that caused it.
 func (g *Core) withdrawPulls(matches func(*pull) bool) {
-	g.pool.Withdraw(func(q *caches.Pull) bool {
+	g.pool.RecallMatching(func(q *caches.Pull) bool {
 		p, ok := q.Owner.(*pull)
 		return ok && matches(p)
 	}, g.now)
@@ -59,7 +59,7 @@
 
 // stopSending sends nothing new to a node, and withdraws the pulls with the node as target or source.
 func (g *Core) stopSending(id string) {
-	g.pool.Shun(id)
+	g.pool.ExcludeNode(id)
 	g.withdrawPulls(func(p *pull) bool { return p.node == id || p.source == id })
 }
 
@@ -68,5 +68,5 @@
 	g.stopSending(id)
 	delete(g.addresses, id)
 	delete(g.nodes, id)
-	g.pool.Gone(id)
+	g.pool.RemoveNode(id)
 }
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -190,7 +190,7 @@
 		g.spendWritten(e)
 	case caches.Up:
 		g.pool.Handle(e)
-	case caches.Answered:
+	case caches.Replied:
 		g.Ring(e.At)
 		g.pool.Handle(e)
 	case caches.Down:
@@ -207,11 +207,11 @@
 		t := g.timers.pop()
 		switch {
 		case t.pull != nil:
-			g.pool.Drop(t.pull.cachePull, router.TimedOut, g.now)
+			g.pool.Cancel(t.pull.cachePull, router.TimedOut, g.now)
 		case t.sendDeadline != nil:
 			g.pool.Recall(t.sendDeadline.cachePull, g.now)
 		case t.probe != nil:
-			g.pool.Drop(t.probe, router.TimedOut, g.now)
+			g.pool.Cancel(t.probe, router.TimedOut, g.now)
 		case t.prefetcher != nil:
 			t.prefetcher.next()
 		case g.fair != nil && t == g.fair.timer:
@@ -231,7 +231,7 @@
 // Watch runs the periodic checks: for connections that no longer respond, load reports and drained nodes.
 func (g *Core) Watch(now float64) {
 	g.Ring(now)
-	g.pool.Watch(now)
+	g.pool.CheckStalled(now)
 	g.dispatch()
 	g.meter.reportIfDue(now)
 	g.drained.checkIdle(g)
@@ -258,7 +258,7 @@
 // the two differ. The limiters and budgets depend on the router's view.
 func (g *Core) Drift() (text string, drifts bool) {
 	for _, b := range g.router.NodeViews() {
-		open := g.pool.Open(b.Node)
+		open := g.pool.InFlight(b.Node)
 		drifts = drifts || b.InFlight != open
 		if b.InFlight != open || b.Ejected || b.WarmShare < 1 || b.Limit < limiterLogThreshold {
 			text += fmt.Sprintf("%s out %d of %d aside %t warm %.2f bad %.1f of %.1f", b.Node, b.InFlight, open, b.Ejected, b.WarmShare,
@@ -312,7 +312,7 @@
 	}
 	g.dispatching = true
 	for {
-		for _, e := range g.pool.Ends() {
+		for _, e := range g.pool.TakeResults() {
 			g.pullEnded(e)
 		}
 		if len(g.events) == 0 {
@@ -357,7 +357,7 @@
 		}
 	case router.CancelPull:
 		if d := g.downloads[a.ID]; d != nil && a.Pull < len(d.pulls) && d.pulls[a.Pull].cachePull != nil {
-			g.pool.Drop(d.pulls[a.Pull].cachePull, router.Cancelled, g.now)
+			g.pool.Cancel(d.pulls[a.Pull].cachePull, router.Cancelled, g.now)
 		}
 	case router.Probe:
 		g.Probes++
@@ -609,7 +609,7 @@
 		deadline = min(deadline, g.now+a.Timeout)
 	}
 	if d.answered || deadline <= g.now || p.index >= g.config.MostPulls {
-		g.reportPull(p, caches.End{Status: router.NeverSent, At: g.now})
+		g.reportPull(p, caches.Result{Status: router.NeverSent, At: g.now})
 		return
 	}
 	g.Pulls++
@@ -619,7 +619,7 @@
 		text = g.links.appendCacheToken(text, d, p, g.now)
 	}
 	p.cachePull = &caches.Pull{ID: d.id, Node: a.Node, Fields: text, Body: d.body,
-		Mine: d.clientSum, Copies: d.cacheable, MaxAge: cmp.Or(a.MaxAge, d.maxAge), Before: d.lastPull, Owner: p}
+		ClientSum: d.clientSum, RequireCopy: d.cacheable, MaxAge: cmp.Or(a.MaxAge, d.maxAge), Previous: d.lastPull, Owner: p}
 	d.lastPull = p.cachePull
 	p.timeout = g.timers.push(timer{at: deadline, pull: p})
 	if a.SendWithin > 0 {
@@ -663,19 +663,19 @@
 }
 
 // pullEnded handles the end of a pull or a probe.
-func (g *Core) pullEnded(e caches.End) {
-	if e.Probe != "" {
+func (g *Core) pullEnded(e caches.Result) {
+	if e.ProbedNode != "" {
 		g.timers.remove(g.probes[e.Pull])
 		delete(g.probes, e.Pull)
 		e.Body.Release()
-		g.emit(router.Probed{Node: e.Probe, Status: e.Status, Load: e.Load})
+		g.emit(router.Probed{Node: e.ProbedNode, Status: e.Status, Load: e.Load})
 		return
 	}
 	g.reportPull(e.Pull.Owner.(*pull), e)
 }
 
 // reportPull tells the router how a pull ended. The first fulfilled pull of a download answers the client.
-func (g *Core) reportPull(p *pull, e caches.End) {
+func (g *Core) reportPull(p *pull, e caches.Result) {
 	d := p.download
 	g.timers.remove(p.timeout)
 	g.timers.remove(p.sendDeadline)
@@ -686,10 +686,10 @@
 	}
 	if e.Status == router.Fulfilled && !d.answered {
 		g.Fulfilled++
-		if e.Keep {
+		if e.KeepClientCopy {
 			g.Kept++
 		}
-		g.answer(d, clients.Answer{Status: 200, NotModified: e.Keep, Body: e.Body})
+		g.answer(d, clients.Answer{Status: 200, NotModified: e.KeepClientCopy, Body: e.Body})
 	} else {
 		e.Body.Release()
 	}
--- a/internal/gateway/core_test.go
+++ b/internal/gateway/core_test.go
@@ -54,42 +54,42 @@
 type fakeWire struct {
 	harness *harness
 	node    string
-	queue   []*caches.Item
+	queue   []*caches.Command
 	closed  bool
 	broken  bool
 	open    []string // ids of the commands that the node has received and that were not dropped
 }
 
-func (w *fakeWire) Send(i *caches.Item) bool {
+func (w *fakeWire) Send(i *caches.Command) bool {
 	if w.closed {
-		i.Wrote(false)
+		i.MarkWritten(false)
 		return false
 	}
 	w.queue = append(w.queue, i)
 	return true
 }
 
-func (w *fakeWire) Remove(i *caches.Item) bool {
+func (w *fakeWire) Remove(i *caches.Command) bool {
 	for n, q := range w.queue {
 		if q == i {
 			w.queue = append(w.queue[:n], w.queue[n+1:]...)
-			i.Wrote(false)
+			i.MarkWritten(false)
 			return true
 		}
 	}
 	return false
 }
 
-func (w *fakeWire) Heard() (float64, bool) { return 0, false }
-func (w *fakeWire) Stuck() bool            { return false }
-func (w *fakeWire) Close()                 { w.closed = true }
+func (w *fakeWire) LastRead() (float64, bool) { return 0, false }
+func (w *fakeWire) Stuck() bool               { return false }
+func (w *fakeWire) Close()                    { w.closed = true }
 
 // deliver writes all queued commands to the node.
 func (w *fakeWire) deliver() {
 	for _, i := range w.queue {
-		i.Take()
+		i.MarkWriting()
 		words := strings.Split(string(bytes.Join(i.Pieces(nil), nil)), "\r\n")
-		i.Wrote(true)
+		i.MarkWritten(true)
 		verb, id := words[2], words[4]
 		switch verb {
 		case "GET":
@@ -142,7 +142,7 @@
 	for _, n := range c.Known[0].Nodes {
 		names[n.Address] = n.Node
 	}
-	h.pool = caches.NewPool(caches.Limits{Streams: 3, Idle: c.Idle, Conns: 12, Reports: true, Names: footprint.Report},
+	h.pool = caches.NewPool(caches.Limits{PullsPerConn: 3, IdleTimeout: c.Idle, Conns: 12, RequestLoad: true, GaugeName: footprint.Report},
 		func(address string) caches.Wire {
 			w := &fakeWire{harness: h, node: names[address]}
 			h.wires = append(h.wires, w)
@@ -201,7 +201,7 @@
 func (h *harness) reply(w *fakeWire, n int, word string) {
 	id := w.open[n]
 	w.open = append(w.open[:n], w.open[n+1:]...)
-	r := caches.Reply{Tag: id, Word: word, Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f,gauges=util:0.5", h.now)}
+	r := caches.Reply{ID: id, Word: word, Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f,gauges=util:0.5", h.now)}
 	if req := h.requests[id]; req == nil {
 		r.Word = "FIT"
 	} else if word == "LACK" || word == "WAIT" || word == "PAST" {
@@ -210,17 +210,17 @@
 		r.Body = buffer.NewChain(h.buffers)
 		r.Body.Append([]byte("body of " + id))
 	}
-	h.core.Handle(caches.Answered{Wire: w, Reply: r, At: h.now})
+	h.core.Handle(caches.Replied{Wire: w, Reply: r, At: h.now})
 }
 
 // breakWire breaks a connection. Commands that were not written completely never ran.
 func (h *harness) breakWire(w *fakeWire) {
 	for _, i := range w.queue {
-		i.Take()
-		i.Wrote(false)
+		i.MarkWriting()
+		i.MarkWritten(false)
 	}
 	w.queue, w.open, w.closed, w.broken = nil, nil, true, true
-	h.core.Handle(caches.Down{Wire: w, Up: true, At: h.now})
+	h.core.Handle(caches.Down{Wire: w, WasUp: true, At: h.now})
 }
 
 // step executes one random event.
--- a/internal/gateway/drain_nodes.go
+++ b/internal/gateway/drain_nodes.go
@@ -44,7 +44,7 @@
 		listed := g.nodes[n]
 		if effective := g.drained.effective(listed); effective != previous.effective(listed) {
 			changes.Entries = append(changes.Entries, effective)
-			if g.pool.List(n, g.addresses[n], listed.StartedAt); effective.State == router.Draining {
+			if g.pool.SetNode(n, g.addresses[n], listed.StartedAt); effective.State == router.Draining {
 				g.stopSending(n)
 			}
 		}
@@ -62,7 +62,7 @@
 		return
 	}
 	for n := range d.nodes {
-		if g.pool.Open(n) > 0 {
+		if g.pool.InFlight(n) > 0 {
 			return
 		}
 	}
--- a/internal/gateway/prefetch_test.go
+++ b/internal/gateway/prefetch_test.go
@@ -70,9 +70,9 @@
 	queue := w.queue
 	w.queue = nil
 	for _, i := range queue {
-		i.Take()
+		i.MarkWriting()
 		id := getID(i)
-		i.Wrote(true)
+		i.MarkWritten(true)
 		if id != "" {
 			w.harness.core.Handle(doneReply(w, id))
 		}
@@ -80,7 +80,7 @@
 }
 
 // getID returns the id of a GET, or empty for other commands.
-func getID(i *caches.Item) string {
+func getID(i *caches.Command) string {
 	words := strings.Split(string(bytes.Join(i.Pieces(nil), nil)), "\r\n")
 	if words[2] != "GET" {
 		return ""
@@ -89,8 +89,8 @@
 }
 
 // doneReply returns a successful answer with a fresh copy.
-func doneReply(w *fakeWire, id string) caches.Answered {
-	r := caches.Reply{Tag: id, Word: "DONE", Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f,gauges=util:0.5", w.harness.now), Body: buffer.NewChain(w.harness.buffers)}
+func doneReply(w *fakeWire, id string) caches.Replied {
+	r := caches.Reply{ID: id, Word: "DONE", Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f,gauges=util:0.5", w.harness.now), Body: buffer.NewChain(w.harness.buffers)}
 	r.Body.Append([]byte("body"))
-	return caches.Answered{Wire: w, Reply: r, At: w.harness.now}
+	return caches.Replied{Wire: w, Reply: r, At: w.harness.now}
 }
--- a/internal/gateway/purge_bounds.go
+++ b/internal/gateway/purge_bounds.go
@@ -40,7 +40,7 @@
 	if enabled {
 		g.purges.view.Delay = limits.Delay
 	}
-	g.pool.Oldest = func(q *caches.Pull) float64 {
+	g.pool.OldestAllowed = func(q *caches.Pull) float64 {
 		p, _ := q.Owner.(*pull)
 		if p == nil {
 			return 0
--- a/internal/gateway/purge_bounds_test.go
+++ b/internal/gateway/purge_bounds_test.go
@@ -55,8 +55,8 @@
 				before := len(req.client.answers[req.number])
 				body := buffer.NewChain(h.buffers)
 				body.Append([]byte("body"))
-				reply := caches.Reply{Tag: id, Word: "DONE", Body: body, Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f,gauges=util:0.5", created)}
-				h.core.Handle(caches.Answered{Wire: w, Reply: reply, At: h.now})
+				reply := caches.Reply{ID: id, Word: "DONE", Body: body, Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f,gauges=util:0.5", created)}
+				h.core.Handle(caches.Replied{Wire: w, Reply: reply, At: h.now})
 				if got := req.client.answers[req.number]; len(got) == before || got[before].Status != 200 {
 					unanswered++
 					continue
@@ -131,12 +131,12 @@
 			w.open = w.open[1:]
 			sent++
 			body := buffer.NewChain(h.buffers)
-			h.core.Handle(caches.Answered{Wire: w, At: h.now, Reply: caches.Reply{Tag: id, Word: "DONE", Body: body,
+			h.core.Handle(caches.Replied{Wire: w, At: h.now, Reply: caches.Reply{ID: id, Word: "DONE", Body: body,
 				Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f", h.now-1)}})
 		}
 	}
-	if sent == 0 || h.pool.Old == 0 {
-		t.Fatalf("%d pulls, %d answers were too old: nothing was tested", sent, h.pool.Old)
+	if sent == 0 || h.pool.TooOld == 0 {
+		t.Fatalf("%d pulls, %d answers were too old: nothing was tested", sent, h.pool.TooOld)
 	}
 	if req := h.requests[id]; len(req.client.answers[req.number]) > 0 && req.client.answers[req.number][0].Status == 200 {
 		t.Error("answered by a copy from before the purge")
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -99,10 +99,10 @@
 	debug.SetMemoryLimit(int64(budget.Heap))
 	buffers, reads := buffer.NewPool(budget.Bodies), buffer.NewPool(budget.Reads)
 	p := &poster{inbox: make(chan any, inboxCapacity), warnings: &warnLimiter{log: log}, now: clock.now}
-	dialer := &caches.Dialer{Pool: buffers, Reads: reads, Now: clock.now,
-		Connect: time.Duration(c.Connect * float64(time.Millisecond)), Post: func(e caches.Event) { p.post(e) }}
-	pool := caches.NewPool(caches.Limits{Streams: c.Streams, Idle: c.Idle, Conns: budget.Caches,
-		Reports: c.Reports, Checks: c.Probing, Answer: c.Connect, Names: footprint.Report}, dialer.Dial)
+	dialer := &caches.Dialer{Bodies: buffers, Reads: reads, Now: clock.now,
+		ConnectTimeout: time.Duration(c.Connect * float64(time.Millisecond)), Emit: func(e caches.Event) { p.post(e) }}
+	pool := caches.NewPool(caches.Limits{PullsPerConn: c.Streams, IdleTimeout: c.Idle, Conns: budget.Caches,
+		RequestLoad: c.Reports, HealthChecks: c.Probing, AnswerTimeout: c.Connect, GaugeName: footprint.Report}, dialer.Dial)
 	core := NewCore(c, pool, log, clock.now())
 	if f := s.Operator.Fair; f.On {
 		f.Settings.Longest = min(f.Settings.Longest, c.Advice)
@@ -149,7 +149,7 @@
 	ended := make(chan error, 1)
 	go func() {
 		err := g.Wait()
-		dialer.Live.Wait()
+		dialer.Wires.Wait()
 		ended <- err
 	}()
 	flushDeadline := time.After(time.Until(flushed)) // for slow readers, however early everything was answered
@@ -209,7 +209,7 @@
 		}
 		if now >= l.lastTidy+tidyInterval {
 			l.lastTidy = now
-			l.pool.Tidy(now)
+			l.pool.CloseIdle(now)
 			l.core.SetWallClock(now, float64(time.Now().UnixMicro())/1000)
 			if every := l.reload.operator.Load().Log.Every; now >= l.lastCount+cmp.Or(every, countersInterval) {
 				l.lastCount = now
@@ -275,8 +275,8 @@
 		"kept": c.Kept, "throttled": c.Throttled,
 		"abandoned": c.Abandoned, "left": c.Left, "refused": c.Refused, "turned": c.Turned, "overdue": c.Overdue,
 		"panics": c.Panics, "pulls": c.Pulls, "probes": c.Probes, "open": l.core.Open(),
-		"conns": p.Conns(), "dialled": p.Dialled, "malformed": p.Malformed, "short": p.Short, "late": p.Late, "mute": p.Mute,
-		"old":     p.Old,
+		"conns": p.Conns(), "dialled": p.Dialed, "malformed": p.Malformed, "short": p.Exhausted, "late": p.LateReplies, "mute": p.Stalled,
+		"old":     p.TooOld,
 		"buffers": l.buffers.InUse(), "broken": assert.Broken(),
 		"shed":    l.server.ClosedEarly.Load(),
 		"reloads": l.reload.applied.Load(), "misread": l.reload.failed.Load(), "passed": l.reload.follower.Skipped.Load(),
--- a/internal/rehearsal/virtual/virtual.go
+++ b/internal/rehearsal/virtual/virtual.go
@@ -266,8 +266,8 @@
 	}
 	cursor, _ := d.world.Known()
 	budget := gateway.Share(c)
-	g.pool = caches.NewPool(caches.Limits{Streams: c.Streams, Idle: c.Idle, Conns: budget.Caches, Reports: c.Reports,
-		Checks: c.Probing, Answer: c.Connect, Names: footprint.Report}, g.dial(c.Connect))
+	g.pool = caches.NewPool(caches.Limits{PullsPerConn: c.Streams, IdleTimeout: c.Idle, Conns: budget.Caches, RequestLoad: c.Reports,
+		HealthChecks: c.Probing, AnswerTimeout: c.Connect, GaugeName: footprint.Report}, g.dial(c.Connect))
 	g.log = discardLog
 	if d.Log != nil {
 		g.log = d.Log(g.number)
@@ -354,7 +354,7 @@
 	g.core.Watch(d.unix())
 	if d.now >= g.tidiedAt+tidyInterval {
 		g.tidiedAt = d.now
-		g.pool.Tidy(d.unix())
+		g.pool.CloseIdle(d.unix())
 		beliefs, drifts := g.core.Drift()
 		if drifts {
 			d.stats.Drifts++
@@ -454,8 +454,8 @@
 	id           int64
 	connected    bool
 	closed       bool
-	queue        []*caches.Item // sent while connecting
-	unsent       []*caches.Item // queued items of a closed connection
+	queue        []*caches.Command // sent while connecting
+	unsent       []*caches.Command // queued items of a closed connection
 	commands     resp.Reader
 	answers      *caches.Parser
 	lastHeard    float64
@@ -493,9 +493,9 @@
 	}
 }
 
-func (w *wire) Send(item *caches.Item) bool {
+func (w *wire) Send(item *caches.Command) bool {
 	if w.closed {
-		item.Wrote(false)
+		item.MarkWritten(false)
 		return false
 	}
 	if w.connected {
@@ -506,13 +506,13 @@
 	return true
 }
 
-func (w *wire) write(item *caches.Item) {
-	item.Take()
+func (w *wire) write(item *caches.Command) {
+	item.MarkWriting()
 	var bytes []byte
 	for _, p := range item.Pieces(nil) {
 		bytes = append(bytes, p...)
 	}
-	item.Wrote(true)
+	item.MarkWritten(true)
 	found, err := w.commands.Feed(bytes)
 	for _, c := range found {
 		w.g.d.post(world.Command{Conn: w.id, Verb: c.Verb, ID: c.ID, Fields: c.Fields, Body: c.Body})
@@ -523,7 +523,7 @@
 	}
 }
 
-func (w *wire) Remove(item *caches.Item) bool {
+func (w *wire) Remove(item *caches.Command) bool {
 	if slices.Contains(w.unsent, item) {
 		return true
 	}
@@ -532,12 +532,12 @@
 		return false
 	}
 	w.queue = slices.Delete(w.queue, index, index+1)
-	item.Wrote(false)
+	item.MarkWritten(false)
 	return true
 }
 
-func (w *wire) Stuck() bool            { return false }
-func (w *wire) Heard() (float64, bool) { return w.lastHeard, false }
+func (w *wire) Stuck() bool               { return false }
+func (w *wire) LastRead() (float64, bool) { return w.lastHeard, false }
 
 func (w *wire) Close() {
 	if !w.closed {
@@ -553,7 +553,7 @@
 	delete(w.g.d.wires, w.id)
 	w.g.d.agenda.Remove(w.connectTimer)
 	for _, i := range w.queue {
-		i.Wrote(false)
+		i.MarkWritten(false)
 	}
 	w.unsent, w.queue = w.queue, nil
 	w.answers.Release()
@@ -571,7 +571,7 @@
 	d, core := w.g.d, w.g.core
 	d.runNext(func() {
 		if w.g.core == core {
-			w.g.handle(caches.Down{Wire: w, Up: up, At: d.unix()})
+			w.g.handle(caches.Down{Wire: w, WasUp: up, At: d.unix()})
 		}
 	})
 }
@@ -597,7 +597,7 @@
 	w.lastHeard = d.unix()
 	found, err := w.answers.Feed(bytes, nil)
 	for _, reply := range found {
-		w.g.handle(caches.Answered{Wire: w, Reply: reply, At: d.unix()})
+		w.g.handle(caches.Replied{Wire: w, Reply: reply, At: d.unix()})
 	}
 	if err != nil || r.Cut {
 		w.fail()
