--- a/internal/footprint/config.go
+++ b/internal/footprint/config.go
@@ -15,16 +15,16 @@
 	"poppymill/router"
 )
 
-// Type describes a content type and the requests that are allowed for it.
-type Type struct {
-	Name          string
-	Expiry        float64 // ms, the longest that a request may ask for
-	Target        float64 // ms, target time of a request,
-	Stretch       float64 // plus this many times its transfer time
-	Fresh         float64 // ms, maximum age of a copy where the request sets none; 0: any
-	Parts, Bodies bool    // an object may have several parts; a request may have a body
-	Writes        bool    // a request is a write and is not answered from a copy
-	Once          bool    // a request must not be executed twice, or only if it can be deduped
+// ContentType describes a content type and the requests that are allowed for it.
+type ContentType struct {
+	Name                  string
+	MaxExpiry             float64 // ms, the longest that a request may ask for
+	Target                float64 // ms, target time of a request,
+	Stretch               float64 // plus this many times its transfer time
+	MaxAge                float64 // ms, maximum age of a copy where the request sets none; 0: any
+	MultiPart, AllowsBody bool    // an object may have several parts; a request may have a body
+	Write                 bool    // a request is a write and is not answered from a copy
+	NoRepeat              bool    // a request must not be executed twice, or only if it can be deduped
 }
 
 // Config is the configuration of one gateway.
@@ -34,21 +34,21 @@
 	MemoryMB, Sockets     int
 	Cursor                int64
 	Known                 []channel.Event
-	Footprint             router.Settings
-	Types                 []Type
+	RouterSettings        router.Settings
+	Types                 []ContentType
 
 	// Settings that the gateway itself uses; the router gets those it needs through Footprint.
-	Streams                   int
-	MostPulls, MostOpen       int
-	Connect, Idle, Slack      float64 // ms
-	Advice                    float64 // ms, the longest retry delay that a rejected client may be sent; 0: none may be sent
-	Probing, CallOff, Reports bool
+	StreamsPerConn                           int
+	MaxPulls, MaxOpen                        int
+	ConnectTimeout, IdleTimeout, AnswerSlack float64 // ms
+	MaxRetryAfter                            float64 // ms, the longest retry delay that a rejected client may be sent; 0: none may be sent
+	Probing, CancelPulls, Reports            bool
 
 	settings []byte // the compacted JSON text, for comparison
 }
 
-// Fixed returns the names of the fields that differ in another configuration and can't change in a running gateway.
-func (c *Config) Fixed(other *Config) (names []string) {
+// ChangedFixedFields returns the names of the fields that differ in another configuration and can't change in a running gateway.
+func (c *Config) ChangedFixedFields(other *Config) (names []string) {
 	for _, f := range []struct {
 		name    string
 		differs bool
@@ -178,7 +178,7 @@
 		if t.Limit <= 0 {
 			return nil, fmt.Errorf("settings.classes[%d].hard_limit: must be above 0", i)
 		}
-		if slices.ContainsFunc(c.Types, func(other Type) bool { return other.Name == t.Name }) {
+		if slices.ContainsFunc(c.Types, func(other ContentType) bool { return other.Name == t.Name }) {
 			return nil, fmt.Errorf("settings.classes[%d].name: %q is defined twice", i, t.Name)
 		}
 		if t.Effect != "" && !slices.Contains([]string{"pure", "token", "side_effect"}, t.Effect) {
@@ -196,13 +196,13 @@
 			}
 		}
 		// Where the settings leave out whether requests may have several parts, bodies or writes, all are allowed and the caches decide.
-		typ := Type{Name: t.Name, Expiry: t.Limit, Target: t.Target, Stretch: t.Aim, Parts: i >= len(s.Extra.Pieces) || s.Extra.Pieces[i], Bodies: true, Writes: true,
-			Once: t.Effect != "" && t.Effect != "pure"}
+		typ := ContentType{Name: t.Name, MaxExpiry: t.Limit, Target: t.Target, Stretch: t.Aim, MultiPart: i >= len(s.Extra.Pieces) || s.Extra.Pieces[i], AllowsBody: true, Write: true,
+			NoRepeat: t.Effect != "" && t.Effect != "pure"}
 		if i < len(s.Extra.Writes) {
-			typ.Bodies, typ.Writes = s.Extra.Writes[i], s.Extra.Writes[i]
+			typ.AllowsBody, typ.Write = s.Extra.Writes[i], s.Extra.Writes[i]
 		}
 		if i < len(s.Extra.Fresh) {
-			typ.Fresh = s.Extra.Fresh[i]
+			typ.MaxAge = s.Extra.Fresh[i]
 		}
 		c.Types = append(c.Types, typ)
 	}
@@ -240,12 +240,12 @@
 			return nil, fmt.Errorf("settings.permissions.%s: must be above 0", n.name)
 		}
 	}
-	c.Streams, c.Connect, c.Idle, c.MostPulls = permissions.Streams, permissions.Connect, permissions.Idle, permissions.Most
-	if c.MostOpen = permissions.Open; permissions.Advice {
-		c.Advice = permissions.Longest
+	c.StreamsPerConn, c.ConnectTimeout, c.IdleTimeout, c.MaxPulls = permissions.Streams, permissions.Connect, permissions.Idle, permissions.Most
+	if c.MaxOpen = permissions.Open; permissions.Advice {
+		c.MaxRetryAfter = permissions.Longest
 	}
-	c.Probing, c.CallOff, c.Slack, c.Reports = permissions.Probing, permissions.Cancel, s.Rules.Slack, s.Report.How != "none"
-	if c.Footprint, err = RouterSettings(f.Settings); err != nil {
+	c.Probing, c.CancelPulls, c.AnswerSlack, c.Reports = permissions.Probing, permissions.Cancel, s.Rules.Slack, s.Report.How != "none"
+	if c.RouterSettings, err = RouterSettings(f.Settings); err != nil {
 		return nil, err
 	}
 	var compact bytes.Buffer
--- a/internal/footprint/config_test.go
+++ b/internal/footprint/config_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "gateway-1" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || len(c.Known) != 1 || c.Cursor != 1 ||
-		c.Connect != 400 || c.Streams != 32 || !c.Reports || c.Footprint["parent kind"] != 1.0 {
+		c.ConnectTimeout != 400 || c.StreamsPerConn != 32 || !c.Reports || c.RouterSettings["parent kind"] != 1.0 {
 		t.Errorf("parsed as %+v", c)
 	}
 	// Each field is set to the value, or removed if the value is nil; the error must name the field.
@@ -70,7 +70,7 @@
 		}
 	}
 	if small, err := Parse(bytes.Replace(text, []byte(`"memory_mb": 192`), []byte(`"memory_mb": 32`), 1), none); err != nil ||
-		fmt.Sprint(small.Fixed(c), c.Fixed(c)) != "[limits.memory_mb] []" {
+		fmt.Sprint(small.ChangedFixedFields(c), c.ChangedFixedFields(c)) != "[limits.memory_mb] []" {
 		t.Errorf("32 MB: %v", err)
 	}
 	if _, err := Parse([]byte("{"), none); err == nil {
--- a/internal/footprint/mapping.go
+++ b/internal/footprint/mapping.go
@@ -90,8 +90,8 @@
 	"qps": "fulfilled", "eps": "failed",
 }
 
-// Report returns the router's name for a value in a load report; an unknown name is returned as it is.
-func Report(name string) string {
+// LoadValueName returns the router's name for a value in a load report; an unknown name is returned as it is.
+func LoadValueName(name string) string {
 	if routerName, ok := reportNames[name]; ok {
 		return routerName
 	}
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -52,7 +52,7 @@
 				list.Nodes = append(list.Nodes, channel.Node{Address: fmt.Sprintf("127.0.0.1:%d", 5000+i), Entry: e})
 			}
 			var wires []*instantWire
-			pool := caches.NewPool(caches.Limits{PullsPerConn: c.Streams, IdleTimeout: 1e9, Conns: 2 * nodes, GaugeName: footprint.Report},
+			pool := caches.NewPool(caches.Limits{PullsPerConn: c.StreamsPerConn, IdleTimeout: 1e9, Conns: 2 * nodes, GaugeName: footprint.LoadValueName},
 				func(string) caches.Wire {
 					w := &instantWire{}
 					wires = append(wires, w)
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -31,7 +31,7 @@
 	conns := max(2*minConnsPerSide, min(c.Sockets-reservedDescriptors, memory/3/(buffer.Size+memoryPerConn)))
 	clients := max(minConnsPerSide, conns*2/5)
 	return Budget{Clients: clients, Caches: conns - clients, Reads: conns * buffer.Size, Bodies: memory / 4,
-		Open: min(c.MostOpen, memory/8/memoryPerDownload), Heap: memory - memory/8}
+		Open: min(c.MaxOpen, memory/8/memoryPerDownload), Heap: memory - memory/8}
 }
 
 // maxPeerConns returns how many connections the quorum of gateways may hold.
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -133,7 +133,7 @@
 		downloads: map[string]*download{},
 		clients:   map[Client]map[uint16]*download{}, probes: map[*caches.Pull]*timer{},
 		addresses: map[string]string{}, nodes: map[string]router.Entry{}, maxOpen: Share(c).Open, now: now}
-	g.emit(router.Started{Seed: c.Seed, Settings: c.Footprint})
+	g.emit(router.Started{Seed: c.Seed, Settings: c.RouterSettings})
 	for _, n := range c.Known {
 		g.handleChannelEvent(n)
 	}
@@ -291,7 +291,7 @@
 	for _, id := range slices.Sorted(maps.Keys(g.downloads)) {
 		if d := g.downloads[id]; !d.answered && len(d.pulls) == 0 {
 			g.Throttled++ // it was never sent, so a retry is safe
-			g.answer(d, clients.Answer{Status: 503, RetryAfter: g.config.Advice})
+			g.answer(d, clients.Answer{Status: 503, RetryAfter: g.config.MaxRetryAfter})
 			g.emit(router.ClientGone{ID: d.id})
 		} else if !d.answered {
 			g.Abandoned++
@@ -362,7 +362,7 @@
 	case router.Probe:
 		g.Probes++
 		q := g.pool.Probe(a.Node, g.now)
-		g.probes[q] = g.timers.push(timer{at: g.now + g.config.Connect, probe: q})
+		g.probes[q] = g.timers.push(timer{at: g.now + g.config.ConnectTimeout, probe: q})
 	case router.SetTimer:
 		g.timers.push(timer{at: a.At, token: a.Token})
 	case router.WatchNodes: // the command channel sends changes unasked
@@ -455,7 +455,7 @@
 	if err == nil && (g.open >= g.maxOpen || g.stopped) {
 		g.Turned++
 		e.Body.Release()
-		e.Client.Answer(e.ID, clients.Answer{Status: 503, RetryAfter: g.config.Advice})
+		e.Client.Answer(e.ID, clients.Answer{Status: 503, RetryAfter: g.config.MaxRetryAfter})
 		return
 	}
 	if err != nil {
@@ -487,7 +487,7 @@
 		g.clients[d.client] = map[uint16]*download{}
 	}
 	g.clients[d.client][d.requestID] = d
-	d.expiryTimer = g.timers.push(timer{at: d.expiry + g.config.Slack, download: d})
+	d.expiryTimer = g.timers.push(timer{at: d.expiry + g.config.AnswerSlack, download: d})
 }
 
 // proceed passes a download to the router. If there is a store, the token that it spends is written first.
@@ -504,13 +504,13 @@
 // result is relative to the arrival.
 func (g *Core) parseDownload(params map[string]string, body int) (*download, error) {
 	name, ok := strings.CutPrefix(params["SCRIPT_NAME"], "/invoke/")
-	typeIndex := slices.IndexFunc(g.config.Types, func(t footprint.Type) bool { return t.Name == name })
+	typeIndex := slices.IndexFunc(g.config.Types, func(t footprint.ContentType) bool { return t.Name == name })
 	if !ok || typeIndex < 0 {
 		return nil, fmt.Errorf("SCRIPT_NAME: %.80q", params["SCRIPT_NAME"])
 	}
 	typ := g.config.Types[typeIndex]
 	d := &download{id: params["HTTP_X_JOB_ID"], typ: name, object: params["HTTP_X_ITEM"], clientSum: params["HTTP_X_MINE"],
-		cacheable: !typ.Writes, atMostOnce: typ.Writes || typ.Once, maxAge: typ.Fresh}
+		cacheable: !typ.Write, atMostOnce: typ.Write || typ.NoRepeat, maxAge: typ.MaxAge}
 	if !isHexID(d.id) {
 		return nil, fmt.Errorf("X-Job-Id: %.80q", d.id)
 	}
@@ -527,7 +527,7 @@
 	}
 	// Both the clients' times and the settings are rounded, so up to 10% more than the longest expiry is accepted.
 	maxPart := int64(1<<31 - 1) // the number of parts is not known here
-	if !typ.Parts {
+	if !typ.MultiPart {
 		maxPart = 0
 	}
 	allow := int64(0)
@@ -535,7 +535,7 @@
 		name, param string
 		maximum     int64
 		to          *int64
-	}{{"X-Allow-Ms", "HTTP_X_ALLOW_MS", int64(1.1 * typ.Expiry), &allow}, {"X-N", "HTTP_X_N", maxPart, &d.part},
+	}{{"X-Allow-Ms", "HTTP_X_ALLOW_MS", int64(1.1 * typ.MaxExpiry), &allow}, {"X-N", "HTTP_X_N", maxPart, &d.part},
 		{"X-Shard", "HTTP_X_SHARD", 255, &d.group}} {
 		if *field.to, ok = parseNumber(params[field.param], field.maximum); !ok {
 			return nil, fmt.Errorf("%s: %.80q", field.name, params[field.param])
@@ -547,7 +547,7 @@
 			return nil, fmt.Errorf("CONTENT_LENGTH: %.80q of a body of %d", text, body)
 		}
 	}
-	if body > 0 && !typ.Bodies {
+	if body > 0 && !typ.AllowsBody {
 		return nil, fmt.Errorf("unexpected body of %d bytes for %s", body, name)
 	}
 	return d, nil
@@ -608,7 +608,7 @@
 	if a.Timeout != 0 {
 		deadline = min(deadline, g.now+a.Timeout)
 	}
-	if d.answered || deadline <= g.now || p.index >= g.config.MostPulls {
+	if d.answered || deadline <= g.now || p.index >= g.config.MaxPulls {
 		g.reportPull(p, caches.Result{Status: router.NeverSent, At: g.now})
 		return
 	}
--- a/internal/gateway/core_ordering_test.go
+++ b/internal/gateway/core_ordering_test.go
@@ -24,7 +24,7 @@
 		"its expiry":       func(h *harness) { h.core.Ring(h.now + 500) },
 	} {
 		c := testConfig(t)
-		c.CallOff, c.Footprint["call off"] = false, false
+		c.CancelPulls, c.RouterSettings["call off"] = false, false
 		h := newHarnessWithConfig(t, c)
 		h.sendRequest(h.clients[0], "video", 1, 500)
 		if len(h.wires) != 1 || len(h.wires[0].queue) != 1 {
--- a/internal/gateway/core_test.go
+++ b/internal/gateway/core_test.go
@@ -142,7 +142,7 @@
 	for _, n := range c.Known[0].Nodes {
 		names[n.Address] = n.Node
 	}
-	h.pool = caches.NewPool(caches.Limits{PullsPerConn: 3, IdleTimeout: c.Idle, Conns: 12, RequestLoad: true, GaugeName: footprint.Report},
+	h.pool = caches.NewPool(caches.Limits{PullsPerConn: 3, IdleTimeout: c.IdleTimeout, Conns: 12, RequestLoad: true, GaugeName: footprint.LoadValueName},
 		func(address string) caches.Wire {
 			w := &fakeWire{harness: h, node: names[address]}
 			h.wires = append(h.wires, w)
@@ -455,7 +455,7 @@
 	if got := statusOf("X", "", 'b'); got != 400 {
 		t.Errorf("a body for a type without bodies: status %d", got)
 	}
-	if h.core.config.Types[0].Parts = false; statusOf("HTTP_X_N", "1") != 400 {
+	if h.core.config.Types[0].MultiPart = false; statusOf("HTTP_X_N", "1") != 400 {
 		t.Error("a part number for a type without parts was accepted")
 	}
 	if len(h.wires) != 0 {
@@ -552,7 +552,7 @@
 func TestBudget(t *testing.T) {
 	config := testConfig(t)
 	for _, limits := range [][2]int{{32, 256}, {48, 256}, {64, 384}, {192, 1024}, {24, 1024}, {192, 64}} {
-		config.MemoryMB, config.Sockets, config.MostOpen = limits[0], limits[1], 1e9
+		config.MemoryMB, config.Sockets, config.MaxOpen = limits[0], limits[1], 1e9
 		budget := Share(config)
 		conns := budget.Clients + budget.Caches
 		if used := budget.Reads + budget.Bodies + conns*memoryPerConn + budget.Open*memoryPerDownload; used > budget.Heap || budget.Heap+reservedMemory > limits[0]<<20 || conns > max(32, limits[1]-reservedDescriptors) {
@@ -572,7 +572,7 @@
 func TestAnswerBy(t *testing.T) {
 	c := testConfig(t)
 	for _, want := range []struct{ longest, answered, flushed time.Duration }{{6000, 3500, 3650}, {2500, 3000, 3150}, {600, 1100, 1250}, {120, 780, 810}} {
-		c.Types[0].Expiry = float64(want.longest)
+		c.Types[0].MaxExpiry = float64(want.longest)
 		c.Types = c.Types[:1]
 		if answered, flushed := AnswerBy(c); answered != want.answered*time.Millisecond || flushed != want.flushed*time.Millisecond {
 			t.Errorf("answered by %v, flushed by %v where the longest expiry is %d ms", answered, flushed, want.longest)
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -87,7 +87,7 @@
 	answer := clients.Answer{Status: 403}
 	switch verdict.Reason {
 	case links.Busy, links.NoMemory, links.NotThisOne: // nothing was sent; a retry later or elsewhere may succeed
-		answer = clients.Answer{Status: 503, RetryAfter: g.config.Advice}
+		answer = clients.Answer{Status: 503, RetryAfter: g.config.MaxRetryAfter}
 	}
 	e.Client.Answer(e.ID, answer)
 	return false
@@ -123,7 +123,7 @@
 	g.timers.remove(d.link.writeTimer)
 	d.link.writeTimer = nil
 	g.Throttled++
-	g.answer(d, clients.Answer{Status: 503, RetryAfter: g.config.Advice})
+	g.answer(d, clients.Answer{Status: 503, RetryAfter: g.config.MaxRetryAfter})
 }
 
 // releaseSpend reports the end of a download to the link admission. If harmless, none of its pulls can have run, and its
--- a/internal/gateway/prefetch.go
+++ b/internal/gateway/prefetch.go
@@ -61,7 +61,7 @@
 			core.prefetches, " ", int64(core.now))))
 		for _, t := range core.config.Types {
 			if t.Name == wanted.Type {
-				d.maxAge, d.expiry = t.Fresh, core.now+t.Expiry
+				d.maxAge, d.expiry = t.MaxAge, core.now+t.MaxExpiry
 			}
 		}
 		if d.expiry == 0 || core.downloads[d.id] != nil {
@@ -123,13 +123,13 @@
 
 // ColdFor returns for how long an edge cache is still cold, in ms; 0 for other nodes.
 func ColdFor(c *footprint.Config, n router.Entry, now float64) float64 {
-	kinds, _ := c.Footprint["kinds"].([]any)
+	kinds, _ := c.RouterSettings["kinds"].([]any)
 	for _, name := range []string{"parent kind", "origin kind"} {
-		if i, ok := c.Footprint[name].(float64); ok && slices.Index(kinds, any(n.Kind)) == int(i) {
+		if i, ok := c.RouterSettings[name].(float64); ok && slices.Index(kinds, any(n.Kind)) == int(i) {
 			return 0
 		}
 	}
-	cold, _ := c.Footprint["cold time"].(float64)
+	cold, _ := c.RouterSettings["cold time"].(float64)
 	if n.StartedAt <= 0 {
 		return 0
 	}
--- a/internal/gateway/quorum_member.go
+++ b/internal/gateway/quorum_member.go
@@ -35,7 +35,7 @@
 		return m, nil
 	}
 	failpoint.Set(o.Failpoints)
-	zone, _ := c.Footprint["zone"].(string)
+	zone, _ := c.RouterSettings["zone"].(string)
 	jobs, handlers := o.Jobs, map[string]owned.Hand{owner.Warm: warmHandler(p), owned.Hold: owned.HoldHand()}
 	jobRunner, err := owned.Open(jobs, b.Store, handlers, log)
 	if err != nil {
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -70,7 +70,7 @@
 		}
 		c := s.Config
 		r.operator.Store(s.Operator)
-		needRestart := r.running.Fixed(c)
+		needRestart := r.running.ChangedFixedFields(c)
 		if points := s.Operator.Failpoints; failpoint.On {
 			failpoint.Set(points)
 			r.log.WithFields(logrus.Fields{"stop": points.Stop, "kill": points.Kill}).Warn("failpoints in force")
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -35,7 +35,7 @@
 func AnswerBy(c *footprint.Config) (answered, flushed time.Duration) {
 	longest := 0.0
 	for _, t := range c.Types {
-		longest = max(longest, t.Expiry)
+		longest = max(longest, t.MaxExpiry)
 	}
 	wait := time.Duration(min(longest, maxClientWait) * float64(time.Millisecond))
 	flush := min(flushPeriod, wait/4)
@@ -100,12 +100,12 @@
 	buffers, reads := buffer.NewPool(budget.Bodies), buffer.NewPool(budget.Reads)
 	p := &poster{inbox: make(chan any, inboxCapacity), warnings: &warnLimiter{log: log}, now: clock.now}
 	dialer := &caches.Dialer{Bodies: buffers, Reads: reads, Now: clock.now,
-		ConnectTimeout: time.Duration(c.Connect * float64(time.Millisecond)), Emit: func(e caches.Event) { p.post(e) }}
-	pool := caches.NewPool(caches.Limits{PullsPerConn: c.Streams, IdleTimeout: c.Idle, Conns: budget.Caches,
-		RequestLoad: c.Reports, HealthChecks: c.Probing, AnswerTimeout: c.Connect, GaugeName: footprint.Report}, dialer.Dial)
+		ConnectTimeout: time.Duration(c.ConnectTimeout * float64(time.Millisecond)), Emit: func(e caches.Event) { p.post(e) }}
+	pool := caches.NewPool(caches.Limits{PullsPerConn: c.StreamsPerConn, IdleTimeout: c.IdleTimeout, Conns: budget.Caches,
+		RequestLoad: c.Reports, HealthChecks: c.Probing, AnswerTimeout: c.ConnectTimeout, GaugeName: footprint.LoadValueName}, dialer.Dial)
 	core := NewCore(c, pool, log, clock.now())
 	if f := s.Operator.Fair; f.On {
-		f.Settings.Longest = min(f.Settings.Longest, c.Advice)
+		f.Settings.Longest = min(f.Settings.Longest, c.MaxRetryAfter)
 		core.Share(fair.New(f.Settings, c.Seed, clock.now()), f)
 	}
 	driver, err := newLinkDriver(s.Operator.Links, core, p, clock)
--- a/internal/nimbus/parse.go
+++ b/internal/nimbus/parse.go
@@ -97,7 +97,7 @@
 		if !ok || err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
 			continue
 		}
-		values[footprint.Report(name)] = n
+		values[footprint.LoadValueName(name)] = n
 	}
 	return values
 }
--- a/internal/rehearsal/virtual/replicated_log.go
+++ b/internal/rehearsal/virtual/replicated_log.go
@@ -97,7 +97,7 @@
 	m.consensus.incarnations++
 	m.process++
 	m.incarnation, m.applied = m.consensus.incarnations, 0
-	m.zone, _ = m.g.config.Footprint["zone"].(string)
+	m.zone, _ = m.g.config.RouterSettings["zone"].(string)
 	limits := owner.DefaultLimits()
 	limits.WarmRounds, limits.WarmEach = m.consensus.d.script.Quorum.Warm, 24
 	m.agent = owner.NewAgent(limits)
--- a/internal/rehearsal/virtual/virtual.go
+++ b/internal/rehearsal/virtual/virtual.go
@@ -266,8 +266,8 @@
 	}
 	cursor, _ := d.world.Known()
 	budget := gateway.Share(c)
-	g.pool = caches.NewPool(caches.Limits{PullsPerConn: c.Streams, IdleTimeout: c.Idle, Conns: budget.Caches, RequestLoad: c.Reports,
-		HealthChecks: c.Probing, AnswerTimeout: c.Connect, GaugeName: footprint.Report}, g.dial(c.Connect))
+	g.pool = caches.NewPool(caches.Limits{PullsPerConn: c.StreamsPerConn, IdleTimeout: c.IdleTimeout, Conns: budget.Caches, RequestLoad: c.Reports,
+		HealthChecks: c.Probing, AnswerTimeout: c.ConnectTimeout, GaugeName: footprint.LoadValueName}, g.dial(c.ConnectTimeout))
 	g.log = discardLog
 	if d.Log != nil {
 		g.log = d.Log(g.number)
@@ -296,7 +296,7 @@
 		}
 	}
 	if d.AgreedUntil != nil {
-		zone, _ := c.Footprint["zone"].(string)
+		zone, _ := c.RouterSettings["zone"].(string)
 		g.core.Purges(zone, d.PurgeLimits, true, func() float64 { return epoch + d.AgreedUntil(d.now) }, d.unix)
 	}
 	if d.consensus != nil {
