--- a/cmd/poppymill/agent.go
+++ b/cmd/poppymill/agent.go
@@ -160,7 +160,7 @@
 // machine or a limit is reached, is not an error: the agent asks again.
 func (a *agent) submit(ctx context.Context, kind string, token uint64) error {
 	var m machines.Machine
-	err := a.query(ctx, drive.Question{About: "machine", Name: a.name, Command: &quorum.Command{Book: machines.Book, Kind: kind,
+	err := a.query(ctx, drive.Question{About: "machine", Name: a.name, Command: &quorum.Command{StateMachine: machines.Book, Kind: kind,
 		Data: canon.Encode(maintenance.Order{At: float64(time.Now().UnixMilli()), Machine: a.name, Token: token})}}, &m)
 	if err != nil && (strings.Contains(err.Error(), maintenance.ErrWaits.Error()) || strings.Contains(err.Error(), "limit: ")) {
 		a.log.WithField("why", err).Debug("the machine may not go out yet")
--- a/cmd/poppymill/job.go
+++ b/cmd/poppymill/job.go
@@ -182,7 +182,7 @@
 	if cmd.Args().Len() == args && name == "" {
 		return usageError(fmt.Errorf("job %s: NAME is empty", cmd.Name))
 	}
-	r, err := queryJobs(ctx, cmd, args, drive.Question{About: "job", Name: name, Command: &quorum.Command{Book: jobs.Book, Kind: kind, Data: canon.Encode(data)}})
+	r, err := queryJobs(ctx, cmd, args, drive.Question{About: "job", Name: name, Command: &quorum.Command{StateMachine: jobs.Book, Kind: kind, Data: canon.Encode(data)}})
 	if err != nil {
 		return err
 	}
@@ -255,7 +255,7 @@
 		return r.Report, err
 	}
 	command := func(kind string, c owner.Claim) *quorum.Command {
-		return &quorum.Command{Book: jobs.Book, Kind: kind, Data: canon.Encode(c)}
+		return &quorum.Command{StateMachine: jobs.Book, Kind: kind, Data: canon.Encode(c)}
 	}
 	var j owner.Report
 	report, err := query(address, drive.Question{About: "job", Name: name, Command: command(owner.Fence, owner.Claim{Job: name})}, &j)
--- a/cmd/poppymill/machines.go
+++ b/cmd/poppymill/machines.go
@@ -208,7 +208,7 @@
 		}
 		request := maintenance.Request{ID: id, Machine: name, Takes: float64(cmd.Duration("for").Milliseconds()), By: by, NotBefore: notBefore, Why: cmd.String("why")}
 		var m machines.Machine
-		_, err := sendMachinesQuery(ctx, cmd, drive.Question{About: "machine", Name: name, Command: &quorum.Command{Book: machines.Book, Kind: maintenance.Ask,
+		_, err := sendMachinesQuery(ctx, cmd, drive.Question{About: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.Book, Kind: maintenance.Ask,
 			Data: canon.Encode(maintenance.Order{At: float64(now.UnixMilli()), Request: &request})}}, &m)
 		if err != nil {
 			failed++
@@ -224,7 +224,7 @@
 }
 
 func machinesCancel(ctx context.Context, cmd *cli.Command) error {
-	_, err := queryMachines(ctx, cmd, 2, drive.Question{Command: &quorum.Command{Book: machines.Book, Kind: maintenance.Cancel,
+	_, err := queryMachines(ctx, cmd, 2, drive.Question{Command: &quorum.Command{StateMachine: machines.Book, Kind: maintenance.Cancel,
 		Data: canon.Encode(maintenance.Order{At: float64(time.Now().UnixMilli()), ID: cmd.Args().Get(1)})}}, nil)
 	return err
 }
@@ -234,7 +234,7 @@
 	return func(ctx context.Context, cmd *cli.Command) error {
 		var m machines.Machine
 		name := cmd.Args().Get(1)
-		_, err := queryMachines(ctx, cmd, 2, drive.Question{About: "machine", Name: name, Command: &quorum.Command{Book: machines.Book, Kind: kind,
+		_, err := queryMachines(ctx, cmd, 2, drive.Question{About: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.Book, Kind: kind,
 			Data: canon.Encode(maintenance.Order{At: float64(time.Now().UnixMilli()), Machine: name, Token: cmd.Uint64("token")})}}, &m)
 		if err != nil {
 			return err
--- a/cmd/poppymill/purge.go
+++ b/cmd/poppymill/purge.go
@@ -58,7 +58,7 @@
 		}
 	}
 	o.At = float64(time.Now().UnixMilli())
-	r, err := drive.Put(ctx, address, drive.Question{Command: &quorum.Command{Book: purgesdrive.Book, Kind: kind, Data: canon.Encode(o)}})
+	r, err := drive.Put(ctx, address, drive.Question{Command: &quorum.Command{StateMachine: purgesdrive.Book, Kind: kind, Data: canon.Encode(o)}})
 	switch {
 	case err != nil:
 		return cli.Exit(fmt.Sprintf("purge %s: %s: %v; the command may have been accepted: repeat it with the same id", cmd.Name, address, err), 1)
--- a/cmd/poppymill/quorum.go
+++ b/cmd/poppymill/quorum.go
@@ -86,7 +86,7 @@
 		fmt.Fprintln(t, "ADDRESS\tNAME\tROLE\tLEADER\tTERM\tAPPLIED\tVIEW\tMAJORITY")
 		for _, a := range statuses {
 			if r := a.Report; r != nil {
-				if r.Moving {
+				if r.JointConfig {
 					r.Role += ", vote being moved"
 				}
 				fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d\t%.0f ms old\t%t\n", a.Address, r.Name, r.Role, r.Leader, r.Term, r.Applied, r.Age, r.Majority)
@@ -117,7 +117,7 @@
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "view of %s, %.0f ms old, applied up to index %d\nNAME\tCLUB\tADDRESS\tINCARNATION\tIS\tSINCE\tLOSSES\tVOTES\n", r.Name, r.Age, r.Applied)
 	for _, m := range r.Members {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%t\n", m.Name, m.Zone, m.Address, m.Incarnation, m.Standing, m.Since, m.Losses, m.Votes)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%t\n", m.Name, m.Zone, m.Address, m.Incarnation, m.State, m.Since, m.Losses, m.Votes)
 	}
 	t.Flush()
 	return nil
@@ -138,9 +138,9 @@
 		return printJSON(r)
 	}
 	fmt.Printf("store of %s in fleet %x: term %d, known to be committed up to index %d, last log entry at index %d\n%d members, voters: %v\n",
-		r.Name, r.Fleet, r.Term, r.Agreed, r.Last, r.Members, r.Voters)
-	if r.Next != 0 {
-		fmt.Printf("the store now begins fleet %x with %s as its only voter: start that gateway; the others join when they hear of the new fleet\n", r.Next, r.Name)
+		r.Name, r.Fleet, r.Term, r.CommitIndex, r.LastIndex, r.Members, r.Voters)
+	if r.NextFleet != 0 {
+		fmt.Printf("the store now begins fleet %x with %s as its only voter: start that gateway; the others join when they hear of the new fleet\n", r.NextFleet, r.Name)
 		return nil
 	}
 	fmt.Println(`nothing was changed. With --yes:
--- a/internal/gateway/quorum_member.go
+++ b/internal/gateway/quorum_member.go
@@ -45,9 +45,9 @@
 			return m, err
 		}
 	}
-	b.Settings.Works = jobs.On
+	b.Settings.RunsOwnedWork = jobs.On
 	if o.Purges.On {
-		b.Settings.Sight = min(o.Purges.Limits.Delay/8, b.Settings.Lease/6)
+		b.Settings.ReadIndexInterval = min(o.Purges.Limits.Delay/8, b.Settings.Lease/6)
 	}
 	proxy := coreProxy{poster: p, knownUntil: &knownUntil{}}
 	proxy.Known(-1)
--- a/internal/maintenance/drive/coordinator.go
+++ b/internal/maintenance/drive/coordinator.go
@@ -80,15 +80,15 @@
 
 // Member applies a change of the fleet's membership.
 func (s stateMachine) Member(_ uint64, m quorum.Member) {
-	s.Book.SetGateway(m.Name, m.Incarnation, m.Standing == quorum.Joined)
+	s.Book.SetGateway(m.Name, m.Incarnation, m.State == quorum.MemberJoined)
 }
 
 // Leap raises the token counter above every token that can have been issued, after log entries may have been lost.
 func (s stateMachine) Leap() { s.Book.LastToken += 1 << 32 }
 
 // Books returns an empty state machine under its name in the log, to read a gateway's store with.
-func Books() map[string]quorum.Book {
-	return map[string]quorum.Book{Book: stateMachine{maintenance.New()}}
+func Books() map[string]quorum.StateMachine {
+	return map[string]quorum.StateMachine{Book: stateMachine{maintenance.New()}}
 }
 
 // Open creates a gateway's part. Without the block it only follows the log, and still drains machines that are about to leave.
@@ -98,8 +98,8 @@
 }
 
 // Books returns its state machine under its name in the log.
-func (y *Yard) Books() map[string]quorum.Book {
-	return map[string]quorum.Book{Book: stateMachine{y.state}}
+func (y *Yard) Books() map[string]quorum.StateMachine {
+	return map[string]quorum.StateMachine{Book: stateMachine{y.state}}
 }
 
 // Begin sets the council that commands are proposed to.
@@ -168,7 +168,7 @@
 		return
 	}
 	y.inFlight[key] = y.now + 1000
-	y.council.Propose(quorum.Command{Book: Book, Kind: kind, Data: canon.Encode(content)}, func(o quorum.Outcome) {
+	y.council.Propose(quorum.Command{StateMachine: Book, Kind: kind, Data: canon.Encode(content)}, func(o quorum.Outcome) {
 		delete(y.inFlight, key)
 		if o.Err != nil && !errors.Is(o.Err, quorum.ErrGivenUp) && !errors.Is(o.Err, quorum.ErrBusy) {
 			y.inFlight[key] = y.now + checkEvery // rejected when applied: the next check decides whether to propose it again
@@ -213,7 +213,7 @@
 		y.propose(maintenance.Have, "", y.block.Inventory)
 	}
 	if !y.crew.Has(Schedule) {
-		y.council.Propose(quorum.Command{Book: owned.Book, Kind: owner.Start, Data: canon.Encode(owner.Job{Name: Schedule, Kind: owned.Hold, Steps: 1, Window: 1})}, func(quorum.Outcome) {})
+		y.council.Propose(quorum.Command{StateMachine: owned.Book, Kind: owner.Start, Data: canon.Encode(owner.Job{Name: Schedule, Kind: owned.Hold, Steps: 1, Window: 1})}, func(quorum.Outcome) {})
 	}
 	if voters := y.council.Voters(); len(voters) > 0 && !slices.Equal(voters, y.state.Voters) {
 		y.propose(maintenance.SetVoters, "", maintenance.Order{Names: voters})
--- a/internal/owner/drive/crew.go
+++ b/internal/owner/drive/crew.go
@@ -60,15 +60,15 @@
 }
 
 func (b stateMachine) Member(index uint64, m quorum.Member) {
-	b.Book.Member(index, m.Name, owner.Worker{Incarnation: m.Incarnation, There: m.Standing == quorum.Joined, Losses: m.Losses, Zone: m.Zone, Idle: !m.Works})
+	b.Book.Member(index, m.Name, owner.Worker{Incarnation: m.Incarnation, There: m.State == quorum.MemberJoined, Losses: m.LeaseExpirations, Zone: m.Zone, Idle: !m.RunsOwnedWork})
 }
 
 // Leap raises the token counter above every token that can have been issued.
 func (b stateMachine) Leap() { b.Book.LastToken += 1 << 32 }
 
 // Books returns empty state machines for reading a store offline.
-func Books() map[string]quorum.Book {
-	return map[string]quorum.Book{Book: stateMachine{owner.New(owner.DefaultLimits().MaxJobs)}}
+func Books() map[string]quorum.StateMachine {
+	return map[string]quorum.StateMachine{Book: stateMachine{owner.New(owner.DefaultLimits().MaxJobs)}}
 }
 
 // Open creates the Crew of a gateway that keeps its record of effects in a folder. Without the block it applies
@@ -89,8 +89,8 @@
 }
 
 // Books returns the state machines that this part keeps in the log.
-func (c *Crew) Books() map[string]quorum.Book {
-	return map[string]quorum.Book{Book: stateMachine{c.agent.Book}}
+func (c *Crew) Books() map[string]quorum.StateMachine {
+	return map[string]quorum.StateMachine{Book: stateMachine{c.agent.Book}}
 }
 
 // Begin sets the council.
@@ -196,7 +196,7 @@
 			if a.Job != nil {
 				data = canon.Encode(a.Job)
 			}
-			c.council.Propose(quorum.Command{Book: Book, Kind: a.Kind, Data: data}, func(o quorum.Outcome) {
+			c.council.Propose(quorum.Command{StateMachine: Book, Kind: a.Kind, Data: data}, func(o quorum.Outcome) {
 				// Any other error means that this process may no longer propose; a retry would not help.
 				c.Handle(c.now, owner.ProposalDone{Failed: errors.Is(o.Err, quorum.ErrGivenUp) || errors.Is(o.Err, quorum.ErrBusy)})
 			})
@@ -226,7 +226,7 @@
 	}
 	if to := do.Job.Place(do.Step); to != "" && to != c.followed.Name {
 		e.Data = nil
-		c.council.Send(to, quorum.Frame{Kind: quorum.Effect, Data: canon.Encode(e)}, func() { ended(owner.NeverRan) })
+		c.council.Send(to, quorum.Frame{Kind: quorum.KindEffect, Data: canon.Encode(e)}, func() { ended(owner.NeverRan) })
 		return
 	}
 	c.place.Do(e, func(r place.Result) { ended(r.End) })
@@ -234,7 +234,7 @@
 
 // handleFrame processes an effect from another gateway, or the result of an effect sent by this one.
 func (c *Crew) handleFrame(asked agreement.Asked) {
-	if asked.Frame.Kind == quorum.Effected {
+	if asked.Frame.Kind == quorum.KindEffectResult {
 		var r place.Result
 		if canon.Decode(asked.Frame.Data, &r) == nil && r.End >= owner.Ran && r.End <= owner.Refused {
 			if r.End != owner.Ran {
@@ -248,7 +248,7 @@
 	if canon.Decode(asked.Frame.Data, &e) != nil {
 		return
 	}
-	answer := func(r place.Result) { asked.Answer(quorum.Frame{Kind: quorum.Effected, Data: canon.Encode(r)}) }
+	answer := func(r place.Result) { asked.Answer(quorum.Frame{Kind: quorum.KindEffectResult, Data: canon.Encode(r)}) }
 	refusal := place.Result{Job: e.Job, Token: e.Token, Step: e.Step, End: owner.NeverRan}
 	switch {
 	case c.followed.Incarnation == 0:
--- a/internal/owner/drive/crew_test.go
+++ b/internal/owner/drive/crew_test.go
@@ -31,7 +31,7 @@
 	send := func(e place.Effect) place.Result {
 		t.Helper()
 		results := make(chan place.Result, 1)
-		c.Handle(0, agreement.Asked{From: "g", Frame: quorum.Frame{Kind: quorum.Effect, Data: canon.Encode(e)}, Answer: func(f quorum.Frame) {
+		c.Handle(0, agreement.Asked{From: "g", Frame: quorum.Frame{Kind: quorum.KindEffect, Data: canon.Encode(e)}, Answer: func(f quorum.Frame) {
 			var r place.Result
 			if err := canon.Decode(f.Data, &r); err != nil {
 				t.Error(err)
@@ -63,7 +63,7 @@
 		{owner.Start, owner.Job{Kind: "warm", Type: owner.Unsafe}, "type: steps of warm are safe"}, {owner.Start, owner.Job{Kind: Drill, Places: []string{"z"}}, `places: 0: no gateway "z"`},
 		{owner.Start, owner.Job{Kind: Drill}, ""}, {owner.Stop, owner.Claim{}, ""},
 	} {
-		err := c.Allow(quorum.Command{Book: Book, Kind: x.kind, Data: canon.Encode(x.data)})
+		err := c.Allow(quorum.Command{StateMachine: Book, Kind: x.kind, Data: canon.Encode(x.data)})
 		if got := ""; err != nil {
 			if got = err.Error(); x.want == "" || !strings.Contains(got, x.want) {
 				t.Errorf("%s %+v: %s, want %s", x.kind, x.data, got, x.want)
--- a/internal/purges/drive/service.go
+++ b/internal/purges/drive/service.go
@@ -79,11 +79,13 @@
 
 // Member applies a membership change of the log.
 func (b logAdapter) Member(_ uint64, m quorum.Member) {
-	b.Book.Member(m.Name, m.Incarnation, m.Standing == quorum.Joined)
+	b.Book.Member(m.Name, m.Incarnation, m.State == quorum.MemberJoined)
 }
 
 // Books returns the state machine of purges alone, for reading a store.
-func Books() map[string]quorum.Book { return map[string]quorum.Book{Book: logAdapter{purges.New()}} }
+func Books() map[string]quorum.StateMachine {
+	return map[string]quorum.StateMachine{Book: logAdapter{purges.New()}}
+}
 
 // Open returns the purge service of a gateway. Where the block is off, it applies the purges of other gateways, but
 // accepts none itself and keeps trusting older copies while it cannot reach the log.
@@ -92,8 +94,8 @@
 }
 
 // Books returns the state machines that the service replicates.
-func (s *Sweep) Books() map[string]quorum.Book {
-	return map[string]quorum.Book{Book: logAdapter{s.book}}
+func (s *Sweep) Books() map[string]quorum.StateMachine {
+	return map[string]quorum.StateMachine{Book: logAdapter{s.book}}
 }
 
 // Begin sets the council through which commands are proposed.
@@ -195,7 +197,7 @@
 		clear(s.pending)
 	}
 	s.pending[key] = s.now + 1000
-	s.council.Propose(quorum.Command{Book: book, Kind: kind, Data: canon.Encode(content)}, func(quorum.Outcome) { delete(s.pending, key) })
+	s.council.Propose(quorum.Command{StateMachine: book, Kind: kind, Data: canon.Encode(content)}, func(quorum.Outcome) { delete(s.pending, key) })
 }
 
 // logStages logs each purge whose stage has changed.
--- a/internal/quorum/api.go
+++ b/internal/quorum/api.go
@@ -12,41 +12,41 @@
 
 // Settings configure one gateway.
 type Settings struct {
-	Name     string            // name of this gateway, unique in the fleet
-	Zone     string            // the club of this gateway; voters are spread over clubs
-	Address  string            // where its peers connect to it
-	Peers    map[string]string // addresses of the peers known at the start, by name
-	Founders []string          // names of the first voters; a fleet is founded when all of them are up with empty stores
-	Beat     float64           // ms between heartbeats of the leader
-	Election float64           // ms without a leader after which voters hold an election; at least five beats
-	Lease    float64           // ms without renewal after which a member is declared silent
-	SlowDisk float64           // ms that a sync may take; a leader with a slower disk transfers its leadership
-	Keep     int               // log entries kept for lagging voters and followers when the log is compacted
-	Members  int               // maximum number of member names
-	Pending  int               // maximum number of this gateway's uncommitted commands
-	Retry    float64           // ms after which an uncommitted command is sent again
-	Replace  float64           // ms that a voter must be gone before it is replaced; 0: never
-	Votes    int               // target number of voters, restored by promoting others; 0: the number of founders
-	Diskless bool              // the gateway has no store and only follows
-	Sight    float64           // ms between its read index requests; 0: none
-	Works    bool              // the gateway takes part in owned work; announced to the other members
-	Seed     uint64
+	Name              string            // name of this gateway, unique in the fleet
+	Zone              string            // the club of this gateway; voters are spread over clubs
+	Address           string            // where its peers connect to it
+	Peers             map[string]string // addresses of the peers known at the start, by name
+	Founders          []string          // names of the first voters; a fleet is founded when all of them are up with empty stores
+	Heartbeat         float64           // ms between heartbeats of the leader
+	Election          float64           // ms without a leader after which voters hold an election; at least five beats
+	Lease             float64           // ms without renewal after which a member is declared silent
+	SlowDisk          float64           // ms that a sync may take; a leader with a slower disk transfers its leadership
+	KeepEntries       int               // log entries kept for lagging voters and followers when the log is compacted
+	MaxMembers        int               // maximum number of member names
+	MaxPending        int               // maximum number of this gateway's uncommitted commands
+	Retry             float64           // ms after which an uncommitted command is sent again
+	ReplaceAfter      float64           // ms that a voter must be gone before it is replaced; 0: never
+	TargetVoters      int               // target number of voters, restored by promoting others; 0: the number of founders
+	Diskless          bool              // the gateway has no store and only follows
+	ReadIndexInterval float64           // ms between its read index requests; 0: none
+	RunsOwnedWork     bool              // the gateway takes part in owned work; announced to the other members
+	Seed              uint64
 }
 
 // Defaults returns settings for a site on a local network.
 func Defaults() Settings {
-	return Settings{Beat: 100, Election: 1000, Lease: 3000, SlowDisk: 500, Keep: 2000, Members: 600, Pending: 256, Retry: 700, Replace: 60_000}
+	return Settings{Heartbeat: 100, Election: 1000, Lease: 3000, SlowDisk: 500, KeepEntries: 2000, MaxMembers: 600, MaxPending: 256, Retry: 700, ReplaceAfter: 60_000}
 }
 
 // Store is the persistent state of a gateway. The zero value is an empty store.
 type Store struct {
-	Identity Identity
-	Starts   uint64                   // number of processes that opened it to take part
-	Marks    map[uint64]HighWaterMark // high-water marks of other stores, by identity
-	Founding *Founding                // nil: it belongs to no fleet yet
-	Hard     *raftpb.HardState
-	Snapshot *raftpb.Snapshot
-	Entries  []*raftpb.Entry // those after the snapshot, without a gap
+	Identity       Identity
+	Starts         uint64                   // number of processes that opened it to take part
+	HighWaterMarks map[uint64]HighWaterMark // high-water marks of other stores, by identity
+	Founding       *Founding                // nil: it belongs to no fleet yet
+	HardState      *raftpb.HardState
+	Snapshot       *raftpb.Snapshot
+	Entries        []*raftpb.Entry // those after the snapshot, without a gap
 }
 
 // Identity identifies a store. It is lost along with the store: a gateway that starts without a store gets a new
@@ -79,12 +79,12 @@
 		From  string
 		Frame Frame
 	}
-	// Lost reports that frames sent recently to a peer did not arrive.
-	Lost struct{ To string }
+	// SendFailed reports that frames sent recently to a peer did not arrive.
+	SendFailed struct{ To string }
 	// Saved reports that the last Save is synced, and how many ms that took.
 	Saved struct{ Took float64 }
-	// Broken reports that a write to the disk failed: this gateway does not vote again until it is restarted.
-	Broken struct{ Err error }
+	// DiskFailed reports that a write to the disk failed: this gateway does not vote again until it is restarted.
+	DiskFailed struct{ Err error }
 	// Propose submits a command. Token, above 0 and not used before, is returned in its Outcome.
 	Propose struct {
 		Token   uint64
@@ -107,9 +107,9 @@
 	}
 	// Save writes a record to the disk and syncs it. No other Save follows before its Saved event.
 	Save struct{ Record Record }
-	// Agreed is a committed command, after its state machine applied it. Every gateway gets the same one at the same
+	// Committed is a committed command, after its state machine applied it. Every gateway gets the same one at the same
 	// index.
-	Agreed struct {
+	Committed struct {
 		Index   uint64
 		Command Command
 		Result  any
@@ -126,8 +126,8 @@
 		Result any // returned by its state machine
 		Err    error
 	}
-	// Say is a log line.
-	Say struct {
+	// Log is a log line.
+	Log struct {
 		Text   string
 		Fields map[string]any
 	}
@@ -135,32 +135,32 @@
 
 // Record is one atomic write to the disk.
 type Record struct {
-	Identity *Identity
-	Starts   uint64                   // 0: unchanged
-	Marks    map[uint64]HighWaterMark // nil: unchanged
-	Founding *Founding
-	Hard     *raftpb.HardState
-	Snapshot *raftpb.Snapshot
-	Entries  []*raftpb.Entry // replace all entries from the first index of these on
-	Anew     bool            // drops all of raft's state first; the store starts over under the identity of this record
-	Compact  uint64          // entries up to this index, and older snapshots, may be deleted
+	Identity       *Identity
+	Starts         uint64                   // 0: unchanged
+	HighWaterMarks map[uint64]HighWaterMark // nil: unchanged
+	Founding       *Founding
+	HardState      *raftpb.HardState
+	Snapshot       *raftpb.Snapshot
+	Entries        []*raftpb.Entry // replace all entries from the first index of these on
+	Reset          bool            // drops all of raft's state first; the store starts over under the identity of this record
+	Compact        uint64          // entries up to this index, and older snapshots, may be deleted
 }
 
 // Command is an entry of the replicated log. Book names the state machine that applies it; the one of this package is
 // "members".
 type Command struct {
-	Book string `cbor:"1,keyasint"`
-	Kind string `cbor:"2,keyasint"`
-	Data []byte `cbor:"3,keyasint,omitempty"`
+	StateMachine string `cbor:"1,keyasint"`
+	Kind         string `cbor:"2,keyasint"`
+	Data         []byte `cbor:"3,keyasint,omitempty"`
 	// The incarnation that proposed it, and its sequence number there: a command that is committed twice is applied
 	// once.
 	From uint64 `cbor:"4,keyasint,omitempty"`
 	Seq  uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Book is a replicated state machine: commands change it in the same way on every gateway, so it must be a function
+// StateMachine is a replicated state machine: commands change it in the same way on every gateway, so it must be a function
 // of the commands alone. Load of nil resets it to its initial state.
-type Book interface {
+type StateMachine interface {
 	Apply(index uint64, c Command) any
 	Save() []byte
 	Load([]byte) error
@@ -169,7 +169,7 @@
 // MembershipObserver is a Book that is notified of changes of members as well, at their place in the log. A member
 // whose Standing is Unknown was evicted.
 type MembershipObserver interface {
-	Member(index uint64, m Member)
+	MemberChanged(index uint64, m Member)
 }
 
 // MemberState is the state of a member according to the log.
@@ -177,10 +177,10 @@
 
 // The states of a member.
 const (
-	Unknown MemberState = iota // not a member
-	Joined                     // its lease is renewed
-	Left                       // it announced that it ends
-	Silent                     // its lease expired
+	MemberUnknown MemberState = iota // not a member
+	MemberJoined                     // its lease is renewed
+	MemberLeft                       // it announced that it ends
+	MemberSilent                     // its lease expired
 )
 
 // String returns the name of the state.
--- a/internal/quorum/drive/block.go
+++ b/internal/quorum/drive/block.go
@@ -28,14 +28,14 @@
 		operator.Attr("address", operator.Text(&s.Address)),
 		operator.Attr("store", operator.Text(&b.Store)),
 		operator.Attr("founders", operator.Texts(&s.Founders)),
-		operator.Attr("beat", operator.Span(&s.Beat, 5*time.Millisecond, 10*time.Second)),
+		operator.Attr("beat", operator.Span(&s.Heartbeat, 5*time.Millisecond, 10*time.Second)),
 		operator.Attr("election", operator.Span(&s.Election, 50*time.Millisecond, time.Minute)),
 		operator.Attr("lease", operator.Span(&s.Lease, 100*time.Millisecond, 10*time.Minute)),
 		operator.Attr("slow_disk", operator.Span(&s.SlowDisk, time.Millisecond, time.Minute)),
-		operator.Attr("replace", operator.Span(&s.Replace, 0, 24*time.Hour)),
-		operator.Attr("votes", operator.Whole(&s.Votes, 1, 7)),
-		operator.Attr("keep", operator.Whole(&s.Keep, 16, 1_000_000)),
-		operator.Attr("members", operator.Whole(&s.Members, 3, 5000)),
+		operator.Attr("replace", operator.Span(&s.ReplaceAfter, 0, 24*time.Hour)),
+		operator.Attr("votes", operator.Whole(&s.TargetVoters, 1, 7)),
+		operator.Attr("keep", operator.Whole(&s.KeepEntries, 16, 1_000_000)),
+		operator.Attr("members", operator.Whole(&s.MaxMembers, 3, 5000)),
 		operator.Block("peer", []string{"name"}, func(labels []string, _ int) ([]operator.Field, error) {
 			if _, duplicate := s.Peers[labels[0]]; duplicate {
 				return nil, errors.New("defined twice")
@@ -60,9 +60,9 @@
 	switch n := len(s.Founders); {
 	case n != 0 && n != 1 && n != 3 && n != 5 && n != 7:
 		return fmt.Errorf("founders: %d given, must be 1, 3, 5 or 7", n)
-	case s.Votes != 0 && s.Votes%2 == 0:
-		return fmt.Errorf("votes: %d given, must be 1, 3, 5 or 7", s.Votes)
-	case s.Election < 5*s.Beat:
+	case s.TargetVoters != 0 && s.TargetVoters%2 == 0:
+		return fmt.Errorf("votes: %d given, must be 1, 3, 5 or 7", s.TargetVoters)
+	case s.Election < 5*s.Heartbeat:
 		return errors.New("election: must be at least five times beat")
 	case s.Lease < 2*s.Election:
 		return errors.New("lease: must be at least twice election, or members would be declared silent during a change of leader")
--- a/internal/quorum/drive/council.go
+++ b/internal/quorum/drive/council.go
@@ -49,7 +49,7 @@
 // loop and must not block.
 type Part interface {
 	// Books returns its state machines by name.
-	Books() map[string]quorum.Book
+	Books() map[string]quorum.StateMachine
 	// Begin passes it the council, before any event.
 	Begin(c *Council)
 	// Handle processes a Followed, an Asked, a Leaving or an event passed to Council.Post; nil only advances the time.
@@ -96,7 +96,7 @@
 // Open reads the store and listens for peers, with maxConns connections at most; Run then starts the loop. Without a
 // store, or with an unusable one, this gateway follows and never votes. An unusable store is logged with its error.
 func Open(b Block, name, zone string, maxConns int, part Part, log logrus.FieldLogger) (*Council, error) {
-	var books map[string]quorum.Book
+	var books map[string]quorum.StateMachine
 	if part != nil {
 		books = part.Books()
 	}
@@ -149,12 +149,12 @@
 	// A follower renews its lease six times in each lease period, so a connection that is silent for five periods is dead.
 	c.peers = newPeers(name, l, maxConns, time.Duration(5*settings.Lease*float64(time.Millisecond)))
 	c.peers.address = c.node.Address // called by the loop only
-	c.peers.onLost = func(to string) { c.post(quorum.Lost{To: to}) }
+	c.peers.onLost = func(to string) { c.post(quorum.SendFailed{To: to}) }
 	c.peers.onFrame = func(from string, f quorum.Frame, answer func(quorum.Frame)) {
 		switch f.Kind {
-		case quorum.Status:
+		case quorum.KindStatus:
 			c.post(call(func() { c.answerQuestion(f, answer) }))
-		case quorum.Effect, quorum.Effected:
+		case quorum.KindEffect, quorum.KindEffectResult:
 			if part != nil {
 				c.Post(Asked{From: from, Frame: f, Answer: answer})
 			}
@@ -170,7 +170,7 @@
 
 // newNode creates a node with the state of a store. It returns an error when raft panics, as it does on a state that
 // contradicts itself.
-func newNode(settings quorum.Settings, stored quorum.Store, books map[string]quorum.Book, nonce uint64, now float64) (n *quorum.Node, err error) {
+func newNode(settings quorum.Settings, stored quorum.Store, books map[string]quorum.StateMachine, nonce uint64, now float64) (n *quorum.Node, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("store: %v", p)
@@ -210,7 +210,7 @@
 // Sight returns the age of this gateway's view in ms: it has seen all commands that were committed by then. The result
 // is negative while the age is not known. It must be called from the loop.
 func (c *Council) Sight() float64 {
-	at, known := c.node.Sight()
+	at, known := c.node.FreshAsOf()
 	if !known {
 		return -1
 	}
@@ -238,7 +238,7 @@
 				failpoint.Here(failpoint.Saved)
 			}
 			if err != nil {
-				written <- quorum.Broken{Err: err}
+				written <- quorum.DiskFailed{Err: err}
 			} else {
 				written <- quorum.Saved{Took: float64(time.Since(started)) / float64(time.Millisecond)}
 			}
@@ -302,7 +302,7 @@
 	if c.part == nil {
 		return
 	}
-	f := Followed{Name: c.notified.Name, Incarnation: c.node.Incarnation(), Leads: c.node.Leads(), Restored: c.notified.Restored}
+	f := Followed{Name: c.notified.Name, Incarnation: c.node.Incarnation(), Leads: c.node.IsLeader(), Restored: c.notified.Restored}
 	if !c.advanced && f == c.notified {
 		c.part.Handle(c.now(), nil)
 		return
@@ -318,7 +318,7 @@
 	defer func() {
 		if p := recover(); p != nil {
 			c.log.WithField("error", p).Error("quorum: raft panicked: this gateway does not vote until it is restarted")
-			actions = c.node.Handle(c.now(), quorum.Broken{Err: fmt.Errorf("%v", p)})
+			actions = c.node.Handle(c.now(), quorum.DiskFailed{Err: fmt.Errorf("%v", p)})
 		}
 	}()
 	return c.node.Handle(c.now(), e)
@@ -332,7 +332,7 @@
 			c.peers.send(a.To, a.Frame, nil)
 		case quorum.Save:
 			c.writes <- a.Record
-		case quorum.Agreed:
+		case quorum.Committed:
 			if !c.advanced {
 				failpoint.Here(failpoint.Committed)
 			}
@@ -344,7 +344,7 @@
 				delete(c.pending, a.Token)
 				done(a)
 			}
-		case quorum.Say:
+		case quorum.Log:
 			c.log.WithFields(a.Fields).Info("quorum: " + a.Text)
 		}
 	}
@@ -407,13 +407,13 @@
 		}
 	case q.Fresh:
 		// An empty command: its index is after all commands that were committed when the query came.
-		q.Command = &quorum.Command{Book: "members", Kind: "nothing"}
+		q.Command = &quorum.Command{StateMachine: "members", Kind: "nothing"}
 	}
 	if q.Command == nil {
 		c.reply(q, 0, nil, answer)
 		return
 	}
-	fresh := q.Command.Book == "members"
+	fresh := q.Command.StateMachine == "members"
 	c.propose(*q.Command, func(o quorum.Outcome) {
 		if fresh && o.Index > 0 {
 			o.Err = nil // the empty command is refused as unknown, which is expected
@@ -442,7 +442,7 @@
 	if err != nil {
 		panic(err) // can't happen: Reply is a type of this package
 	}
-	answer(quorum.Frame{Kind: quorum.Status, Data: b})
+	answer(quorum.Frame{Kind: quorum.KindStatus, Data: b})
 }
 
 // closeStore closes the store, if there is one.
@@ -470,18 +470,18 @@
 		conn.SetDeadline(deadline)
 	}
 	name := fmt.Sprintf("?%d", os.Getpid())
-	hello := quorum.Frame{Kind: quorum.Hello, Data: []byte(name)}.Append(nil)
-	if _, err := conn.Write(quorum.Frame{Kind: quorum.Status, Data: canon.Encode(q)}.Append(hello)); err != nil {
+	hello := quorum.Frame{Kind: quorum.KindHello, Data: []byte(name)}.Append(nil)
+	if _, err := conn.Write(quorum.Frame{Kind: quorum.KindStatus, Data: canon.Encode(q)}.Append(hello)); err != nil {
 		return r, err
 	}
 	var f quorum.Frame
-	var joiner quorum.Joiner
+	var joiner quorum.Reassembler
 	for whole := false; err == nil && !whole; {
 		if f, err = readFrame(conn); err == nil {
-			f, whole, err = joiner.Join(f)
+			f, whole, err = joiner.Add(f)
 		}
 	}
-	if err == nil && f.Kind != quorum.Status {
+	if err == nil && f.Kind != quorum.KindStatus {
 		err = fmt.Errorf("%s: unexpected kind of frame in the answer", address)
 	}
 	if err == nil {
--- a/internal/quorum/drive/drive_test.go
+++ b/internal/quorum/drive/drive_test.go
@@ -41,7 +41,7 @@
 
 // describe returns the content of a store as text.
 func describe(s quorum.Store) string {
-	text := fmt.Sprintf("%v commit %d after %d:", s.Identity, s.Hard.GetCommit(), s.Snapshot.GetMetadata().GetIndex())
+	text := fmt.Sprintf("%v commit %d after %d:", s.Identity, s.HardState.GetCommit(), s.Snapshot.GetMetadata().GetIndex())
 	for _, e := range s.Entries {
 		text += fmt.Sprintf(" %d/%d %s", e.GetIndex(), e.GetTerm(), e.Data)
 	}
@@ -57,12 +57,12 @@
 		want   string
 	}{
 		{quorum.Record{Identity: &quorum.Identity{ID: 7, Name: "g"}}, "{7 g} commit 0 after 0:"},
-		{quorum.Record{Snapshot: snapshot(1), Hard: hardState(1, 1)}, "{7 g} commit 1 after 1:"},
+		{quorum.Record{Snapshot: snapshot(1), HardState: hardState(1, 1)}, "{7 g} commit 1 after 1:"},
 		{quorum.Record{Entries: []*raftpb.Entry{entry(2, 1, "a"), entry(3, 1, "b"), entry(4, 1, "c")}}, "{7 g} commit 1 after 1: 2/1 a 3/1 b 4/1 c"},
-		{quorum.Record{Entries: []*raftpb.Entry{entry(3, 2, "d")}, Hard: hardState(2, 3)}, "{7 g} commit 3 after 1: 2/1 a 3/2 d"},
+		{quorum.Record{Entries: []*raftpb.Entry{entry(3, 2, "d")}, HardState: hardState(2, 3)}, "{7 g} commit 3 after 1: 2/1 a 3/2 d"},
 		{quorum.Record{Entries: []*raftpb.Entry{entry(4, 2, "e")}}, "{7 g} commit 3 after 1: 2/1 a 3/2 d 4/2 e"},
 		{quorum.Record{Snapshot: snapshot(3), Compact: 2}, "{7 g} commit 3 after 3: 4/2 e"},
-		{quorum.Record{Snapshot: snapshot(9), Hard: hardState(3, 9)}, "{7 g} commit 9 after 9:"},
+		{quorum.Record{Snapshot: snapshot(9), HardState: hardState(3, 9)}, "{7 g} commit 9 after 9:"},
 	} {
 		s, _, err := openStore(path)
 		if err != nil {
@@ -90,12 +90,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.put(quorum.Record{Identity: &quorum.Identity{ID: 7, Name: "g"}, Snapshot: snapshot(1), Hard: hardState(1, 1)})
+	s.put(quorum.Record{Identity: &quorum.Identity{ID: 7, Name: "g"}, Snapshot: snapshot(1), HardState: hardState(1, 1)})
 	var all []*raftpb.Entry
 	for i := range uint64(40) {
 		all = append(all, entry(2+i, 1, fmt.Sprintf("entry-%02d-with-some-length", i)))
 	}
-	s.put(quorum.Record{Entries: all, Hard: hardState(1, 41)})
+	s.put(quorum.Record{Entries: all, HardState: hardState(1, 41)})
 	s.close()
 	good, err := os.ReadFile(path)
 	if err != nil {
@@ -146,7 +146,7 @@
 					syscall.Kill(os.Getpid(), syscall.SIGKILL)
 				}
 			}
-			if err := s.put(quorum.Record{Entries: []*raftpb.Entry{entry(next, 1, "x")}, Hard: hardState(1, next)}); err != nil {
+			if err := s.put(quorum.Record{Entries: []*raftpb.Entry{entry(next, 1, "x")}, HardState: hardState(1, next)}); err != nil {
 				os.Exit(4)
 			}
 			fmt.Println(next)
@@ -177,11 +177,11 @@
 				t.Fatalf("%s: %v", step, err)
 			}
 			n := len(stored.Entries)
-			if more := n - reported; reported > 0 && (more < 0 || more > 1) || stored.Hard.GetCommit() != uint64(n) || step == "synced" && n%5 != 0 {
-				t.Errorf("killed at %s: %d entries reported, %d stored, %d committed", step, reported, n, stored.Hard.GetCommit())
+			if more := n - reported; reported > 0 && (more < 0 || more > 1) || stored.HardState.GetCommit() != uint64(n) || step == "synced" && n%5 != 0 {
+				t.Errorf("killed at %s: %d entries reported, %d stored, %d committed", step, reported, n, stored.HardState.GetCommit())
 			}
 			if step != "synced" { // else the next process would be killed at the same entry
-				if err := s.put(quorum.Record{Entries: []*raftpb.Entry{entry(uint64(n+1), 1, "y")}, Hard: hardState(1, uint64(n+1))}); err != nil {
+				if err := s.put(quorum.Record{Entries: []*raftpb.Entry{entry(uint64(n+1), 1, "y")}, HardState: hardState(1, uint64(n+1))}); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -246,7 +246,9 @@
 
 // The methods of a Part that does nothing but keep its state machine.
 
-func (l *ledger) Books() map[string]quorum.Book    { return map[string]quorum.Book{"ledger": l} }
+func (l *ledger) Books() map[string]quorum.StateMachine {
+	return map[string]quorum.StateMachine{"ledger": l}
+}
 func (l *ledger) Begin(*Council)                   {}
 func (l *ledger) Handle(float64, any)              {}
 func (l *ledger) Next() float64                    { return math.Inf(1) }
@@ -271,7 +273,7 @@
 	}
 	start := func(name, listen, store string, peers map[string]string, founders ...string) (*Council, *ledger, func()) {
 		b := Block{On: true, Listen: listen, Store: store, Settings: quorum.Defaults()}
-		b.Settings.Beat, b.Settings.Election, b.Settings.Lease, b.Settings.Peers, b.Settings.Founders = 20, 200, 600, peers, founders
+		b.Settings.Heartbeat, b.Settings.Election, b.Settings.Lease, b.Settings.Peers, b.Settings.Founders = 20, 200, 600, peers, founders
 		l := &ledger{}
 		c, err := Open(b, name, "club", 64, l, log)
 		if err != nil {
@@ -294,7 +296,7 @@
 	propose := func(c *Council, line string) {
 		t.Helper()
 		done := make(chan quorum.Outcome, 1)
-		c.Propose(quorum.Command{Book: "ledger", Data: []byte(line)}, func(o quorum.Outcome) { done <- o })
+		c.Propose(quorum.Command{StateMachine: "ledger", Data: []byte(line)}, func(o quorum.Outcome) { done <- o })
 		select {
 		case o := <-done:
 			if o.Err != nil {
@@ -340,7 +342,7 @@
 // unknown format.
 func TestUnusableStore(t *testing.T) {
 	for _, r := range []quorum.Record{{Identity: &quorum.Identity{ID: 7, Name: "other"}},
-		{Identity: &quorum.Identity{ID: 7, Name: "g"}, Founding: &quorum.Founding{Cluster: 5, Voters: map[string]uint64{"g": 7}}, Snapshot: snapshot(1), Hard: hardState(1, 1)}} {
+		{Identity: &quorum.Identity{ID: 7, Name: "g"}, Founding: &quorum.Founding{Cluster: 5, Voters: map[string]uint64{"g": 7}}, Snapshot: snapshot(1), HardState: hardState(1, 1)}} {
 		dir := t.TempDir()
 		s, _, err := openStore(dir + "/agreed")
 		if err != nil {
--- a/internal/quorum/drive/parts.go
+++ b/internal/quorum/drive/parts.go
@@ -13,8 +13,8 @@
 type Parts []Part
 
 // Books returns the state machines of all parts.
-func (p Parts) Books() map[string]quorum.Book {
-	all := map[string]quorum.Book{}
+func (p Parts) Books() map[string]quorum.StateMachine {
+	all := map[string]quorum.StateMachine{}
 	for _, part := range p {
 		maps.Copy(all, part.Books())
 	}
@@ -60,11 +60,11 @@
 // Allow asks the part that owns the command's state machine.
 func (p Parts) Allow(c quorum.Command) error {
 	for _, part := range p {
-		if part.Books()[c.Book] != nil {
+		if part.Books()[c.StateMachine] != nil {
 			return part.Allow(c)
 		}
 	}
-	return fmt.Errorf("%q: %w", c.Book, ErrNotMine)
+	return fmt.Errorf("%q: %w", c.StateMachine, ErrNotMine)
 }
 
 // Idle reports whether all parts are idle.
--- a/internal/quorum/drive/peers.go
+++ b/internal/quorum/drive/peers.go
@@ -20,7 +20,7 @@
 	writeTimeout       = 2 * time.Second
 	dialTimeout        = time.Second
 	redialDelay        = 100 * time.Millisecond
-	maxQueuedBytes     = quorum.MostWhole + 4*quorum.MostFrame // of both queues
+	maxQueuedBytes     = quorum.MaxReassembledSize + 4*quorum.MaxFrameSize // of both queues
 )
 
 // peers manages the connections with other gateways. The first frame on a connection is a Hello with the name of the
@@ -106,7 +106,7 @@
 	}
 	p.mu.Unlock()
 	if name != "" {
-		l.enqueue(quorum.Frame{Kind: quorum.Hello, Data: []byte(p.name)})
+		l.enqueue(quorum.Frame{Kind: quorum.KindHello, Data: []byte(p.name)})
 	}
 	for _, f := range first {
 		l.enqueue(f)
@@ -139,14 +139,14 @@
 	p.spawn(func() {
 		name := name
 		r := bufio.NewReader(conn)
-		var joiner quorum.Joiner
+		var joiner quorum.Reassembler
 		for {
 			conn.SetReadDeadline(time.Now().Add(p.idleTimeout))
 			f, err := readFrame(r)
 			if err != nil {
 				break
 			}
-			f, whole, err := joiner.Join(f)
+			f, whole, err := joiner.Add(f)
 			if err != nil {
 				break
 			}
@@ -154,7 +154,7 @@
 				continue
 			}
 			if name == "" {
-				if f.Kind != quorum.Hello || len(f.Data) == 0 || len(f.Data) > 100 {
+				if f.Kind != quorum.KindHello || len(f.Data) == 0 || len(f.Data) > 100 {
 					break
 				}
 				name = string(f.Data)
@@ -190,7 +190,7 @@
 
 // enqueue queues a frame for sending. It drops the frame and returns false when the queue is full.
 func (l *link) enqueue(f quorum.Frame) bool {
-	fragments, bytes := f.Pieces(), int64(0)
+	fragments, bytes := f.Fragments(), int64(0)
 	for _, b := range fragments {
 		bytes += int64(len(b))
 	}
@@ -217,11 +217,11 @@
 
 // readFrame reads one frame.
 func readFrame(r io.Reader) (f quorum.Frame, err error) {
-	var header [quorum.FrameHead]byte
+	var header [quorum.FrameHeaderSize]byte
 	if _, err = io.ReadFull(r, header[:]); err != nil {
 		return f, err
 	}
-	length, err := quorum.Length(header)
+	length, err := quorum.ContentLength(header)
 	if err != nil {
 		return f, err
 	}
@@ -229,7 +229,7 @@
 	if _, err = io.ReadFull(r, content); err != nil {
 		return f, err
 	}
-	return quorum.Read(header, content)
+	return quorum.DecodeFrame(header, content)
 }
 
 // send queues a frame for a peer, or opens a connection to the peer with it. While the connection is being opened
--- a/internal/quorum/drive/store.go
+++ b/internal/quorum/drive/store.go
@@ -75,9 +75,12 @@
 	}{
 		{identityKey, func(b []byte) error { return canon.Decode(b, &stored.Identity) }},
 		{startsKey, func(b []byte) error { return canon.Decode(b, &stored.Starts) }},
-		{marksKey, func(b []byte) error { return canon.Decode(b, &stored.Marks) }},
+		{marksKey, func(b []byte) error { return canon.Decode(b, &stored.HighWaterMarks) }},
 		{foundingKey, func(b []byte) error { return canon.Decode(b, &stored.Founding) }},
-		{hardKey, func(b []byte) error { stored.Hard = &raftpb.HardState{}; return proto.Unmarshal(b, stored.Hard) }},
+		{hardKey, func(b []byte) error {
+			stored.HardState = &raftpb.HardState{}
+			return proto.Unmarshal(b, stored.HardState)
+		}},
 		{snapshotKey, func(b []byte) error { stored.Snapshot = &raftpb.Snapshot{}; return proto.Unmarshal(b, stored.Snapshot) }},
 	} {
 		b, err := checked.Get(meta, field.key)
@@ -110,8 +113,8 @@
 		}
 		stored.Entries = append(stored.Entries, e)
 	}
-	if last := snapshotIndex + uint64(len(stored.Entries)); stored.Hard.GetCommit() > last {
-		return fmt.Errorf("%w: committed up to %d, but the last entry is %d", checked.ErrCorrupt, stored.Hard.GetCommit(), last)
+	if last := snapshotIndex + uint64(len(stored.Entries)); stored.HardState.GetCommit() > last {
+		return fmt.Errorf("%w: committed up to %d, but the last entry is %d", checked.ErrCorrupt, stored.HardState.GetCommit(), last)
 	}
 	return nil
 }
@@ -122,7 +125,7 @@
 	s.onStep("before")
 	err = s.db.Update(func(tx *bolt.Tx) error {
 		meta, entries := tx.Bucket(metaBucket), tx.Bucket(entriesBucket)
-		if r.Anew {
+		if r.Reset {
 			if err := errors.Join(meta.Delete(hardKey), meta.Delete(snapshotKey), deleteEntries(entries, 0, ^uint64(0))); err != nil {
 				return err
 			}
@@ -137,8 +140,8 @@
 				return err
 			}
 		}
-		if r.Marks != nil {
-			if err := checked.Put(meta, marksKey, canon.Encode(r.Marks)); err != nil {
+		if r.HighWaterMarks != nil {
+			if err := checked.Put(meta, marksKey, canon.Encode(r.HighWaterMarks)); err != nil {
 				return err
 			}
 		}
@@ -174,8 +177,8 @@
 				return err
 			}
 		}
-		if r.Hard != nil {
-			b, err := proto.Marshal(r.Hard)
+		if r.HardState != nil {
+			b, err := proto.Marshal(r.HardState)
 			if err = errors.Join(err, checked.Put(meta, hardKey, b)); err != nil {
 				return err
 			}
--- a/internal/quorum/frame.go
+++ b/internal/quorum/frame.go
@@ -14,7 +14,7 @@
 
 // The kinds of frames.
 const (
-	Hello              Kind = iota + 1 // identity and fleet of the sender; answered by a Hello that echoes its nonce
+	KindHello          Kind = iota + 1 // identity and fleet of the sender; answered by a Hello that echoes its nonce
 	KindFounding                       // a founding to adopt
 	KindRaft                           // a raft message
 	KindPropose                        // commands to propose, on their way to the leader
@@ -22,9 +22,9 @@
 	KindLog                            // log entries or a snapshot for a follower, and the name of the leader
 	KindYield                          // a newer process has joined under the name of the receiver
 	KindRemoved                        // the receiver lost its vote to another identity: Voters, Applied; without Voters: did the sender?
-	Status                             // an operator's question and its answer
-	Effect                             // a step of owned work to run; opaque to this package
-	Effected                           // the result of an Effect
+	KindStatus                         // an operator's question and its answer
+	KindEffect                         // a step of owned work to run; opaque to this package
+	KindEffectResult                   // the result of an Effect
 	KindStoreQuery                     // what does the receiver know of the sender's identity? Answered by a KindStoreReply
 	KindStoreReply                     // Data: a StoreEvidence
 	KindFragment                       // Data: a fragment of a larger frame, in order on one connection; Applied: the length of the whole
@@ -61,16 +61,16 @@
 // Limits of a frame on the wire, in bytes, and the size of its header: content length and checksum. maxListed limits
 // the number of commands and renewals in a frame.
 const (
-	MostFrame       = 1 << 20  // one frame on the wire
-	MostWhole       = 32 << 20 // a frame reassembled from fragments
-	MaxFragmentSize = 256 << 10
-	FrameHead       = 12
-	maxListed       = 2048
+	MaxFrameSize       = 1 << 20  // one frame on the wire
+	MaxReassembledSize = 32 << 20 // a frame reassembled from fragments
+	MaxFragmentSize    = 256 << 10
+	FrameHeaderSize    = 12
+	maxListed          = 2048
 )
 
-// Pieces returns the encoded frame, or, when it is large, the encoded fragments of it, so that other frames can be
+// Fragments returns the encoded frame, or, when it is large, the encoded fragments of it, so that other frames can be
 // sent in between.
-func (f Frame) Pieces() (fragments [][]byte) {
+func (f Frame) Fragments() (fragments [][]byte) {
 	encoded := f.Append(nil)
 	if len(encoded) <= MaxFragmentSize {
 		return [][]byte{encoded}
@@ -81,27 +81,27 @@
 	return fragments
 }
 
-// Joiner reassembles the fragments of one connection.
-type Joiner struct{ buffer []byte }
+// Reassembler reassembles the fragments of one connection.
+type Reassembler struct{ buffer []byte }
 
-// Join takes a frame and returns it, or the reassembled frame once its last fragment has come.
-func (j *Joiner) Join(f Frame) (whole Frame, ok bool, err error) {
+// Add takes a frame and returns it, or the reassembled frame once its last fragment has come.
+func (j *Reassembler) Add(f Frame) (whole Frame, ok bool, err error) {
 	if f.Kind != KindFragment {
 		return f, true, nil
 	}
-	if f.Applied <= MaxFragmentSize || f.Applied > MostWhole || uint64(len(j.buffer)+len(f.Data)) > f.Applied || len(f.Data) == 0 {
+	if f.Applied <= MaxFragmentSize || f.Applied > MaxReassembledSize || uint64(len(j.buffer)+len(f.Data)) > f.Applied || len(f.Data) == 0 {
 		return f, false, fmt.Errorf("frame: %w: a fragment of %d bytes after %d, of %d", canon.ErrMalformed, len(f.Data), len(j.buffer), f.Applied)
 	}
 	if j.buffer = append(j.buffer, f.Data...); uint64(len(j.buffer)) < f.Applied {
 		return f, false, nil
 	}
-	var head [FrameHead]byte
+	var head [FrameHeaderSize]byte
 	copy(head[:], j.buffer)
 	contentLength := binary.BigEndian.Uint32(head[:])
-	if uint64(contentLength)+FrameHead != f.Applied {
+	if uint64(contentLength)+FrameHeaderSize != f.Applied {
 		return f, false, fmt.Errorf("frame: %w: fragments of %d bytes make a frame of %d", canon.ErrMalformed, f.Applied, contentLength)
 	}
-	whole, err = Read(head, j.buffer[FrameHead:])
+	whole, err = DecodeFrame(head, j.buffer[FrameHeaderSize:])
 	j.buffer = nil
 	if err == nil && whole.Kind == KindFragment {
 		err = fmt.Errorf("frame: %w: a fragment made of fragments", canon.ErrMalformed)
@@ -117,24 +117,24 @@
 	return append(to, content...)
 }
 
-// Length returns the content length from the header of a frame.
-func Length(head [FrameHead]byte) (int, error) {
+// ContentLength returns the content length from the header of a frame.
+func ContentLength(head [FrameHeaderSize]byte) (int, error) {
 	contentLength := binary.BigEndian.Uint32(head[:])
-	if contentLength == 0 || contentLength > MostFrame {
+	if contentLength == 0 || contentLength > MaxFrameSize {
 		return 0, fmt.Errorf("frame: %w: %d bytes long", canon.ErrMalformed, contentLength)
 	}
 	return int(contentLength), nil
 }
 
-// Read decodes a frame from its header and its content.
-func Read(head [FrameHead]byte, content []byte) (f Frame, err error) {
+// DecodeFrame decodes a frame from its header and its content.
+func DecodeFrame(head [FrameHeaderSize]byte, content []byte) (f Frame, err error) {
 	if xxhash.Sum64(content) != binary.BigEndian.Uint64(head[4:]) {
 		return f, fmt.Errorf("frame: %w: checksum mismatch", canon.ErrMalformed)
 	}
 	switch err = canon.Decode(content, &f); {
 	case err != nil:
 		err = fmt.Errorf("frame: %w", err)
-	case f.Kind < Hello || f.Kind > KindReadIndexReply || len(f.Commands)+len(f.Renewals) > maxListed:
+	case f.Kind < KindHello || f.Kind > KindReadIndexReply || len(f.Commands)+len(f.Renewals) > maxListed:
 		err = fmt.Errorf("frame: %w: kind %d with %d commands and %d renewals", canon.ErrMalformed, f.Kind, len(f.Commands), len(f.Renewals))
 	}
 	return f, err
--- a/internal/quorum/linearizability_test.go
+++ b/internal/quorum/linearizability_test.go
@@ -142,7 +142,7 @@
 					token := uint64(s.lastID)
 					open[token] = len(history)
 					history = append(history, porcupine.Operation{ClientId: i, Input: op, Call: int64(s.now * 1000), Return: 1 << 60, Output: operationResult{Unknown: true}})
-					g.handle(Propose{Token: token, Command: Command{Book: "cell", Kind: op.Kind, Data: canon.Encode(op)}})
+					g.handle(Propose{Token: token, Command: Command{StateMachine: "cell", Kind: op.Kind, Data: canon.Encode(op)}})
 				}
 			}
 			s.run(50+600*s.chance.Float64(), nil)
--- a/internal/quorum/liveness_test.go
+++ b/internal/quorum/liveness_test.go
@@ -64,7 +64,7 @@
 			s.run(500, nil)
 		}
 		for _, name := range s.names {
-			if m := s.gateways["v0"].node.members.Names[name]; m.Losses > 0 {
+			if m := s.gateways["v0"].node.members.Names[name]; m.LeaseExpirations > 0 {
 				t.Errorf("seed %d: the lease of %s expired", seed, name)
 			}
 		}
@@ -82,8 +82,8 @@
 			t.Errorf("seed %d: not converged after the last jump", seed)
 		}
 		for _, name := range s.names {
-			if m := s.gateways["v0"].node.members.Names[name]; m.Standing != Joined {
-				t.Errorf("seed %d: %s is %v", seed, name, m.Standing)
+			if m := s.gateways["v0"].node.members.Names[name]; m.State != MemberJoined {
+				t.Errorf("seed %d: %s is %v", seed, name, m.State)
 			}
 		}
 		s.checkConsistency()
@@ -98,8 +98,8 @@
 	for _, allSlow := range []bool{true, false} {
 		s := newRunningSim(t, 63, 3, 2)
 		for _, g := range s.gateways {
-			g.settings.Replace = 2500
-			g.node.settings.Replace = 2500
+			g.settings.ReplaceAfter = 2500
+			g.node.settings.ReplaceAfter = 2500
 		}
 		leader := s.leaders()[0]
 		slow := slices.DeleteFunc([]string{"v0", "v1", "v2"}, func(x string) bool { return !allSlow && x == leader })
--- a/internal/quorum/members.go
+++ b/internal/quorum/members.go
@@ -11,19 +11,19 @@
 
 // Member is one named gateway of the fleet, as recorded in the log.
 type Member struct {
-	Name        string      `cbor:"1,keyasint"`
-	Zone        string      `cbor:"2,keyasint"`
-	Address     string      `cbor:"3,keyasint"`
-	Incarnation uint64      `cbor:"4,keyasint"` // of its newest process; every start gets a new, higher one
-	Nonce       uint64      `cbor:"5,keyasint"` // random, drawn by that process, so that a join that is committed twice counts once
-	Identity    uint64      `cbor:"6,keyasint"` // of its store; 0: it has none, and cannot vote
-	Standing    MemberState `cbor:"7,keyasint"`
-	Since       uint64      `cbor:"8,keyasint"`  // the log index of its last change of Standing
-	Losses      uint64      `cbor:"9,keyasint"`  // how often its lease expired, or it was replaced without having left
-	Doubled     uint64      `cbor:"10,keyasint"` // the newest of its older processes that renewed a lease after being replaced
-	Seq         uint64      `cbor:"11,keyasint"` // sequence number of the last command applied
-	Works       bool        `cbor:"12,keyasint"` // it takes part in owned work
-	Starts      uint64      `cbor:"13,keyasint"` // how often its store was opened
+	Name                 string      `cbor:"1,keyasint"`
+	Zone                 string      `cbor:"2,keyasint"`
+	Address              string      `cbor:"3,keyasint"`
+	Incarnation          uint64      `cbor:"4,keyasint"` // of its newest process; every start gets a new, higher one
+	Nonce                uint64      `cbor:"5,keyasint"` // random, drawn by that process, so that a join that is committed twice counts once
+	Identity             uint64      `cbor:"6,keyasint"` // of its store; 0: it has none, and cannot vote
+	State                MemberState `cbor:"7,keyasint"`
+	Since                uint64      `cbor:"8,keyasint"`  // the log index of its last change of Standing
+	LeaseExpirations     uint64      `cbor:"9,keyasint"`  // how often its lease expired, or it was replaced without having left
+	DuplicateIncarnation uint64      `cbor:"10,keyasint"` // the newest of its older processes that renewed a lease after being replaced
+	Seq                  uint64      `cbor:"11,keyasint"` // sequence number of the last command applied
+	RunsOwnedWork        bool        `cbor:"12,keyasint"` // it takes part in owned work
+	Starts               uint64      `cbor:"13,keyasint"` // how often its store was opened
 }
 
 // The kinds of commands of this package's own state machine.
@@ -113,25 +113,25 @@
 	case member == nil:
 		return ErrUnknown
 	case c.Kind == cmdDoubled:
-		if reported.Incarnation >= member.Incarnation || reported.Incarnation <= member.Doubled {
+		if reported.Incarnation >= member.Incarnation || reported.Incarnation <= member.DuplicateIncarnation {
 			return ErrRepeated
 		}
-		member.Doubled = reported.Incarnation
+		member.DuplicateIncarnation = reported.Incarnation
 		return *member
 	case reported.Incarnation != member.Incarnation:
 		return ErrReplaced
 	case c.Kind != cmdLeave && reported.Since != member.Since:
 		return ErrRepeated // its state has changed since the command was proposed: a delayed or repeated command says nothing of the current state
 	}
-	next := map[string]MemberState{cmdLeave: Left, cmdSilent: Silent, cmdReturn: Joined}[c.Kind]
+	next := map[string]MemberState{cmdLeave: MemberLeft, cmdSilent: MemberSilent, cmdReturn: MemberJoined}[c.Kind]
 	// A member that has left does not return under the same incarnation, whatever commands arrive late.
-	if next == Unknown || member.Standing == next || member.Standing == Left || c.Kind == cmdSilent && member.Standing != Joined {
+	if next == MemberUnknown || member.State == next || member.State == MemberLeft || c.Kind == cmdSilent && member.State != MemberJoined {
 		return ErrRepeated
 	}
 	if c.Kind == cmdSilent {
-		member.Losses++
+		member.LeaseExpirations++
 	}
-	member.Standing, member.Since = next, index
+	member.State, member.Since = next, index
 	return *member
 }
 
@@ -152,12 +152,12 @@
 		// The sender knew only an older incarnation: a delayed join would otherwise replace the process that joined
 		// after it.
 		return ErrReplaced
-	} else if member.Standing == Joined {
-		member.Losses++
+	} else if member.State == MemberJoined {
+		member.LeaseExpirations++
 	}
 	m.LastIncarnation++
-	member.Zone, member.Address, member.Identity, member.Nonce, member.Works, member.Starts = joining.Zone, joining.Address, joining.Identity, joining.Nonce, joining.Works, joining.Starts
-	member.Incarnation, member.Standing, member.Since, member.Seq = m.LastIncarnation, Joined, index, 0
+	member.Zone, member.Address, member.Identity, member.Nonce, member.RunsOwnedWork, member.Starts = joining.Zone, joining.Address, joining.Identity, joining.Nonce, joining.RunsOwnedWork, joining.Starts
+	member.Incarnation, member.State, member.Since, member.Seq = m.LastIncarnation, MemberJoined, index, 0
 	return *member
 }
 
@@ -169,7 +169,7 @@
 	}
 	var oldest *Member
 	for _, member := range m.All() {
-		if member.Standing != Joined && (oldest == nil || member.Since < oldest.Since) {
+		if member.State != MemberJoined && (oldest == nil || member.Since < oldest.Since) {
 			oldest = member
 		}
 	}
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -28,7 +28,7 @@
 	storage          *raft.MemoryStorage
 	conf             *raftpb.ConfState
 	members          *Members
-	books            map[string]Book
+	books            map[string]StateMachine
 	applied          uint64
 	incarnation      uint64 // of this process; 0: not assigned yet
 	seq              uint64
@@ -116,12 +116,12 @@
 const initialIndex = 1
 
 // New returns a node with the state of its store. Each process must draw a nonce of its own.
-func New(settings Settings, store Store, books map[string]Book, nonce uint64, now float64) (*Node, error) {
+func New(settings Settings, store Store, books map[string]StateMachine, nonce uint64, now float64) (*Node, error) {
 	n := &Node{settings: settings, now: now, rng: chance.Source((settings.Seed^nonce)>>1 | 1), nonce: nonce, id: store.Identity, founding: store.Founding,
-		members: newMembers(settings.Members), books: books, emptyFounders: map[string]founderHello{}, lastRenewal: map[uint64]float64{},
+		members: newMembers(settings.MaxMembers), books: books, emptyFounders: map[string]founderHello{}, lastRenewal: map[uint64]float64{},
 		pendingRenewals: map[uint64]Renewal{}, proposedByLeader: map[leaderProposal]float64{}, peerNames: map[uint64]string{}, foreignPeers: map[string]bool{}, renewAt: now, joinAt: now,
 		starts: store.Starts + 1, highWaterMarks: map[uint64]HighWaterMark{}, retiring: map[string]bool{}}
-	maps.Copy(n.highWaterMarks, store.Marks)
+	maps.Copy(n.highWaterMarks, store.HighWaterMarks)
 	n.rng.Uint32()
 	if n.id.ID == 0 {
 		n.id = Identity{ID: n.randomID(), Name: settings.Name}
@@ -131,7 +131,7 @@
 	} else {
 		n.save(Record{Starts: n.starts}, nil) // synced before anything is sent: of two copies of one store the log accepts only one
 	}
-	if store.Snapshot != nil || store.Hard != nil {
+	if store.Snapshot != nil || store.HardState != nil {
 		if err := n.startRaft(store); err != nil {
 			return nil, err
 		}
@@ -155,13 +155,13 @@
 		}
 		n.conf = s.GetMetadata().GetConfState()
 	}
-	if store.Hard != nil {
-		n.storage.SetHardState(store.Hard)
+	if store.HardState != nil {
+		n.storage.SetHardState(store.HardState)
 	}
 	if err := n.storage.Append(store.Entries); err != nil {
 		return fmt.Errorf("store: entries: %w", err)
 	}
-	r, err := raft.NewRawNode(&raft.Config{ID: n.id.ID, ElectionTick: max(5, int(n.settings.Election/n.settings.Beat)), HeartbeatTick: 1,
+	r, err := raft.NewRawNode(&raft.Config{ID: n.id.ID, ElectionTick: max(5, int(n.settings.Election/n.settings.Heartbeat)), HeartbeatTick: 1,
 		Storage: n.storage, Applied: n.applied, MaxSizePerMsg: 256 << 10, MaxCommittedSizePerReady: 1 << 20,
 		MaxUncommittedEntriesSize: 4 << 20, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true,
 		DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: discardLogger{}})
@@ -189,7 +189,7 @@
 		}
 		if observer, ok := book.(MembershipObserver); ok && !found { // the snapshot was written before this state machine existed
 			for _, m := range n.members.All() {
-				observer.Member(index, *m)
+				observer.MemberChanged(index, *m)
 			}
 		}
 	}
@@ -225,7 +225,7 @@
 	switch e := e.(type) {
 	case Received:
 		n.handleFrame(e.From, e.Frame)
-	case Lost:
+	case SendFailed:
 		if id := n.voterID(e.To); n.raft != nil && id != 0 {
 			n.raft.ReportUnreachable(id)
 			n.raft.ReportSnapshot(id, raft.SnapshotFailure)
@@ -235,7 +235,7 @@
 		}
 	case Saved:
 		n.handleSaved(e.Took)
-	case Broken:
+	case DiskFailed:
 		n.broken, n.onSaved, n.raft, n.saveQueue = true, nil, nil, nil
 		n.logInfo("this gateway's store can't be written: it does not vote until it is restarted", "error", e.Err)
 	case Propose:
@@ -305,7 +305,7 @@
 	for i := 0; i+1 < len(fields); i += 2 {
 		f[fields[i].(string)] = fields[i+1]
 	}
-	n.emit(Say{Text: message, Fields: f})
+	n.emit(Log{Text: message, Fields: f})
 }
 
 // send emits a frame to a peer.
@@ -358,7 +358,7 @@
 // for more of the log, which it does along with its renewals: while commands are pending it renews at every beat.
 func (n *Node) nextRenewal() float64 {
 	if n.raft == nil && n.founding != nil && len(n.pending) > 0 {
-		return min(n.renewAt, n.renewedAt+n.settings.Beat)
+		return min(n.renewAt, n.renewedAt+n.settings.Heartbeat)
 	}
 	return n.renewAt
 }
@@ -381,8 +381,8 @@
 	}
 }
 
-// Leads reports whether this gateway is the leader, as far as it knows.
-func (n *Node) Leads() bool { return n.isLeader() }
+// IsLeader reports whether this gateway is the leader, as far as it knows.
+func (n *Node) IsLeader() bool { return n.isLeader() }
 
 // Incarnation returns that of this process; 0 before the log has assigned one, and after the process has left or
 // yielded.
@@ -447,7 +447,7 @@
 			// Ticks go on during a write, so that a hung disk costs the leadership. A process that was suspended
 			// catches up only on as many ticks as it takes to find out that it has lost its quorum.
 			for n.now >= n.heartbeatAt && n.isLeader() {
-				if n.heartbeatAt += n.settings.Beat; n.heartbeatAt < n.now-2*n.settings.Election {
+				if n.heartbeatAt += n.settings.Heartbeat; n.heartbeatAt < n.now-2*n.settings.Election {
 					n.heartbeatAt = n.now
 				}
 				n.raft.Tick()
@@ -504,15 +504,15 @@
 		if ready.SoftState != nil {
 			n.setLeader(ready.SoftState.Lead)
 		}
-		record := Record{Hard: ready.HardState, Entries: ready.Entries}
+		record := Record{HardState: ready.HardState, Entries: ready.Entries}
 		if len(record.Entries) > 0 {
-			record.Marks = maps.Clone(n.highWaterMarks) // stored along with writes that happen anyway
+			record.HighWaterMarks = maps.Clone(n.highWaterMarks) // stored along with writes that happen anyway
 		}
 		if ready.Snapshot != nil && ready.Snapshot.GetMetadata().GetIndex() > 0 {
 			record.Snapshot = ready.Snapshot
 		}
 		done := func() { n.finishReady(ready, record) }
-		if record.Hard == nil && len(record.Entries) == 0 && record.Snapshot == nil {
+		if record.HardState == nil && len(record.Entries) == 0 && record.Snapshot == nil {
 			done()
 			continue
 		}
@@ -535,8 +535,8 @@
 			n.conf = record.Snapshot.GetMetadata().GetConfState()
 		}
 	}
-	if record.Hard != nil {
-		n.storage.SetHardState(record.Hard)
+	if record.HardState != nil {
+		n.storage.SetHardState(record.HardState)
 	}
 	if err := n.storage.Append(record.Entries); err != nil {
 		n.broken, n.raft = true, nil
@@ -600,19 +600,19 @@
 	var result any
 	if err := n.members.checkSequence(c); err != nil {
 		result = err
-	} else if c.Book == membersBook {
+	} else if c.StateMachine == membersBook {
 		result = n.members.Apply(index, c)
 		n.memberChanged(c, result)
 		if result == ErrOldStore {
 			n.storeRejected(c)
 		}
-	} else if b := n.books[c.Book]; b != nil {
+	} else if b := n.books[c.StateMachine]; b != nil {
 		result = b.Apply(index, c)
 	} else {
 		result = ErrUnknown
 	}
 	n.outOfOrder = n.outOfOrder || result == ErrEarly && c.From == n.incarnation
-	n.emit(Agreed{Index: index, Command: c, Result: result})
+	n.emit(Committed{Index: index, Command: c, Result: result})
 	for i, p := range n.pending {
 		if c.From == n.incarnation && c.Seq == p.command.Seq && c.From != 0 && result != ErrEarly {
 			n.pending = slices.Delete(n.pending, i, i+1)
@@ -633,16 +633,16 @@
 	for _, name := range slices.Sorted(maps.Keys(n.books)) {
 		if observer, ok := n.books[name].(MembershipObserver); ok {
 			if n.members.evicted != "" {
-				observer.Member(n.applied, Member{Name: n.members.evicted})
+				observer.MemberChanged(n.applied, Member{Name: n.members.evicted})
 			}
-			observer.Member(n.applied, m)
+			observer.MemberChanged(n.applied, m)
 		}
 	}
 	n.members.evicted = ""
-	n.logInfo("member", "name", m.Name, "incarnation", m.Incarnation, "is", m.Standing.String(), "index", m.Since)
+	n.logInfo("member", "name", m.Name, "incarnation", m.Incarnation, "is", m.State.String(), "index", m.Since)
 	n.lastRenewal[m.Incarnation] = n.now
 	if c.Kind == cmdDoubled {
-		n.logInfo("two processes use one name: the older one has to yield", "name", m.Name, "older", m.Doubled, "newer", m.Incarnation)
+		n.logInfo("two processes use one name: the older one has to yield", "name", m.Name, "older", m.DuplicateIncarnation, "newer", m.Incarnation)
 	}
 	if m.Name == n.settings.Name {
 		n.ownMemberChanged(m)
@@ -680,10 +680,10 @@
 // compact drops log entries that no voter is expected to need, once enough have accumulated.
 func (n *Node) compact() {
 	first, err := n.storage.FirstIndex()
-	if n.settings.Keep <= 0 || err != nil || n.applied < first+uint64(2*n.settings.Keep) || n.conf == nil {
+	if n.settings.KeepEntries <= 0 || err != nil || n.applied < first+uint64(2*n.settings.KeepEntries) || n.conf == nil {
 		return
 	}
-	compactIndex := n.applied - uint64(n.settings.Keep)
+	compactIndex := n.applied - uint64(n.settings.KeepEntries)
 	snapshot, err := n.storage.CreateSnapshot(n.applied, n.conf, n.encodeState())
 	if err != nil || n.storage.Compact(compactIndex) != nil {
 		return
--- a/internal/quorum/peers.go
+++ b/internal/quorum/peers.go
@@ -31,17 +31,17 @@
 			n.send(from, Frame{Kind: KindFounding, Founding: n.founding})
 			return
 		}
-		if !n.foreignPeers[from] && len(n.foreignPeers) < n.settings.Members {
+		if !n.foreignPeers[from] && len(n.foreignPeers) < n.settings.MaxMembers {
 			n.foreignPeers[from] = true
 			n.logInfo("a peer belongs to another fleet: its frames are ignored", "name", from)
 		}
 		return
 	}
-	if len(n.peerNames) < n.settings.Members || n.peerNames[f.ID] != "" {
+	if len(n.peerNames) < n.settings.MaxMembers || n.peerNames[f.ID] != "" {
 		n.peerNames[f.ID] = from
 	}
 	switch f.Kind {
-	case Hello:
+	case KindHello:
 		n.handleHello(from, f)
 	case KindFounding:
 		n.adoptFounding(f)
@@ -94,7 +94,7 @@
 		n.emptyFounders[from] = founderHello{id: f.ID, heardAt: n.now}
 		n.foundFleet()
 	} else if f.EchoNonce != n.nonce {
-		n.send(from, Frame{Kind: Hello, Nonce: n.nonce, EchoNonce: f.Nonce})
+		n.send(from, Frame{Kind: KindHello, Nonce: n.nonce, EchoNonce: f.Nonce})
 	}
 }
 
@@ -127,11 +127,11 @@
 		n.save(Record{Founding: n.founding}, nil)
 		return
 	}
-	index, term, members := uint64(initialIndex), uint64(1), newMembers(n.settings.Members)
+	index, term, members := uint64(initialIndex), uint64(1), newMembers(n.settings.MaxMembers)
 	conf := &raftpb.ConfState{Voters: slices.Sorted(maps.Values(f.Founding.Voters))}
 	snapshot := &raftpb.Snapshot{Data: canon.Encode(replicatedState{Members: members.Save()}), Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &index, Term: &term}}
-	store := Store{Identity: n.id, Founding: n.founding, Snapshot: snapshot, Hard: &raftpb.HardState{Term: &term, Commit: &index}}
-	n.save(Record{Founding: n.founding, Snapshot: snapshot, Hard: store.Hard}, func() {
+	store := Store{Identity: n.id, Founding: n.founding, Snapshot: snapshot, HardState: &raftpb.HardState{Term: &term, Commit: &index}}
+	n.save(Record{Founding: n.founding, Snapshot: snapshot, HardState: store.HardState}, func() {
 		if err := n.startRaft(store); err != nil {
 			n.broken = true
 			n.logInfo("raft can't start: this gateway does not vote until it is restarted", "error", err)
@@ -186,7 +186,7 @@
 	case n.yielded || n.left:
 		n.emit(Outcome{Token: p.Token, Err: ErrYielded})
 		return
-	case len(n.pending) >= n.settings.Pending:
+	case len(n.pending) >= n.settings.MaxPending:
 		n.emit(Outcome{Token: p.Token, Err: ErrBusy})
 		return
 	case len(p.Command.Data) > maxCommandSize:
@@ -209,7 +209,7 @@
 		if n.now >= p.expiresAt() {
 			// Its sequence number must be used up, as later commands wait for it.
 			n.emit(Outcome{Token: p.token, Err: ErrGivenUp})
-			p.token, p.command = 0, Command{From: p.command.From, Seq: p.command.Seq, Book: membersBook, Kind: cmdNoop}
+			p.token, p.command = 0, Command{From: p.command.From, Seq: p.command.Seq, StateMachine: membersBook, Kind: cmdNoop}
 		}
 	}
 	if n.incarnation == 0 || n.onSaved != nil && n.isLeader() {
@@ -218,7 +218,7 @@
 	if n.outOfOrder && n.now >= n.reorderAt {
 		// A command was lost on its way. If it waited for its regular retry, new commands would be committed ahead of
 		// it again and again, and none of them be applied.
-		n.outOfOrder, n.reorderAt = false, n.now+n.settings.Beat
+		n.outOfOrder, n.reorderAt = false, n.now+n.settings.Heartbeat
 		for _, p := range n.pending {
 			p.sentAt = math.Inf(-1)
 		}
@@ -281,8 +281,8 @@
 	if m := n.members.Names[n.settings.Name]; m != nil {
 		previous = m.Incarnation
 	}
-	n.forward([]Command{{Book: membersBook, Kind: cmdJoin, Data: canon.Encode(Member{Name: n.settings.Name, Zone: n.settings.Zone, Address: n.settings.Address,
-		Nonce: n.nonce, Identity: id, Incarnation: previous, Works: n.settings.Works, Starts: n.starts})}})
+	n.forward([]Command{{StateMachine: membersBook, Kind: cmdJoin, Data: canon.Encode(Member{Name: n.settings.Name, Zone: n.settings.Zone, Address: n.settings.Address,
+		Nonce: n.nonce, Identity: id, Incarnation: previous, RunsOwnedWork: n.settings.RunsOwnedWork, Starts: n.starts})}})
 }
 
 // leave announces that this process ends, and transfers a leadership.
@@ -292,7 +292,7 @@
 		return
 	}
 	// Proposed first: raft drops proposals during a leadership transfer.
-	n.forward([]Command{{Book: membersBook, Kind: cmdLeave, Data: canon.Encode(Member{Name: n.settings.Name, Incarnation: n.incarnation})}})
+	n.forward([]Command{{StateMachine: membersBook, Kind: cmdLeave, Data: canon.Encode(Member{Name: n.settings.Name, Incarnation: n.incarnation})}})
 	n.transferLeadership()
 	n.left = true
 }
@@ -302,7 +302,7 @@
 func (n *Node) renew() {
 	if n.founding == nil {
 		for _, name := range slices.Sorted(maps.Keys(n.settings.Peers)) {
-			n.send(name, Frame{Kind: Hello, Nonce: n.nonce})
+			n.send(name, Frame{Kind: KindHello, Nonce: n.nonce})
 		}
 		n.foundFleet() // a single founder gets no Hello
 		return
@@ -387,9 +387,9 @@
 	m := n.members.Names[r.Name]
 	switch {
 	case m == nil:
-	case r.Incarnation < m.Incarnation && r.Incarnation > m.Doubled:
+	case r.Incarnation < m.Incarnation && r.Incarnation > m.DuplicateIncarnation:
 		n.proposeOnce(cmdDoubled, Member{Name: m.Name, Incarnation: r.Incarnation})
-	case r.Incarnation == m.Incarnation && m.Standing == Silent:
+	case r.Incarnation == m.Incarnation && m.State == MemberSilent:
 		n.proposeOnce(cmdReturn, Member{Name: m.Name, Incarnation: m.Incarnation, Since: m.Since})
 	}
 }
@@ -401,7 +401,7 @@
 		return
 	}
 	n.proposedByLeader[key] = n.now
-	n.raft.Propose(canon.Encode(Command{Book: membersBook, Kind: kind, Data: canon.Encode(m)}))
+	n.raft.Propose(canon.Encode(Command{StateMachine: membersBook, Kind: kind, Data: canon.Encode(m)}))
 }
 
 // checkLeases proposes at the leader that members with expired leases are silent. Nothing else does.
@@ -417,7 +417,7 @@
 		if !ok {
 			n.lastRenewal[member.Incarnation], renewedAt = n.now, n.now
 		}
-		if member.Standing == Joined && n.now > renewedAt+n.settings.Lease {
+		if member.State == MemberJoined && n.now > renewedAt+n.settings.Lease {
 			n.proposeOnce(cmdSilent, Member{Name: member.Name, Incarnation: member.Incarnation, Since: member.Since})
 		}
 	}
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -63,12 +63,12 @@
 // memberState returns the state of a member at all running gateways, which must agree.
 func (s *sim) memberState(name string) MemberState {
 	s.t.Helper()
-	state, seenAt := Unknown, ""
+	state, seenAt := MemberUnknown, ""
 	for _, gateway := range s.names {
 		if g := s.gateways[gateway]; g.up && !g.frozen && !g.node.yielded {
-			current := Unknown
+			current := MemberUnknown
 			if m := g.node.members.Names[name]; m != nil {
-				current = m.Standing
+				current = m.State
 			}
 			if seenAt != "" && current != state {
 				s.t.Errorf("%s is %v at %s and %v at %s", name, state, seenAt, current, gateway)
@@ -85,30 +85,30 @@
 	s := newRunningSim(t, 7, 3, 3)
 	s.run(10_000, nil)
 	for _, name := range s.names {
-		if s.memberState(name) != Joined || s.gateways["v0"].node.members.Names[name].Losses != 0 {
+		if s.memberState(name) != MemberJoined || s.gateways["v0"].node.members.Names[name].LeaseExpirations != 0 {
 			t.Errorf("%s is %v", name, s.memberState(name))
 		}
 	}
 	first := s.gateways["f1"].node.incarnation
 	s.freeze("f1")
-	if !s.run(6_000, func() bool { return s.gateways["v0"].node.members.Names["f1"].Standing == Silent }) {
+	if !s.run(6_000, func() bool { return s.gateways["v0"].node.members.Names["f1"].State == MemberSilent }) {
 		t.Error("f1 is suspended and not declared silent")
 	}
 	s.resume("f1")
 	s.run(3_000, nil)
-	if s.memberState("f1") != Joined || s.gateways["f1"].node.incarnation != first || s.gateways["v0"].node.members.Names["f1"].Losses != 1 {
+	if s.memberState("f1") != MemberJoined || s.gateways["f1"].node.incarnation != first || s.gateways["v0"].node.members.Names["f1"].LeaseExpirations != 1 {
 		t.Errorf("resumed, f1 is %v, incarnation %d then %d", s.memberState("f1"), first, s.gateways["f1"].node.incarnation)
 	}
 	s.gateways["f1"].handle(Leave{})
 	s.run(1_000, nil)
-	if s.memberState("f1") != Left {
+	if s.memberState("f1") != MemberLeft {
 		t.Errorf("after leaving f1 is %v", s.memberState("f1"))
 	}
 	s.kill("f1")
 	s.run(5_000, nil)
 	s.start("f1")
 	s.run(3_000, nil)
-	if s.memberState("f1") != Joined || s.gateways["f1"].node.incarnation <= first {
+	if s.memberState("f1") != MemberJoined || s.gateways["f1"].node.incarnation <= first {
 		t.Errorf("restarted, f1 is %v, incarnation %d after %d", s.memberState("f1"), s.gateways["f1"].node.incarnation, first)
 	}
 	s.checkConsistency()
@@ -127,8 +127,8 @@
 		s.run(2_500, nil)
 	}
 	for _, name := range s.names {
-		if m := s.gateways["v0"].node.members.Names[name]; m.Standing != Joined || m.Losses != 0 {
-			t.Errorf("%s is %v after %d losses", name, m.Standing, m.Losses)
+		if m := s.gateways["v0"].node.members.Names[name]; m.State != MemberJoined || m.LeaseExpirations != 0 {
+			t.Errorf("%s is %v after %d losses", name, m.State, m.LeaseExpirations)
 		}
 	}
 }
@@ -138,7 +138,7 @@
 func TestDuplicateName(t *testing.T) {
 	s := newRunningSim(t, 9, 3, 2)
 	older := s.gateways["f0"]
-	older.node.propose(Propose{Token: 900, Command: Command{Book: "ledger", Data: []byte("late")}})
+	older.node.propose(Propose{Token: 900, Command: Command{StateMachine: "ledger", Data: []byte("late")}})
 	delayed := older.node.pending[0].command // taken as a command delayed in the network
 	older.node.pending = nil
 	// A second process starts under the same name.
@@ -167,8 +167,8 @@
 	older.handle(Received{From: "v0", Frame: Frame{Kind: KindYield, Nonce: older.node.nonce}})
 	s.run(3000, nil)
 	for _, m := range s.gateways["v1"].node.members.All() {
-		if want := map[string]uint64{"f0": older.node.incarnation}[m.Name]; m.Doubled != want {
-			t.Errorf("older process of %s: %d, want %d", m.Name, m.Doubled, want)
+		if want := map[string]uint64{"f0": older.node.incarnation}[m.Name]; m.DuplicateIncarnation != want {
+			t.Errorf("older process of %s: %d, want %d", m.Name, m.DuplicateIncarnation, want)
 		}
 	}
 	if !older.node.yielded || newer.node.yielded {
@@ -264,7 +264,7 @@
 	for seed := range uint64(20) {
 		s := newSim(t, 100+seed, 3+2*int(seed%2), 2)
 		for _, g := range s.gateways {
-			g.settings.Replace = []float64{0, 2500, 8000}[seed%3]
+			g.settings.ReplaceAfter = []float64{0, 2500, 8000}[seed%3]
 		}
 		s.start(s.names...)
 		if !s.run(20_000, s.converged) {
@@ -337,7 +337,7 @@
 	s.start("v0")
 	s.run(50, nil) // its identity is synced
 	for _, name := range []string{"v1", "v2"} {
-		s.gateways["v0"].handle(Received{From: name, Frame: Frame{Kind: Hello, ID: 77, Nonce: 5, EchoNonce: s.gateways["v0"].node.nonce + 2}})
+		s.gateways["v0"].handle(Received{From: name, Frame: Frame{Kind: KindHello, ID: 77, Nonce: 5, EchoNonce: s.gateways["v0"].node.nonce + 2}})
 	}
 	if f := s.gateways["v0"].node.founding; f != nil {
 		t.Errorf("founded %v", f)
@@ -354,8 +354,8 @@
 	join(1, "a", 1)
 	m.Apply(2, Command{Kind: cmdLeave, Data: canon.Encode(Member{Name: "a", Incarnation: 1})})
 	for i, kind := range []string{cmdReturn, cmdSilent, cmdLeave} {
-		if r := m.Apply(uint64(3+i), Command{Kind: kind, Data: canon.Encode(Member{Name: "a", Incarnation: 1, Since: 2})}); r != ErrRepeated || m.Names["a"].Standing != Left {
-			t.Errorf("%s after leaving: %v, %v", kind, r, m.Names["a"].Standing)
+		if r := m.Apply(uint64(3+i), Command{Kind: kind, Data: canon.Encode(Member{Name: "a", Incarnation: 1, Since: 2})}); r != ErrRepeated || m.Names["a"].State != MemberLeft {
+			t.Errorf("%s after leaving: %v, %v", kind, r, m.Names["a"].State)
 		}
 	}
 	join(6, "b", 2)
@@ -467,7 +467,7 @@
 	for seed := range uint64(5) {
 		s := newSim(t, 300+seed, 3, 4)
 		for _, g := range s.gateways {
-			g.settings.Replace = 4000
+			g.settings.ReplaceAfter = 4000
 		}
 		s.start(s.names...)
 		if !s.run(20_000, s.converged) {
@@ -530,7 +530,7 @@
 func TestMassRestartReplacesNobody(t *testing.T) {
 	s := newSim(t, 320, 5, 3)
 	for _, g := range s.gateways {
-		g.settings.Replace = 4000
+		g.settings.ReplaceAfter = 4000
 	}
 	s.start(s.names...)
 	s.run(15_000, s.converged)
@@ -567,14 +567,14 @@
 	silence := Member{Name: "a", Incarnation: 1, Since: 1}
 	apply(2, cmdSilent, silence)
 	apply(3, cmdReturn, Member{Name: "a", Incarnation: 1, Since: 2})
-	if r := apply(4, cmdSilent, silence); r != ErrRepeated || m.Names["a"].Standing != Joined || m.Names["a"].Losses != 1 {
+	if r := apply(4, cmdSilent, silence); r != ErrRepeated || m.Names["a"].State != MemberJoined || m.Names["a"].LeaseExpirations != 1 {
 		t.Errorf("a repeated cmdSilent: %v, %+v", r, m.Names["a"])
 	}
 	apply(5, cmdJoin, Member{Name: "a", Nonce: 2, Incarnation: 1})
 	if r := apply(6, cmdJoin, Member{Name: "a", Nonce: 3, Incarnation: 1}); r != ErrReplaced || m.Names["a"].Nonce != 2 {
 		t.Errorf("a delayed join: %v, %+v", r, m.Names["a"])
 	}
-	if r := apply(7, cmdLeave, Member{Name: "a", Incarnation: 1}); r != ErrReplaced || m.Names["a"].Standing != Joined {
+	if r := apply(7, cmdLeave, Member{Name: "a", Incarnation: 1}); r != ErrReplaced || m.Names["a"].State != MemberJoined {
 		t.Errorf("a delayed leave: %v, %+v", r, m.Names["a"])
 	}
 	if r, ok := apply(8, cmdJoin, Member{Name: "a", Nonce: 3, Incarnation: 2}).(Member); !ok || r.Incarnation != 3 {
@@ -629,12 +629,12 @@
 func TestBrokenGatewayFollows(t *testing.T) {
 	s := newRunningSim(t, 36, 3, 0)
 	g := s.gateways["v1"]
-	g.handle(Broken{Err: errors.New("read-only")})
+	g.handle(DiskFailed{Err: errors.New("read-only")})
 	s.propose("v0", "after")
 	if !s.run(10_000, func() bool { return slices.Contains(g.ledger.Lines, "after") }) {
 		t.Errorf("with a failed disk it has %v", g.ledger.Lines)
 	}
-	if g.handle(Propose{Token: 7000, Command: Command{Book: "ledger", Data: make([]byte, maxCommandSize+1)}}); g.outcome[7000].Err != ErrLarge {
+	if g.handle(Propose{Token: 7000, Command: Command{StateMachine: "ledger", Data: make([]byte, maxCommandSize+1)}}); g.outcome[7000].Err != ErrLarge {
 		t.Errorf("too large: %v", g.outcome[7000])
 	}
 }
@@ -687,7 +687,7 @@
 	}
 	s.kill(leader)
 	s.run(1500, nil)
-	if s.memberState(leader) != Left {
+	if s.memberState(leader) != MemberLeft {
 		t.Errorf("%s is %v", leader, s.memberState(leader))
 	}
 }
--- a/internal/quorum/readindex.go
+++ b/internal/quorum/readindex.go
@@ -37,21 +37,21 @@
 // maxInFlight limits the unanswered requests, and the rounds in progress at the leader.
 const maxInFlight = 16
 
-// Sight returns the time of its own clock up to which this gateway has seen all committed commands; false: not known
+// FreshAsOf returns the time of its own clock up to which this gateway has seen all committed commands; false: not known
 // yet.
-func (n *Node) Sight() (float64, bool) { return n.readIndex.freshAsOf, n.readIndex.known }
+func (n *Node) FreshAsOf() (float64, bool) { return n.readIndex.freshAsOf, n.readIndex.known }
 
 // pollReadIndex sends a request when one is due, and starts a round of confirmation at the leader.
 func (n *Node) pollReadIndex() {
 	state := &n.readIndex
-	if n.settings.Sight <= 0 || n.founding == nil {
+	if n.settings.ReadIndexInterval <= 0 || n.founding == nil {
 		return
 	}
 	if n.now >= state.nextRequest && (n.leader != "" || n.isLeader()) {
 		if state.sentAt == nil {
 			state.sentAt = map[uint64]float64{}
 		}
-		state.nextRequest = n.now + n.settings.Sight
+		state.nextRequest = n.now + n.settings.ReadIndexInterval
 		state.lastSeq++
 		state.sentAt[state.lastSeq] = n.now
 		delete(state.sentAt, state.lastSeq-maxInFlight)
@@ -66,7 +66,7 @@
 		if state.inFlight == nil {
 			state.inFlight = map[uint64]map[string]Frame{}
 		}
-		state.inFlight[state.round], state.waiting, state.nextRound = state.waiting, nil, n.now+n.settings.Beat/2
+		state.inFlight[state.round], state.waiting, state.nextRound = state.waiting, nil, n.now+n.settings.Heartbeat/2
 		delete(state.inFlight, state.round-maxInFlight)
 		n.raft.ReadIndex(binary.BigEndian.AppendUint64(nil, state.round))
 	}
@@ -74,7 +74,7 @@
 
 // readIndexDue returns when pollReadIndex has something to do; false: nothing.
 func (n *Node) readIndexDue() (due float64, ok bool) {
-	if n.settings.Sight <= 0 || n.founding == nil {
+	if n.settings.ReadIndexInterval <= 0 || n.founding == nil {
 		return 0, false
 	}
 	switch {
@@ -94,7 +94,7 @@
 	if n.readIndex.waiting == nil {
 		n.readIndex.waiting = map[string]Frame{}
 	}
-	if _, waiting := n.readIndex.waiting[from]; waiting || len(n.readIndex.waiting) < n.settings.Members {
+	if _, waiting := n.readIndex.waiting[from]; waiting || len(n.readIndex.waiting) < n.settings.MaxMembers {
 		n.readIndex.waiting[from] = f
 	}
 }
--- a/internal/quorum/readindex_test.go
+++ b/internal/quorum/readindex_test.go
@@ -13,7 +13,7 @@
 	for seed := range uint64(20) {
 		s := newSim(t, 900+seed, 3, 2)
 		for _, g := range s.gateways {
-			g.settings.Sight, g.settings.Keep = 200, []int{4, 50}[seed%2]
+			g.settings.ReadIndexInterval, g.settings.KeepEntries = 200, []int{4, 50}[seed%2]
 		}
 		s.start(s.names...)
 		if !s.run(20_000, s.converged) {
@@ -36,7 +36,7 @@
 				if !g.up || g.frozen {
 					continue
 				}
-				at, knows := g.node.Sight()
+				at, knows := g.node.FreshAsOf()
 				for _, commit := range commits {
 					if knows && commit.at < at && g.node.applied < commit.index {
 						t.Fatalf("seed %d: at %.0f ms %s claims to have seen all before %.0f, and has not applied index %d, committed at %.0f", seed, s.now, name, at, commit.index, commit.at)
@@ -96,7 +96,7 @@
 		}
 		s.run(20_000, check)
 		for _, name := range s.names {
-			if at, _ := s.gateways[name].node.Sight(); s.now-at > 1000 {
+			if at, _ := s.gateways[name].node.FreshAsOf(); s.now-at > 1000 {
 				t.Errorf("seed %d: %s is %.0f ms behind", seed, name, s.now-at)
 			}
 		}
--- a/internal/quorum/recover.go
+++ b/internal/quorum/recover.go
@@ -12,7 +12,7 @@
 
 // TokenAllocator is a Book that gives out numbers which must be higher than all given out before, also when those are
 // not known. Leap skips a range that none of them can have reached.
-type TokenAllocator interface{ Leap() }
+type TokenAllocator interface{ SkipTokens() }
 
 // incarnationLeap is added to the last incarnation when a fleet is recovered from a store: more than can have been
 // assigned since that store was written.
@@ -20,23 +20,23 @@
 
 // Recovery describes the fleet that a store belongs to, and the one recovered from it.
 type Recovery struct {
-	Name     string   `json:"name"`
-	Fleet    uint64   `json:"fleet"`
-	Identity uint64   `json:"identity"`
-	Starts   uint64   `json:"starts"`
-	Term     uint64   `json:"term"`
-	Agreed   uint64   `json:"agreed"` // commit index known to the store
-	Last     uint64   `json:"last"`   // index of its last entry
-	Voters   []string `json:"voters"`
-	Members  int      `json:"members"`
-	Next     uint64   `json:"next_fleet,omitempty"` // 0: none was recovered
+	Name        string   `json:"name"`
+	Fleet       uint64   `json:"fleet"`
+	Identity    uint64   `json:"identity"`
+	Starts      uint64   `json:"starts"`
+	Term        uint64   `json:"term"`
+	CommitIndex uint64   `json:"agreed"` // commit index known to the store
+	LastIndex   uint64   `json:"last"`   // index of its last entry
+	Voters      []string `json:"voters"`
+	Members     int      `json:"members"`
+	NextFleet   uint64   `json:"next_fleet,omitempty"` // 0: none was recovered
 }
 
 // Recover creates a new fleet from a store whose fleet has lost its majority for good. Its gateway is the only voter,
 // all entries in the store count as committed, and incarnations and tokens skip all that can have been given out. The
 // record is to be written to that store; no other copy of the store may be in use. Books are the state machines of
 // the gateway; the nonce must be a fresh random number.
-func Recover(store Store, books map[string]Book, nonce uint64) (Record, Recovery, error) {
+func Recover(store Store, books map[string]StateMachine, nonce uint64) (Record, Recovery, error) {
 	report := Recovery{Name: store.Identity.Name, Identity: store.Identity.ID, Starts: store.Starts}
 	switch {
 	case store.Identity.ID == 0 || store.Founding == nil:
@@ -58,22 +58,22 @@
 			n.applied = e.GetIndex()
 		}
 	}
-	report.Fleet, report.Term, report.Agreed, report.Last, report.Members = store.Founding.Cluster, store.Hard.GetTerm(), max(store.Hard.GetCommit(), meta.GetIndex()), n.applied, len(n.members.Names)
+	report.Fleet, report.Term, report.CommitIndex, report.LastIndex, report.Members = store.Founding.Cluster, store.HardState.GetTerm(), max(store.HardState.GetCommit(), meta.GetIndex()), n.applied, len(n.members.Names)
 	for _, id := range voters {
 		report.Voters = append(report.Voters, n.nameOf(id))
 	}
 	n.members.LastIncarnation += incarnationLeap
 	for _, book := range books {
 		if allocator, ok := book.(TokenAllocator); ok {
-			allocator.Leap()
+			allocator.SkipTokens()
 		}
 	}
 	n.rng.Uint32()
 	id := Identity{ID: n.randomID(), Name: store.Identity.Name}
 	predecessors := append([]uint64{store.Founding.Cluster}, store.Founding.Predecessors...)
 	founding := &Founding{Cluster: n.randomID(), Voters: map[string]uint64{id.Name: id.ID}, Predecessors: predecessors[:min(len(predecessors), 16)]}
-	report.Next = founding.Cluster
+	report.NextFleet = founding.Cluster
 	index, term := n.applied+1, report.Term+1
 	snapshot := &raftpb.Snapshot{Data: n.encodeState(), Metadata: &raftpb.SnapshotMetadata{ConfState: &raftpb.ConfState{Voters: []uint64{id.ID}}, Index: &index, Term: &term}}
-	return Record{Identity: &id, Starts: 1, Founding: founding, Anew: true, Snapshot: proto.Clone(snapshot).(*raftpb.Snapshot), Hard: &raftpb.HardState{Term: &term, Commit: &index}}, report, nil
+	return Record{Identity: &id, Starts: 1, Founding: founding, Reset: true, Snapshot: proto.Clone(snapshot).(*raftpb.Snapshot), HardState: &raftpb.HardState{Term: &term, Commit: &index}}, report, nil
 }
--- a/internal/quorum/report.go
+++ b/internal/quorum/report.go
@@ -18,29 +18,29 @@
 	Applied     uint64         `json:"applied"`
 	Age         float64        `json:"age_ms"` // since it last heard from the leader or its upstream voter
 	Voters      []string       `json:"voters"`
-	Moving      bool           `json:"moving"`   // a joint configuration is in effect: it needs a majority of both the old and the new voters
+	JointConfig bool           `json:"moving"`   // a joint configuration is in effect: it needs a majority of both the old and the new voters
 	Majority    bool           `json:"majority"` // whether a majority can commit, as far as this gateway knows
-	Open        int            `json:"open"`     // its uncommitted commands
+	Pending     int            `json:"open"`     // its uncommitted commands
 	Frames      uint64         `json:"frames"`   // sent to peers since the start
 	Members     []MemberReport `json:"members"`
 }
 
 // MemberReport is one member in a Report.
 type MemberReport struct {
-	Name        string  `json:"name"`
-	Zone        string  `json:"zone"`
-	Address     string  `json:"address"`
-	Incarnation uint64  `json:"incarnation"`
-	Standing    string  `json:"standing"`
-	Since       uint64  `json:"since"`
-	Losses      uint64  `json:"losses"`
-	Votes       bool    `json:"votes"`
-	Heard       float64 `json:"heard_ms,omitempty"` // at the leader: since its last renewal
+	Name         string  `json:"name"`
+	Zone         string  `json:"zone"`
+	Address      string  `json:"address"`
+	Incarnation  uint64  `json:"incarnation"`
+	State        string  `json:"standing"`
+	Since        uint64  `json:"since"`
+	Losses       uint64  `json:"losses"`
+	Votes        bool    `json:"votes"`
+	SinceRenewal float64 `json:"heard_ms,omitempty"` // at the leader: since its last renewal
 }
 
 // Report returns the current state.
 func (n *Node) Report(now float64) Report {
-	report := Report{Name: n.settings.Name, Identity: n.id.ID, Incarnation: n.incarnation, Leader: n.leader, Applied: n.applied, Open: len(n.pending), Role: "follower"}
+	report := Report{Name: n.settings.Name, Identity: n.id.ID, Incarnation: n.incarnation, Leader: n.leader, Applied: n.applied, Pending: len(n.pending), Role: "follower"}
 	if n.founding != nil {
 		report.Cluster = n.founding.Cluster
 	}
@@ -59,7 +59,7 @@
 		report.Role = "voter"
 	}
 	if n.raft != nil {
-		report.Term, report.Moving = n.raft.BasicStatus().GetTerm(), len(n.conf.GetVotersOutgoing()) > 0
+		report.Term, report.JointConfig = n.raft.BasicStatus().GetTerm(), len(n.conf.GetVotersOutgoing()) > 0
 		report.Age = max(0, now-n.leaderHeardAt)
 	} else {
 		report.Age = max(0, now-n.upstreamHeardAt)
@@ -69,14 +69,14 @@
 		report.Age, report.Majority = 0, !n.diskHung
 	}
 	for _, member := range n.members.All() {
-		memberReport := MemberReport{Name: member.Name, Zone: member.Zone, Address: member.Address, Incarnation: member.Incarnation, Standing: member.Standing.String(),
-			Since: member.Since, Losses: member.Losses}
+		memberReport := MemberReport{Name: member.Name, Zone: member.Zone, Address: member.Address, Incarnation: member.Incarnation, State: member.State.String(),
+			Since: member.Since, Losses: member.LeaseExpirations}
 		if member.Identity != 0 && n.roleOf(member.Identity) == roleVoter {
 			memberReport.Votes = true
 			report.Voters = append(report.Voters, member.Name)
 		}
 		if at, ok := n.lastRenewal[member.Incarnation]; ok && n.isLeader() {
-			memberReport.Heard = now - at
+			memberReport.SinceRenewal = now - at
 		}
 		report.Members = append(report.Members, memberReport)
 	}
--- a/internal/quorum/sim_test.go
+++ b/internal/quorum/sim_test.go
@@ -69,7 +69,7 @@
 }
 
 func (d *disk) apply(r Record) {
-	if r.Anew {
+	if r.Reset {
 		d.hard, d.snapshot, d.entries = nil, nil, nil
 	}
 	if r.Identity != nil {
@@ -78,8 +78,8 @@
 	if r.Starts > 0 {
 		d.starts = r.Starts
 	}
-	if r.Marks != nil {
-		d.marks = r.Marks
+	if r.HighWaterMarks != nil {
+		d.marks = r.HighWaterMarks
 	}
 	if r.Founding != nil {
 		d.founding = r.Founding
@@ -99,15 +99,15 @@
 			d.entries = append(d.entries, proto.Clone(e).(*raftpb.Entry))
 		}
 	}
-	if r.Hard != nil {
-		d.hard = proto.Clone(r.Hard).(*raftpb.HardState)
+	if r.HardState != nil {
+		d.hard = proto.Clone(r.HardState).(*raftpb.HardState)
 	}
 }
 
 func (d disk) store() Store {
-	store := Store{Identity: d.identity, Starts: d.starts, Marks: maps.Clone(d.marks), Founding: d.founding, Entries: slices.Clone(d.entries)}
+	store := Store{Identity: d.identity, Starts: d.starts, HighWaterMarks: maps.Clone(d.marks), Founding: d.founding, Entries: slices.Clone(d.entries)}
 	if d.hard != nil {
-		store.Hard = proto.Clone(d.hard).(*raftpb.HardState)
+		store.HardState = proto.Clone(d.hard).(*raftpb.HardState)
 	}
 	if d.snapshot != nil {
 		store.Snapshot = proto.Clone(d.snapshot).(*raftpb.Snapshot)
@@ -166,7 +166,7 @@
 			founders = append(founders, name)
 		}
 		set := Defaults()
-		set.Name, set.Zone, set.Seed, set.Peers, set.Keep = name, fmt.Sprintf("club-%d", i%3), seed, map[string]string{}, 50
+		set.Name, set.Zone, set.Seed, set.Peers, set.KeepEntries = name, fmt.Sprintf("club-%d", i%3), seed, map[string]string{}, 50
 		s.gateways[name] = &simGateway{s: s, settings: set, syncMS: 1, clockRate: 1, outcome: map[uint64]Outcome{}}
 		s.names = append(s.names, name)
 	}
@@ -212,7 +212,7 @@
 		g.generation++
 		g.ledger = &ledger{}
 		var err error
-		g.node, err = New(g.settings, g.disk.store(), map[string]Book{"ledger": g.ledger, "cell": &valueAndLease{}}, uint64(s.chance.Uint32())<<8|uint64(g.generation), g.clock())
+		g.node, err = New(g.settings, g.disk.store(), map[string]StateMachine{"ledger": g.ledger, "cell": &valueAndLease{}}, uint64(s.chance.Uint32())<<8|uint64(g.generation), g.clock())
 		if err != nil {
 			s.t.Fatal(err)
 		}
@@ -287,14 +287,14 @@
 					return
 				}
 				if g.diskFails {
-					g.handle(Broken{Err: fmt.Errorf("disk full")})
+					g.handle(DiskFailed{Err: fmt.Errorf("disk full")})
 					return
 				}
 				g.disk.apply(a.Record)
 				g.handle(Saved{Took: g.syncMS})
 			})
-		case Agreed:
-			entry := fmt.Sprintf("%s %s %x %d %d", a.Command.Book, a.Command.Kind, a.Command.Data, a.Command.From, a.Command.Seq)
+		case Committed:
+			entry := fmt.Sprintf("%s %s %x %d %d", a.Command.StateMachine, a.Command.Kind, a.Command.Data, a.Command.From, a.Command.Seq)
 			if a.Command.Kind == "snapshot" {
 				continue
 			}
@@ -307,7 +307,7 @@
 			if s.onOutcome != nil {
 				s.onOutcome(a.Token, a)
 			}
-		case Say:
+		case Log:
 			g.logLines = append(g.logLines, fmt.Sprintf("%.0f %s %v", s.now, a.Text, a.Fields))
 		}
 	}
@@ -343,9 +343,9 @@
 			if s.cut[[2]string{from, a.To}] || !to.up {
 				return
 			}
-			var head [FrameHead]byte
+			var head [FrameHeaderSize]byte
 			copy(head[:], encoded)
-			f, err := Read(head, encoded[FrameHead:])
+			f, err := DecodeFrame(head, encoded[FrameHeaderSize:])
 			if err != nil {
 				s.t.Fatal(err)
 			}
@@ -410,7 +410,7 @@
 func (s *sim) propose(name, text string) uint64 {
 	s.lastID++
 	token := uint64(s.lastID)
-	s.gateways[name].handle(Propose{Token: token, Command: Command{Book: "ledger", Kind: "line", Data: []byte(text)}})
+	s.gateways[name].handle(Propose{Token: token, Command: Command{StateMachine: "ledger", Kind: "line", Data: []byte(text)}})
 	return token
 }
 
--- a/internal/quorum/storecheck.go
+++ b/internal/quorum/storecheck.go
@@ -52,7 +52,7 @@
 	if logTerm > mark.LogTerm || logTerm == mark.LogTerm && index > mark.Index {
 		mark.LogTerm, mark.Index = logTerm, index
 	}
-	if _, known := n.highWaterMarks[m.GetFrom()]; known || len(n.highWaterMarks) < n.settings.Members {
+	if _, known := n.highWaterMarks[m.GetFrom()]; known || len(n.highWaterMarks) < n.settings.MaxMembers {
 		n.highWaterMarks[m.GetFrom()] = mark
 	}
 }
@@ -74,7 +74,7 @@
 func (n *Node) runStoreCheck() {
 	check := n.storeCheck
 	if n.onSaved != nil { // the count of starts has to be synced first
-		check.deadline, check.nextQuery = max(check.deadline, n.now+n.settings.Beat), max(check.nextQuery, n.now+n.settings.Beat/2)
+		check.deadline, check.nextQuery = max(check.deadline, n.now+n.settings.Heartbeat), max(check.nextQuery, n.now+n.settings.Heartbeat/2)
 		return
 	}
 	if n.now >= check.deadline {
@@ -88,7 +88,7 @@
 	if n.now < check.nextQuery {
 		return
 	}
-	check.nextQuery = n.now + n.settings.Beat
+	check.nextQuery = n.now + n.settings.Heartbeat
 	peers := map[string]bool{}
 	maps.Copy(peers, check.awaiting)
 	for _, name := range append(slices.Sorted(maps.Keys(n.settings.Peers)), slices.Sorted(maps.Keys(n.members.Names))...) {
--- a/internal/quorum/storecheck_test.go
+++ b/internal/quorum/storecheck_test.go
@@ -19,7 +19,7 @@
 // diskCopy returns a copy of the disk.
 func (g *simGateway) diskCopy() disk {
 	store := g.disk.store()
-	return disk{identity: store.Identity, starts: store.Starts, marks: store.Marks, founding: store.Founding, hard: store.Hard, snapshot: store.Snapshot, entries: store.Entries}
+	return disk{identity: store.Identity, starts: store.Starts, marks: store.HighWaterMarks, founding: store.Founding, hard: store.HardState, snapshot: store.Snapshot, entries: store.Entries}
 }
 
 // A voter's store is restored to an old copy after the voter has acknowledged entries that only it and the leader
@@ -115,8 +115,8 @@
 		lastIncarnation := s.gateways["v0"].node.members.LastIncarnation
 		s.kill("v1", "v2", "v0")
 		s.run(5000, nil)
-		record, recovery, err := Recover(s.gateways[survivor].disk.store(), map[string]Book{"ledger": &ledger{}}, 5+seed)
-		if err != nil || recovery.Last < 4 || len(recovery.Voters) != 3 {
+		record, recovery, err := Recover(s.gateways[survivor].disk.store(), map[string]StateMachine{"ledger": &ledger{}}, 5+seed)
+		if err != nil || recovery.LastIndex < 4 || len(recovery.Voters) != 3 {
 			t.Fatalf("%+v, %v", recovery, err)
 		}
 		s.gateways[survivor].disk.apply(record)
@@ -132,7 +132,7 @@
 			s.start(lost...)
 		}
 		if !s.run(60_000, func() bool {
-			return s.converged() && len(s.gateways[survivor].node.conf.Voters) == 3 && s.gateways[lost[0]].node.founding.Cluster == recovery.Next && s.gateways[lost[1]].node.founding.Cluster == recovery.Next
+			return s.converged() && len(s.gateways[survivor].node.conf.Voters) == 3 && s.gateways[lost[0]].node.founding.Cluster == recovery.NextFleet && s.gateways[lost[1]].node.founding.Cluster == recovery.NextFleet
 		}) {
 			t.Fatalf("seed %d: %d voters, converged %t: %v", seed, len(s.gateways[survivor].node.conf.Voters), s.converged(), s.gateways[lost[0]].logLines)
 		}
@@ -141,7 +141,7 @@
 			t.Errorf("seed %d: %v", seed, s.lines())
 		}
 		for _, m := range s.gateways[survivor].node.members.All() {
-			if m.Standing == Joined && m.Incarnation <= lastIncarnation {
+			if m.State == MemberJoined && m.Incarnation <= lastIncarnation {
 				t.Errorf("seed %d: %s has incarnation %d, %d was assigned before", seed, m.Name, m.Incarnation, lastIncarnation)
 			}
 		}
@@ -163,7 +163,7 @@
 			t.Errorf("%.0f times the delay: %s leads in place of %s", factor, current, leader)
 		}
 		for _, m := range s.gateways[s.names[0]].node.members.All() {
-			if m.Losses > 0 {
+			if m.LeaseExpirations > 0 {
 				t.Errorf("%.0f times the delay: the lease of %s expired", factor, m.Name)
 			}
 		}
--- a/internal/quorum/voters.go
+++ b/internal/quorum/voters.go
@@ -40,7 +40,7 @@
 // in the same joint configuration change that removes the old voter. Nothing is proposed unless a majority of the
 // voters is active without the one that is gone, as the change itself needs a majority.
 func (n *Node) replaceVoters() {
-	if n.settings.Replace <= 0 || !n.isLeader() || len(n.conf.GetVotersOutgoing()) > 0 || n.now < n.voterChange.proposedAt+n.settings.Election {
+	if n.settings.ReplaceAfter <= 0 || !n.isLeader() || len(n.conf.GetVotersOutgoing()) > 0 || n.now < n.voterChange.proposedAt+n.settings.Election {
 		return
 	}
 	progress := n.raft.Status().Progress
@@ -51,7 +51,7 @@
 	var outgoing uint64
 	for _, id := range n.conf.GetVoters() {
 		member := n.memberByIdentity(id)
-		if id == n.id.ID || member != nil && member.Standing == Joined && progress[id].RecentActive {
+		if id == n.id.ID || member != nil && member.State == MemberJoined && progress[id].RecentActive {
 			active++
 			delete(n.voterChange.goneSince, id)
 			if outgoing == 0 && id != n.id.ID && n.retiring[member.Name] {
@@ -63,7 +63,7 @@
 		if !known {
 			n.voterChange.goneSince[id], since = n.now, n.now
 		}
-		if outgoing == 0 && n.now >= max(since, n.voterChange.leaderSince)+n.settings.Replace {
+		if outgoing == 0 && n.now >= max(since, n.voterChange.leaderSince)+n.settings.ReplaceAfter {
 			outgoing = id
 		}
 	}
@@ -72,7 +72,7 @@
 		member := n.memberByIdentity(id)
 		learnerProgress := progress[id]
 		switch {
-		case member == nil || member.Standing != Joined || outgoing == 0 && !n.tooFewVoters() || n.now > n.voterChange.learnerSince+4*n.settings.Replace:
+		case member == nil || member.State != MemberJoined || outgoing == 0 && !n.tooFewVoters() || n.now > n.voterChange.learnerSince+4*n.settings.ReplaceAfter:
 			// The learner is gone, or the voter it was to replace is back.
 			n.proposeConfChange("learner removed", id, raftpb.ConfChangeType_ConfChangeRemoveNode)
 		case 2*active > len(n.conf.GetVoters()) && learnerProgress.Match+16 > n.applied && learnerProgress.Match > 0:
@@ -95,7 +95,7 @@
 	}
 	var candidate *Member
 	for _, member := range n.members.All() {
-		if member.Standing == Joined && member.Identity != 0 && n.roleOf(member.Identity) == roleNone && !n.retiring[member.Name] && (candidate == nil || zones[member.Zone] < zones[candidate.Zone]) {
+		if member.State == MemberJoined && member.Identity != 0 && n.roleOf(member.Identity) == roleNone && !n.retiring[member.Name] && (candidate == nil || zones[member.Zone] < zones[candidate.Zone]) {
 			candidate = member
 		}
 	}
@@ -121,7 +121,7 @@
 // tooFewVoters reports whether the fleet has fewer voters than configured, as after the loss of a majority. No voter
 // is added while another one is gone: of the resulting two voters, one alone is no majority.
 func (n *Node) tooFewVoters() bool {
-	target := n.settings.Votes
+	target := n.settings.TargetVoters
 	if target == 0 {
 		target = len(n.settings.Founders)
 	}
@@ -201,5 +201,5 @@
 	if founding != nil {
 		n.founding = founding
 	}
-	n.save(Record{Identity: &n.id, Starts: n.starts, Founding: founding, Anew: true}, nil)
+	n.save(Record{Identity: &n.id, Starts: n.starts, Founding: founding, Reset: true}, nil)
 }
--- a/internal/rehearsal/sockets/control.go
+++ b/internal/rehearsal/sockets/control.go
@@ -88,7 +88,7 @@
 			job.Places = append(job.Places, name)
 		})
 	}
-	command := &quorum.Command{Book: owned.Book, Kind: owner.Start, Data: canon.Encode(job)}
+	command := &quorum.Command{StateMachine: owned.Book, Kind: owner.Start, Data: canon.Encode(job)}
 	for i := 0; s.ctx.Err() == nil; i++ {
 		if r, err := s.Call(i%len(s.gateways), drive.Question{Command: command}, 2*time.Second); err == nil && r.Error == "" {
 			return
@@ -109,7 +109,7 @@
 		var limits purges.Limits
 		if r, err := s.Call(gateway, drive.Question{About: "purge limits"}, time.Second); err == nil && r.Error == "" && json.Unmarshal(r.Body, &limits) == nil {
 			order := purges.Order{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &limits}
-			command := &quorum.Command{Book: sweep.Book, Kind: purges.Accept, Data: canon.Encode(order)}
+			command := &quorum.Command{StateMachine: sweep.Book, Kind: purges.Accept, Data: canon.Encode(order)}
 			if r, err := s.Call(gateway, drive.Question{Command: command, About: "purge", Name: a.ID}, 2*time.Second); err == nil && r.Error == "" && json.Unmarshal(r.Body, &accepted) == nil {
 				break
 			}
--- a/internal/rehearsal/sockets/maintenance_test.go
+++ b/internal/rehearsal/sockets/maintenance_test.go
@@ -152,7 +152,7 @@
 // submitOrder submits a maintenance command. The second result reports whether a gateway answered.
 func (mc *machineCluster) submitOrder(kind string, o maintenance.Order, from int) (error, bool) {
 	o.At = float64(time.Now().UnixMilli())
-	return mc.call(drive.Question{Command: &quorum.Command{Book: machines.Book, Kind: kind, Data: canon.Encode(o)}}, nil, from)
+	return mc.call(drive.Question{Command: &quorum.Command{StateMachine: machines.Book, Kind: kind, Data: canon.Encode(o)}}, nil, from)
 }
 
 // requestMaintenance requests a maintenance window for each machine and starts the machines' agents.
@@ -375,7 +375,7 @@
 		mc.inject(script.Event{Do: "part", Name: mc.names[0], For: 4000})
 		mc.inject(script.Event{Do: "part", Name: mc.names[1], For: 4000, OneWay: true})
 		o := maintenance.Order{At: float64(time.Now().UnixMilli()), Request: &maintenance.Request{ID: "r-" + rest[0], Machine: rest[0], Takes: windowMillis}}
-		r, err := mc.stage.Call(0, drive.Question{Command: &quorum.Command{Book: machines.Book, Kind: maintenance.Ask, Data: canon.Encode(o)}}, 1500*time.Millisecond)
+		r, err := mc.stage.Call(0, drive.Question{Command: &quorum.Command{StateMachine: machines.Book, Kind: maintenance.Ask, Data: canon.Encode(o)}}, 1500*time.Millisecond)
 		if err == nil && r.Error == "" {
 			t.Errorf("a gateway without a majority took a request: %+v", r)
 		}
--- a/internal/rehearsal/sockets/quorum_test.go
+++ b/internal/rehearsal/sockets/quorum_test.go
@@ -168,7 +168,7 @@
 // may not survive another fault.
 func hasVoters(all []*quorum.Report, n int) bool {
 	l := leader(all)
-	return l >= 0 && len(all[l].Voters) == n && !all[l].Moving
+	return l >= 0 && len(all[l].Voters) == n && !all[l].JointConfig
 }
 
 // member returns the entry of a gateway in a report.
@@ -190,7 +190,7 @@
 			return false
 		}
 		for _, m := range r.Members {
-			if m.Standing != "joined" {
+			if m.State != "joined" {
 				return false
 			}
 		}
@@ -207,7 +207,7 @@
 		c.inject(script.Event{Do: "freeze", Name: c.names[old], For: 4000})
 		c.waitForReports("another gateway leads and reports the old leader as silent", func(all []*quorum.Report) bool {
 			l := leader(all)
-			return all[old] == nil && l >= 0 && all[l].Term > before[old].Term && member(all[l], c.names[old]).Standing == "silent"
+			return all[old] == nil && l >= 0 && all[l].Term > before[old].Term && member(all[l], c.names[old]).State == "silent"
 		})
 		after := c.waitForReports("all converged again", c.converged)
 		if m := member(after[0], c.names[old]); m.Losses != 1 || m.Incarnation != before[old].Incarnation || leader(after) == old && after[old].Term == before[old].Term {
@@ -255,7 +255,7 @@
 		replaced := c.waitForReports("another gateway replaces the lost voter", func(all []*quorum.Report) bool {
 			n := 0
 			for i, r := range all {
-				if i != lost && r != nil && (r.Role == "leader" || r.Role == "voter") && len(r.Voters) == 3 && !r.Moving && !member(r, c.names[lost]).Votes {
+				if i != lost && r != nil && (r.Role == "leader" || r.Role == "voter") && len(r.Voters) == 3 && !r.JointConfig && !member(r, c.names[lost]).Votes {
 					n++
 				}
 			}
@@ -264,7 +264,7 @@
 		c.inject(script.Event{Do: "kill", Name: c.names[next], For: 50_000})
 		c.waitForReports("two of three voters commit a loss", func(all []*quorum.Report) bool {
 			l := leader(all)
-			return l >= 0 && l != next && all[l].Term >= replaced[leader(replaced)].Term && member(all[l], c.names[next]).Standing == "silent"
+			return l >= 0 && l != next && all[l].Term >= replaced[leader(replaced)].Term && member(all[l], c.names[next]).State == "silent"
 		})
 	})
 }
