--- a/cmd/poppymill/machines.go
+++ b/cmd/poppymill/machines.go
@@ -56,7 +56,7 @@
 }
 
 // queryMachines checks the number of arguments and queries the gateway at the address in the first one.
-func queryMachines(ctx context.Context, cmd *cli.Command, args int, q drive.Question, dst any) (drive.Reply, error) {
+func queryMachines(ctx context.Context, cmd *cli.Command, args int, q drive.Query, dst any) (drive.Reply, error) {
 	if cmd.Args().Len() != args {
 		return drive.Reply{}, usageError(fmt.Errorf("machines %s: takes %s", cmd.Name, cmd.ArgsUsage))
 	}
@@ -64,11 +64,11 @@
 }
 
 // sendMachinesQuery queries the gateway at the address in the first argument and stores the body of the reply in dst.
-func sendMachinesQuery(ctx context.Context, cmd *cli.Command, q drive.Question, dst any) (drive.Reply, error) {
+func sendMachinesQuery(ctx context.Context, cmd *cli.Command, q drive.Query, dst any) (drive.Reply, error) {
 	q.Fresh = cmd.Bool("fresh")
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
-	r, err := drive.Put(ctx, cmd.Args().First(), q)
+	r, err := drive.SendQuery(ctx, cmd.Args().First(), q)
 	if err == nil && r.Error != "" {
 		if !r.Report.Majority {
 			r.Error += fmt.Sprintf(" (%s sees no majority)", r.Report.Name)
@@ -101,7 +101,7 @@
 
 func machinesList(ctx context.Context, cmd *cli.Command) error {
 	var reply machinesReply
-	r, err := queryMachines(ctx, cmd, 1, drive.Question{About: "machines"}, &reply)
+	r, err := queryMachines(ctx, cmd, 1, drive.Query{Subject: "machines"}, &reply)
 	if err != nil {
 		return err
 	}
@@ -137,7 +137,7 @@
 
 func machinesShow(ctx context.Context, cmd *cli.Command) error {
 	var m machines.Machine
-	r, err := queryMachines(ctx, cmd, 2, drive.Question{About: "machine", Name: cmd.Args().Get(1)}, &m)
+	r, err := queryMachines(ctx, cmd, 2, drive.Query{Subject: "machine", Name: cmd.Args().Get(1)}, &m)
 	if err != nil {
 		return err
 	}
@@ -208,7 +208,7 @@
 		}
 		request := maintenance.Request{ID: id, Machine: name, Takes: float64(cmd.Duration("for").Milliseconds()), By: by, NotBefore: notBefore, Why: cmd.String("why")}
 		var m machines.Machine
-		_, err := sendMachinesQuery(ctx, cmd, drive.Question{About: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.Book, Kind: maintenance.Ask,
+		_, err := sendMachinesQuery(ctx, cmd, drive.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.Book, Kind: maintenance.Ask,
 			Data: canon.Encode(maintenance.Order{At: float64(now.UnixMilli()), Request: &request})}}, &m)
 		if err != nil {
 			failed++
@@ -224,7 +224,7 @@
 }
 
 func machinesCancel(ctx context.Context, cmd *cli.Command) error {
-	_, err := queryMachines(ctx, cmd, 2, drive.Question{Command: &quorum.Command{StateMachine: machines.Book, Kind: maintenance.Cancel,
+	_, err := queryMachines(ctx, cmd, 2, drive.Query{Command: &quorum.Command{StateMachine: machines.Book, Kind: maintenance.Cancel,
 		Data: canon.Encode(maintenance.Order{At: float64(time.Now().UnixMilli()), ID: cmd.Args().Get(1)})}}, nil)
 	return err
 }
@@ -234,7 +234,7 @@
 	return func(ctx context.Context, cmd *cli.Command) error {
 		var m machines.Machine
 		name := cmd.Args().Get(1)
-		_, err := queryMachines(ctx, cmd, 2, drive.Question{About: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.Book, Kind: kind,
+		_, err := queryMachines(ctx, cmd, 2, drive.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.Book, Kind: kind,
 			Data: canon.Encode(maintenance.Order{At: float64(time.Now().UnixMilli()), Machine: name, Token: cmd.Uint64("token")})}}, &m)
 		if err != nil {
 			return err
@@ -256,7 +256,7 @@
 
 func machinesPlan(ctx context.Context, cmd *cli.Command) error {
 	var schedule scheduleReply
-	r, err := queryMachines(ctx, cmd, 1, drive.Question{About: "plan"}, &schedule)
+	r, err := queryMachines(ctx, cmd, 1, drive.Query{Subject: "plan"}, &schedule)
 	if err != nil {
 		return err
 	}
@@ -290,7 +290,7 @@
 	lastText := ""
 	for {
 		var reply machinesReply
-		r, err := queryMachines(ctx, cmd, 1, drive.Question{About: "machines"}, &reply)
+		r, err := queryMachines(ctx, cmd, 1, drive.Query{Subject: "machines"}, &reply)
 		if err != nil {
 			return err
 		}
@@ -316,7 +316,7 @@
 
 func machinesHistory(ctx context.Context, cmd *cli.Command) error {
 	var ended []maintenance.Ended
-	r, err := queryMachines(ctx, cmd, 1, drive.Question{About: "ended"}, &ended)
+	r, err := queryMachines(ctx, cmd, 1, drive.Query{Subject: "ended"}, &ended)
 	if err != nil {
 		return err
 	}
--- a/cmd/poppymill/purge.go
+++ b/cmd/poppymill/purge.go
@@ -45,7 +45,7 @@
 	defer cancel()
 	address := cmd.Args().First()
 	if kind == purges.Accept {
-		r, err := drive.Put(ctx, address, drive.Question{About: "purge limits"})
+		r, err := drive.SendQuery(ctx, address, drive.Query{Subject: "purge limits"})
 		if err == nil && r.Error != "" {
 			err = errors.New(r.Error)
 		}
@@ -58,7 +58,7 @@
 		}
 	}
 	o.At = float64(time.Now().UnixMilli())
-	r, err := drive.Put(ctx, address, drive.Question{Command: &quorum.Command{StateMachine: purgesdrive.Book, Kind: kind, Data: canon.Encode(o)}})
+	r, err := drive.SendQuery(ctx, address, drive.Query{Command: &quorum.Command{StateMachine: purgesdrive.Book, Kind: kind, Data: canon.Encode(o)}})
 	switch {
 	case err != nil:
 		return cli.Exit(fmt.Sprintf("purge %s: %s: %v; the command may have been accepted: repeat it with the same id", cmd.Name, address, err), 1)
@@ -128,7 +128,7 @@
 func queryPurge(ctx context.Context, cmd *cli.Command, id string) (x purgesdrive.Purge, err error) {
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
-	r, err := drive.Put(ctx, cmd.Args().First(), drive.Question{About: "purge", Name: id, Fresh: cmd.Bool("fresh")})
+	r, err := drive.SendQuery(ctx, cmd.Args().First(), drive.Query{Subject: "purge", Name: id, Fresh: cmd.Bool("fresh")})
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
 	}
@@ -183,7 +183,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
-	r, err := drive.Put(ctx, cmd.Args().First(), drive.Question{About: about, Fresh: cmd.Bool("fresh")})
+	r, err := drive.SendQuery(ctx, cmd.Args().First(), drive.Query{Subject: about, Fresh: cmd.Bool("fresh")})
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
 	}
--- a/cmd/poppymill/quorum.go
+++ b/cmd/poppymill/quorum.go
@@ -49,7 +49,7 @@
 			ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 			defer cancel()
 			statuses[i].Address = address
-			if r, err := drive.Put(ctx, address, drive.Question{Fresh: cmd.Bool("fresh")}); err != nil {
+			if r, err := drive.SendQuery(ctx, address, drive.Query{Fresh: cmd.Bool("fresh")}); err != nil {
 				statuses[i].Error = err.Error()
 			} else if r.Error != "" {
 				statuses[i].Error = r.Error
--- a/internal/gateway/quorum_member.go
+++ b/internal/gateway/quorum_member.go
@@ -20,7 +20,7 @@
 // quorumMember is this gateway's membership in the quorum of gateways, if the operator enables it. It has a loop of its
 // own; the loop that serves downloads neither waits for it nor depends on it.
 type quorumMember struct {
-	council *drive.Council // nil if disabled
+	council *drive.Replica // nil if disabled
 	log     logrus.FieldLogger
 	cancel  context.CancelFunc
 }
@@ -53,7 +53,7 @@
 	proxy.Known(-1)
 	machinePart, purgePart := machines.Open(o.Machines, jobRunner, proxy, log), purges.Open(o.Purges, jobRunner, proxy, log)
 	core.Purges(zone, o.Purges.Held(), o.Purges.On, proxy.knownUntil.at, p.now)
-	if m.council, err = drive.Open(b, c.Name, zone, maxPeerConns(c), drive.Parts{jobRunner, machinePart, purgePart},
+	if m.council, err = drive.Open(b, c.Name, zone, maxPeerConns(c), drive.Subsystems{jobRunner, machinePart, purgePart},
 		log); err == nil && o.Machines.On {
 		core.OnNodesChanged(func(there map[string]bool) { m.council.Post(machines.Nodes{There: there}) })
 	}
--- a/internal/maintenance/drive/coordinator.go
+++ b/internal/maintenance/drive/coordinator.go
@@ -51,10 +51,10 @@
 	state         *maintenance.Book
 	crew          *owned.Crew
 	core          Core
-	council       *agreement.Council
+	council       *agreement.Replica
 	log           logrus.FieldLogger
-	status        agreement.Followed // this gateway's standing in the quorum, as of the last event
-	now           float64            // ms, by the loop's clock, as are the next three
+	status        agreement.LogAdvanced // this gateway's standing in the quorum, as of the last event
+	now           float64               // ms, by the loop's clock, as are the next three
 	nextCheck     float64
 	lastTick      float64
 	nextPlan      float64            // earliest time of the next plan, so that planning a large fleet does not block the loop
@@ -97,16 +97,16 @@
 		loggedStages: map[string]string{}, unixMillis: func() float64 { return float64(time.Now().UnixMilli()) }}
 }
 
-// Books returns its state machine under its name in the log.
-func (y *Yard) Books() map[string]quorum.StateMachine {
+// StateMachines returns its state machine under its name in the log.
+func (y *Yard) StateMachines() map[string]quorum.StateMachine {
 	return map[string]quorum.StateMachine{Book: stateMachine{y.state}}
 }
 
-// Begin sets the council that commands are proposed to.
-func (y *Yard) Begin(c *agreement.Council) { y.council = c }
+// Start sets the council that commands are proposed to.
+func (y *Yard) Start(c *agreement.Replica) { y.council = c }
 
-// Next returns the time of the next check.
-func (y *Yard) Next() float64 {
+// NextDeadline returns the time of the next check.
+func (y *Yard) NextDeadline() float64 {
 	if len(y.state.Works) == 0 && (!y.block.On || y.status.Incarnation == 0) {
 		return math.Inf(1)
 	}
@@ -123,7 +123,7 @@
 func (y *Yard) Handle(now float64, e any) {
 	y.now = now
 	switch e := e.(type) {
-	case agreement.Followed:
+	case agreement.LogAdvanced:
 		y.status = e
 		y.logStages()
 		y.changed = true
@@ -280,8 +280,8 @@
 	}
 }
 
-// Allow checks whether operators, or a machine's agent, may propose a command.
-func (y *Yard) Allow(c quorum.Command) error {
+// CheckCommand checks whether operators, or a machine's agent, may propose a command.
+func (y *Yard) CheckCommand(c quorum.Command) error {
 	switch c.Kind {
 	case maintenance.Ask, maintenance.Cancel, maintenance.Withdraw, maintenance.Drain, maintenance.Go, maintenance.Back, maintenance.SetPeak:
 		var o maintenance.Order
@@ -316,8 +316,8 @@
 	return answer
 }
 
-// Tell answers an operator's question.
-func (y *Yard) Tell(about, name string) (any, error) {
+// Query answers an operator's question.
+func (y *Yard) Query(about, name string) (any, error) {
 	switch about {
 	case "machines":
 		all := []Machine{}
@@ -335,5 +335,5 @@
 	case "ended":
 		return append([]maintenance.Ended{}, y.state.Ended...), nil
 	}
-	return nil, agreement.ErrNotMine
+	return nil, agreement.ErrUnknownSubject
 }
--- a/internal/owner/drive/crew.go
+++ b/internal/owner/drive/crew.go
@@ -41,10 +41,10 @@
 	block       Block
 	agent       *owner.Agent
 	place       *place.Place
-	council     *agreement.Council
+	council     *agreement.Replica
 	handlers    map[string]Hand
 	log         logrus.FieldLogger
-	followed    agreement.Followed
+	followed    agreement.LogAdvanced
 	loggedIndex uint64 // log index up to which changes were written to the program's log
 	queue       []any  // events that arrived while another was being handled
 	handling    bool
@@ -88,16 +88,16 @@
 	return c, nil
 }
 
-// Books returns the state machines that this part keeps in the log.
-func (c *Crew) Books() map[string]quorum.StateMachine {
+// StateMachines returns the state machines that this part keeps in the log.
+func (c *Crew) StateMachines() map[string]quorum.StateMachine {
 	return map[string]quorum.StateMachine{Book: stateMachine{c.agent.Book}}
 }
 
-// Begin sets the council.
-func (c *Crew) Begin(council *agreement.Council) { c.council = council }
+// Start sets the council.
+func (c *Crew) Start(council *agreement.Replica) { c.council = council }
 
-// Next returns the time of the next deadline.
-func (c *Crew) Next() float64 {
+// NextDeadline returns the time of the next deadline.
+func (c *Crew) NextDeadline() float64 {
 	if !c.block.On {
 		return math.Inf(1)
 	}
@@ -151,13 +151,13 @@
 
 func (c *Crew) handle(e any) {
 	switch e := e.(type) {
-	case agreement.Followed:
+	case agreement.LogAdvanced:
 		c.followed = e
 		c.logChanges(e.Restored)
 		c.perform(c.agent.Handle(c.now, owner.Followed{Name: e.Name, Incarnation: e.Incarnation, Leads: e.Leads}))
-	case agreement.Leaving:
+	case agreement.ShuttingDown:
 		c.perform(c.agent.Handle(c.now, owner.Leaving{}))
-	case agreement.Asked:
+	case agreement.PeerRequest:
 		c.handleFrame(e)
 	case nil:
 		if c.now >= c.agent.Next() {
@@ -233,7 +233,7 @@
 }
 
 // handleFrame processes an effect from another gateway, or the result of an effect sent by this one.
-func (c *Crew) handleFrame(asked agreement.Asked) {
+func (c *Crew) handleFrame(asked agreement.PeerRequest) {
 	if asked.Frame.Kind == quorum.KindEffectResult {
 		var r place.Result
 		if canon.Decode(asked.Frame.Data, &r) == nil && r.End >= owner.Ran && r.End <= owner.Refused {
@@ -264,8 +264,8 @@
 	answer(refusal)
 }
 
-// Allow reports whether an operator may propose a command.
-func (c *Crew) Allow(command quorum.Command) error {
+// CheckCommand reports whether an operator may propose a command.
+func (c *Crew) CheckCommand(command quorum.Command) error {
 	switch command.Kind {
 	case owner.Start:
 		var j owner.Job
@@ -299,8 +299,8 @@
 	return nil
 }
 
-// Tell answers an operator's query.
-func (c *Crew) Tell(subject, name string) (any, error) {
+// Query answers an operator's query.
+func (c *Crew) Query(subject, name string) (any, error) {
 	switch subject {
 	case "jobs":
 		list := []owner.Report{}
@@ -325,7 +325,7 @@
 		}
 		return list[max(0, len(list)-maxEntriesPerReply):], nil
 	}
-	return nil, agreement.ErrNotMine
+	return nil, agreement.ErrUnknownSubject
 }
 
 // maxEntriesPerReply bounds the effects in one reply, which has to fit into a frame.
--- a/internal/owner/drive/crew_test.go
+++ b/internal/owner/drive/crew_test.go
@@ -31,7 +31,7 @@
 	send := func(e place.Effect) place.Result {
 		t.Helper()
 		results := make(chan place.Result, 1)
-		c.Handle(0, agreement.Asked{From: "g", Frame: quorum.Frame{Kind: quorum.KindEffect, Data: canon.Encode(e)}, Answer: func(f quorum.Frame) {
+		c.Handle(0, agreement.PeerRequest{From: "g", Frame: quorum.Frame{Kind: quorum.KindEffect, Data: canon.Encode(e)}, Answer: func(f quorum.Frame) {
 			var r place.Result
 			if err := canon.Decode(f.Data, &r); err != nil {
 				t.Error(err)
@@ -44,7 +44,7 @@
 	if r := send(e); r.End != owner.NeverRan || !strings.Contains(r.Why, "has not followed") {
 		t.Errorf("before it has applied the log: %+v", r)
 	}
-	c.Handle(0, agreement.Followed{Name: "h", Incarnation: 2})
+	c.Handle(0, agreement.LogAdvanced{Name: "h", Incarnation: 2})
 	if r := send(e); r.End != owner.Ran {
 		t.Errorf("%+v", r)
 	}
@@ -63,7 +63,7 @@
 		{owner.Start, owner.Job{Kind: "warm", Type: owner.Unsafe}, "type: steps of warm are safe"}, {owner.Start, owner.Job{Kind: Drill, Places: []string{"z"}}, `places: 0: no gateway "z"`},
 		{owner.Start, owner.Job{Kind: Drill}, ""}, {owner.Stop, owner.Claim{}, ""},
 	} {
-		err := c.Allow(quorum.Command{StateMachine: Book, Kind: x.kind, Data: canon.Encode(x.data)})
+		err := c.CheckCommand(quorum.Command{StateMachine: Book, Kind: x.kind, Data: canon.Encode(x.data)})
 		if got := ""; err != nil {
 			if got = err.Error(); x.want == "" || !strings.Contains(got, x.want) {
 				t.Errorf("%s %+v: %s, want %s", x.kind, x.data, got, x.want)
@@ -72,7 +72,7 @@
 			t.Errorf("%s %+v is allowed", x.kind, x.data)
 		}
 	}
-	if _, err := c.Tell("job", "none"); err == nil {
+	if _, err := c.Query("job", "none"); err == nil {
 		t.Error("no error for an unknown job")
 	}
 	if err := c.Close(); err != nil {
--- a/internal/purges/drive/service.go
+++ b/internal/purges/drive/service.go
@@ -54,9 +54,9 @@
 	book           *purges.Book
 	crew           *owned.Crew
 	core           Core
-	council        *agreement.Council
+	council        *agreement.Replica
 	log            logrus.FieldLogger
-	followed       agreement.Followed
+	followed       agreement.LogAdvanced
 	now            float64
 	nextCheck      float64
 	tickedAt       float64
@@ -93,16 +93,16 @@
 	return &Sweep{block: b, book: purges.New(), crew: crew, core: core, log: log, pending: map[string]float64{}, loggedStages: map[string]purges.Stage{}}
 }
 
-// Books returns the state machines that the service replicates.
-func (s *Sweep) Books() map[string]quorum.StateMachine {
+// StateMachines returns the state machines that the service replicates.
+func (s *Sweep) StateMachines() map[string]quorum.StateMachine {
 	return map[string]quorum.StateMachine{Book: logAdapter{s.book}}
 }
 
-// Begin sets the council through which commands are proposed.
-func (s *Sweep) Begin(c *agreement.Council) { s.council = c }
+// Start sets the council through which commands are proposed.
+func (s *Sweep) Start(c *agreement.Replica) { s.council = c }
 
-// Next returns the time of the next check; +Inf if no purge is open.
-func (s *Sweep) Next() float64 {
+// NextDeadline returns the time of the next check; +Inf if no purge is open.
+func (s *Sweep) NextDeadline() float64 {
 	if s.followed.Incarnation == 0 || !s.book.AnyOpen() {
 		return math.Inf(1)
 	}
@@ -121,10 +121,10 @@
 func (s *Sweep) Handle(now float64, e any) {
 	s.now = now
 	if s.block.On {
-		s.core.Known(s.council.Sight())
+		s.core.Known(s.council.ViewAge())
 	}
 	switch event := e.(type) {
-	case agreement.Followed:
+	case agreement.LogAdvanced:
 		s.followed = event
 		s.publishMarks(event.Restored)
 		s.logStages()
@@ -219,8 +219,8 @@
 	}
 }
 
-// Allow checks whether an operator may propose a command. The limits of a purge must be those of this gateway.
-func (s *Sweep) Allow(c quorum.Command) error {
+// CheckCommand checks whether an operator may propose a command. The limits of a purge must be those of this gateway.
+func (s *Sweep) CheckCommand(c quorum.Command) error {
 	var o purges.Order
 	if err := canon.Decode(c.Data, &o); err != nil {
 		return err
@@ -265,8 +265,8 @@
 	Misses  float64 `json:"misses"`  // fills per second that it last reported
 }
 
-// Tell answers an operator's question.
-func (s *Sweep) Tell(about, name string) (any, error) {
+// Query answers an operator's question.
+func (s *Sweep) Query(about, name string) (any, error) {
 	switch about {
 	case "purge limits":
 		if !s.block.On {
@@ -294,5 +294,5 @@
 		}
 		return map[string]any{"held": s.book.Shelf.Len(), "floor": s.book.Shelf.Floor, "purges": all[max(0, len(all)-500):]}, nil
 	}
-	return nil, agreement.ErrNotMine
+	return nil, agreement.ErrUnknownSubject
 }
--- a/internal/quorum/drive/council.go
+++ b/internal/quorum/drive/council.go
@@ -25,9 +25,9 @@
 // inboxCapacity limits the events queued for the loop. Further ones are dropped, as frames may be on a network.
 const inboxCapacity = 4096
 
-// Council runs one gateway's node of the replicated log. It has an event loop of its own, which nothing that serves
+// Replica runs one gateway's node of the replicated log. It has an event loop of its own, which nothing that serves
 // downloads waits for.
-type Council struct {
+type Replica struct {
 	node      *quorum.Node
 	peers     *peers
 	store     *store             // nil: this gateway only follows
@@ -37,29 +37,29 @@
 	start     time.Time
 	lastToken uint64
 	pending   map[uint64]func(quorum.Outcome) // callbacks of the proposed commands, by token
-	part      Part                            // nil: none
-	notified  Followed                        // the last state passed to the part; Restored: not passed on yet
+	part      Subsystem                       // nil: none
+	notified  LogAdvanced                     // the last state passed to the part; Restored: not passed on yet
 	advanced  bool                            // whether the log advanced since
 }
 
 // call is a function in the inbox, to be called by the loop.
 type call func()
 
-// Part is a subsystem that runs in the council's loop on top of the replicated log. Its methods are called from that
+// Subsystem is a subsystem that runs in the council's loop on top of the replicated log. Its methods are called from that
 // loop and must not block.
-type Part interface {
-	// Books returns its state machines by name.
-	Books() map[string]quorum.StateMachine
-	// Begin passes it the council, before any event.
-	Begin(c *Council)
+type Subsystem interface {
+	// StateMachines returns its state machines by name.
+	StateMachines() map[string]quorum.StateMachine
+	// Start passes it the council, before any event.
+	Start(c *Replica)
 	// Handle processes a Followed, an Asked, a Leaving or an event passed to Council.Post; nil only advances the time.
 	Handle(now float64, e any)
-	// Next returns when Handle has to be called again at the latest, in ms.
-	Next() float64
-	// Tell answers an operator's query. The answer is sent as JSON.
-	Tell(about, name string) (any, error)
-	// Allow returns an error if an operator may not propose a command.
-	Allow(quorum.Command) error
+	// NextDeadline returns when Handle has to be called again at the latest, in ms.
+	NextDeadline() float64
+	// Query answers an operator's query. The answer is sent as JSON.
+	Query(about, name string) (any, error)
+	// CheckCommand returns an error if an operator may not propose a command.
+	CheckCommand(quorum.Command) error
 	// Idle reports whether the process may end, after a Leaving.
 	Idle() bool
 	// Close releases its resources when the loop ends.
@@ -68,22 +68,22 @@
 
 // Events of a Part.
 type (
-	// Followed reports that the log advanced, or that this gateway's own state in it changed. With incarnation 0 the
+	// LogAdvanced reports that the log advanced, or that this gateway's own state in it changed. With incarnation 0 the
 	// gateway must not propose commands.
-	Followed struct {
+	LogAdvanced struct {
 		Name        string
 		Incarnation uint64
 		Leads       bool
 		Restored    bool // a snapshot replaced the whole state
 	}
-	// Asked is a peer's request that is not part of the replication itself. Answer may be called from any goroutine.
-	Asked struct {
+	// PeerRequest is a peer's request that is not part of the replication itself. Answer may be called from any goroutine.
+	PeerRequest struct {
 		From   string
 		Frame  quorum.Frame
 		Answer func(quorum.Frame)
 	}
-	// Leaving announces that this process is about to end.
-	Leaving struct{}
+	// ShuttingDown announces that this process is about to end.
+	ShuttingDown struct{}
 )
 
 const (
@@ -95,12 +95,12 @@
 
 // Open reads the store and listens for peers, with maxConns connections at most; Run then starts the loop. Without a
 // store, or with an unusable one, this gateway follows and never votes. An unusable store is logged with its error.
-func Open(b Block, name, zone string, maxConns int, part Part, log logrus.FieldLogger) (*Council, error) {
+func Open(b Block, name, zone string, maxConns int, part Subsystem, log logrus.FieldLogger) (*Replica, error) {
 	var books map[string]quorum.StateMachine
 	if part != nil {
-		books = part.Books()
+		books = part.StateMachines()
 	}
-	c := &Council{part: part, inbox: make(chan any, inboxCapacity), writes: make(chan quorum.Record, 1), log: log, start: time.Now(), pending: map[uint64]func(quorum.Outcome){}}
+	c := &Replica{part: part, inbox: make(chan any, inboxCapacity), writes: make(chan quorum.Record, 1), log: log, start: time.Now(), pending: map[uint64]func(quorum.Outcome){}}
 	var seed [16]byte
 	rand.Read(seed[:])
 	settings := b.Settings
@@ -156,14 +156,14 @@
 			c.post(call(func() { c.answerQuestion(f, answer) }))
 		case quorum.KindEffect, quorum.KindEffectResult:
 			if part != nil {
-				c.Post(Asked{From: from, Frame: f, Answer: answer})
+				c.Post(PeerRequest{From: from, Frame: f, Answer: answer})
 			}
 		default:
 			c.post(quorum.Received{From: from, Frame: f})
 		}
 	}
 	if part != nil {
-		part.Begin(c)
+		part.Start(c)
 	}
 	return c, nil
 }
@@ -180,13 +180,13 @@
 }
 
 // Address returns the address on which this gateway listens for peers.
-func (c *Council) Address() string { return c.peers.listener.Addr().String() }
+func (c *Replica) Address() string { return c.peers.listener.Addr().String() }
 
 // now returns the ms since the start.
-func (c *Council) now() float64 { return float64(time.Since(c.start)) / float64(time.Millisecond) }
+func (c *Replica) now() float64 { return float64(time.Since(c.start)) / float64(time.Millisecond) }
 
 // post queues an event for the loop. It drops the event when the inbox is full.
-func (c *Council) post(e any) {
+func (c *Replica) post(e any) {
 	select {
 	case c.inbox <- e:
 	default:
@@ -194,22 +194,22 @@
 }
 
 // Post queues an event for the part. It may be called from any goroutine, and drops the event when the inbox is full.
-func (c *Council) Post(e any) {
+func (c *Replica) Post(e any) {
 	c.post(call(func() { c.part.Handle(c.now(), e) }))
 }
 
 // Send sends a frame to a peer; the frame may be lost. When it is certain that no byte of it was sent, notSent is
 // called, from any goroutine; it may be nil. Send must be called from the loop, like all that a Part calls unless it
 // says otherwise.
-func (c *Council) Send(to string, f quorum.Frame, notSent func()) { c.peers.send(to, f, notSent) }
+func (c *Replica) Send(to string, f quorum.Frame, notSent func()) { c.peers.send(to, f, notSent) }
 
 // Retire names the gateways that are about to go down for a while. Their votes are moved to other gateways first. It
 // must be called from the loop.
-func (c *Council) Retire(names []string) { c.node.Retire(names) }
+func (c *Replica) Retire(names []string) { c.node.Retire(names) }
 
-// Sight returns the age of this gateway's view in ms: it has seen all commands that were committed by then. The result
+// ViewAge returns the age of this gateway's view in ms: it has seen all commands that were committed by then. The result
 // is negative while the age is not known. It must be called from the loop.
-func (c *Council) Sight() float64 {
+func (c *Replica) ViewAge() float64 {
 	at, known := c.node.FreshAsOf()
 	if !known {
 		return -1
@@ -219,11 +219,11 @@
 
 // Voters returns the names of the voters, sorted; nil while they are not known or change (see quorum.Node.Voters). It
 // must be called from the loop.
-func (c *Council) Voters() []string { return c.node.Voters() }
+func (c *Replica) Voters() []string { return c.node.Voters() }
 
 // Run runs the loop until the context ends. Then it lets other gateways take over this one's work, announces that it
 // leaves, and returns.
-func (c *Council) Run(ctx context.Context) error {
+func (c *Replica) Run(ctx context.Context) error {
 	c.peers.serve()
 	written := make(chan any, 4) // one write is in progress at a time, unless the node broke during one
 	writerDone := make(chan bool)
@@ -251,7 +251,7 @@
 	for over := false; !over; {
 		next := c.node.Next()
 		if c.part != nil {
-			next = min(next, c.part.Next())
+			next = min(next, c.part.NextDeadline())
 		}
 		timer.Reset(time.Duration(min(3.6e6, max(0, next-c.now())) * float64(time.Millisecond)))
 		var e any
@@ -262,7 +262,7 @@
 		case <-done:
 			done, handOverExpired = nil, time.After(handOverTimeout)
 			if c.part != nil {
-				c.part.Handle(c.now(), Leaving{})
+				c.part.Handle(c.now(), ShuttingDown{})
 			}
 		case <-handOverExpired:
 			handOverExpired, leaveFlushed = nil, time.After(leaveFlushTime)
@@ -298,11 +298,11 @@
 }
 
 // notifyPart passes the part the current state of the log, or only the time when nothing changed.
-func (c *Council) notifyPart() {
+func (c *Replica) notifyPart() {
 	if c.part == nil {
 		return
 	}
-	f := Followed{Name: c.notified.Name, Incarnation: c.node.Incarnation(), Leads: c.node.IsLeader(), Restored: c.notified.Restored}
+	f := LogAdvanced{Name: c.notified.Name, Incarnation: c.node.Incarnation(), Leads: c.node.IsLeader(), Restored: c.notified.Restored}
 	if !c.advanced && f == c.notified {
 		c.part.Handle(c.now(), nil)
 		return
@@ -314,7 +314,7 @@
 
 // handle passes an event to the node. When raft panics, as it does when its log contradicts that of other voters, the
 // node stops voting while the gateway goes on serving downloads.
-func (c *Council) handle(e any) (actions []quorum.Action) {
+func (c *Replica) handle(e any) (actions []quorum.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			c.log.WithField("error", p).Error("quorum: raft panicked: this gateway does not vote until it is restarted")
@@ -325,7 +325,7 @@
 }
 
 // perform carries out the node's actions in order.
-func (c *Council) perform(actions []quorum.Action) {
+func (c *Replica) perform(actions []quorum.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case quorum.Send:
@@ -352,7 +352,7 @@
 
 // propose proposes a command. Its outcome is passed to done, which is called once, from the loop, and must not block.
 // It must be called from the loop.
-func (c *Council) propose(command quorum.Command, done func(quorum.Outcome)) {
+func (c *Replica) propose(command quorum.Command, done func(quorum.Outcome)) {
 	c.lastToken++
 	c.pending[c.lastToken] = done
 	c.perform(c.handle(quorum.Propose{Token: c.lastToken, Command: command}))
@@ -361,7 +361,7 @@
 // Propose proposes a command; it may be called from any goroutine. Its outcome is passed to done, which must not block.
 // It is called once, from the loop, unless the loop ends before it takes the command from the inbox. When the inbox is
 // full, done is called with ErrBusy before Propose returns, so a Part that proposes in Handle must be prepared for that.
-func (c *Council) Propose(command quorum.Command, done func(quorum.Outcome)) {
+func (c *Replica) Propose(command quorum.Command, done func(quorum.Outcome)) {
 	select {
 	case c.inbox <- call(func() { c.propose(command, done) }):
 	default:
@@ -369,11 +369,11 @@
 	}
 }
 
-// Question is an operator's query. About selects what a Part reports; empty: only the state of the log. Name selects one
+// Query is an operator's query. About selects what a Part reports; empty: only the state of the log. Name selects one
 // item of that. Command is committed before the answer is given. Fresh: the answer reflects all commands that were
 // committed before the query.
-type Question struct {
-	About   string          `cbor:"1,keyasint,omitempty"`
+type Query struct {
+	Subject string          `cbor:"1,keyasint,omitempty"`
 	Name    string          `cbor:"2,keyasint,omitempty"`
 	Fresh   bool            `cbor:"3,keyasint,omitempty"`
 	Command *quorum.Command `cbor:"4,keyasint,omitempty"`
@@ -388,11 +388,11 @@
 }
 
 // answerQuestion answers an operator's query, after its command is committed, if it has one.
-func (c *Council) answerQuestion(f quorum.Frame, answer func(quorum.Frame)) {
-	var q Question
+func (c *Replica) answerQuestion(f quorum.Frame, answer func(quorum.Frame)) {
+	var q Query
 	if len(f.Data) > 0 {
 		if err := canon.Decode(f.Data, &q); err != nil {
-			c.reply(Question{}, 0, err, answer)
+			c.reply(Query{}, 0, err, answer)
 			return
 		}
 	}
@@ -401,7 +401,7 @@
 		c.reply(q, 0, errors.New("this gateway agrees on nothing of that kind"), answer)
 		return
 	case command != nil:
-		if err := c.part.Allow(*command); err != nil {
+		if err := c.part.CheckCommand(*command); err != nil {
 			c.reply(q, 0, err, answer)
 			return
 		}
@@ -423,13 +423,13 @@
 }
 
 // reply sends the answer to an operator's query.
-func (c *Council) reply(q Question, index uint64, err error, answer func(quorum.Frame)) {
+func (c *Replica) reply(q Query, index uint64, err error, answer func(quorum.Frame)) {
 	r := Reply{Index: index, Report: c.node.Report(c.now())}
 	r.Report.Frames = c.peers.framesSent.Load()
-	if err == nil && q.About != "" {
+	if err == nil && q.Subject != "" {
 		var body any
 		if err = errors.New("this gateway knows of nothing of that kind"); c.part != nil {
-			body, err = c.part.Tell(q.About, q.Name)
+			body, err = c.part.Query(q.Subject, q.Name)
 		}
 		if err == nil {
 			r.Body, err = json.Marshal(body)
@@ -446,7 +446,7 @@
 }
 
 // closeStore closes the store, if there is one.
-func (c *Council) closeStore() error {
+func (c *Replica) closeStore() error {
 	if c.store == nil {
 		return nil
 	}
@@ -455,12 +455,12 @@
 
 // QueryReport returns the state of the log as seen by the gateway at a peer address.
 func QueryReport(ctx context.Context, address string) (quorum.Report, error) {
-	r, err := Put(ctx, address, Question{})
+	r, err := SendQuery(ctx, address, Query{})
 	return r.Report, err
 }
 
-// Put sends a query to the gateway at a peer address. An error of the gateway itself is the Error of its Reply.
-func Put(ctx context.Context, address string, q Question) (r Reply, err error) {
+// SendQuery sends a query to the gateway at a peer address. An error of the gateway itself is the Error of its Reply.
+func SendQuery(ctx context.Context, address string, q Query) (r Reply, err error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return r, err
--- a/internal/quorum/drive/drive_test.go
+++ b/internal/quorum/drive/drive_test.go
@@ -246,16 +246,16 @@
 
 // The methods of a Part that does nothing but keep its state machine.
 
-func (l *ledger) Books() map[string]quorum.StateMachine {
+func (l *ledger) StateMachines() map[string]quorum.StateMachine {
 	return map[string]quorum.StateMachine{"ledger": l}
 }
-func (l *ledger) Begin(*Council)                   {}
-func (l *ledger) Handle(float64, any)              {}
-func (l *ledger) Next() float64                    { return math.Inf(1) }
-func (l *ledger) Tell(string, string) (any, error) { return l.all(), nil }
-func (l *ledger) Allow(quorum.Command) error       { return nil }
-func (l *ledger) Idle() bool                       { return true }
-func (l *ledger) Close() error                     { return nil }
+func (l *ledger) Start(*Replica)                    {}
+func (l *ledger) Handle(float64, any)               {}
+func (l *ledger) NextDeadline() float64             { return math.Inf(1) }
+func (l *ledger) Query(string, string) (any, error) { return l.all(), nil }
+func (l *ledger) CheckCommand(quorum.Command) error { return nil }
+func (l *ledger) Idle() bool                        { return true }
+func (l *ledger) Close() error                      { return nil }
 
 // Over TCP: a single founder that is configured without peers, and two followers of it, one with a store and one
 // without. Commands of all of them are committed and survive a restart of the founder, which learns the addresses of
@@ -271,7 +271,7 @@
 			}
 		}
 	}
-	start := func(name, listen, store string, peers map[string]string, founders ...string) (*Council, *ledger, func()) {
+	start := func(name, listen, store string, peers map[string]string, founders ...string) (*Replica, *ledger, func()) {
 		b := Block{On: true, Listen: listen, Store: store, Settings: quorum.Defaults()}
 		b.Settings.Heartbeat, b.Settings.Election, b.Settings.Lease, b.Settings.Peers, b.Settings.Founders = 20, 200, 600, peers, founders
 		l := &ledger{}
@@ -287,13 +287,13 @@
 		t.Cleanup(stop)
 		return c, l, stop
 	}
-	report := func(c *Council) quorum.Report {
+	report := func(c *Replica) quorum.Report {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		r, _ := QueryReport(ctx, c.Address())
 		return r
 	}
-	propose := func(c *Council, line string) {
+	propose := func(c *Replica, line string) {
 		t.Helper()
 		done := make(chan quorum.Outcome, 1)
 		c.Propose(quorum.Command{StateMachine: "ledger", Data: []byte(line)}, func(o quorum.Outcome) { done <- o })
@@ -316,7 +316,7 @@
 	propose(c, "three")
 	until("all have all commands", func() bool { return la.all() == "one two three" && lb.all() == la.all() && lc.all() == la.all() })
 	for _, m := range report(a).Members {
-		if want := map[string]*Council{"a": a, "b": b, "c": c}[m.Name].Address(); m.Address != want || m.Votes != (m.Name == "a") {
+		if want := map[string]*Replica{"a": a, "b": b, "c": c}[m.Name].Address(); m.Address != want || m.Votes != (m.Name == "a") {
 			t.Errorf("%+v, reached at %s", m, want)
 		}
 	}
--- a/internal/quorum/drive/parts.go
+++ b/internal/quorum/drive/parts.go
@@ -9,66 +9,66 @@
 	"poppymill/internal/quorum"
 )
 
-// Parts combines several parts into one. Each has state machines of its own.
-type Parts []Part
+// Subsystems combines several parts into one. Each has state machines of its own.
+type Subsystems []Subsystem
 
-// Books returns the state machines of all parts.
-func (p Parts) Books() map[string]quorum.StateMachine {
+// StateMachines returns the state machines of all parts.
+func (p Subsystems) StateMachines() map[string]quorum.StateMachine {
 	all := map[string]quorum.StateMachine{}
 	for _, part := range p {
-		maps.Copy(all, part.Books())
+		maps.Copy(all, part.StateMachines())
 	}
 	return all
 }
 
-// Begin passes the council to all parts.
-func (p Parts) Begin(c *Council) {
+// Start passes the council to all parts.
+func (p Subsystems) Start(c *Replica) {
 	for _, part := range p {
-		part.Begin(c)
+		part.Start(c)
 	}
 }
 
 // Handle passes the event to all parts. Each ignores the events of others.
-func (p Parts) Handle(now float64, e any) {
+func (p Subsystems) Handle(now float64, e any) {
 	for _, part := range p {
 		part.Handle(now, e)
 	}
 }
 
-// Next returns the earliest time at which a part has something due.
-func (p Parts) Next() float64 {
+// NextDeadline returns the earliest time at which a part has something due.
+func (p Subsystems) NextDeadline() float64 {
 	next := math.Inf(1)
 	for _, part := range p {
-		next = min(next, part.Next())
+		next = min(next, part.NextDeadline())
 	}
 	return next
 }
 
-// ErrNotMine is returned by a part for a query that another part may answer.
-var ErrNotMine = errors.New("this gateway knows nothing of that")
+// ErrUnknownSubject is returned by a part for a query that another part may answer.
+var ErrUnknownSubject = errors.New("this gateway knows nothing of that")
 
-// Tell returns the answer of the first part that knows the subject.
-func (p Parts) Tell(about, name string) (any, error) {
+// Query returns the answer of the first part that knows the subject.
+func (p Subsystems) Query(about, name string) (any, error) {
 	for _, part := range p {
-		if body, err := part.Tell(about, name); !errors.Is(err, ErrNotMine) {
+		if body, err := part.Query(about, name); !errors.Is(err, ErrUnknownSubject) {
 			return body, err
 		}
 	}
-	return nil, fmt.Errorf("%q: %w", about, ErrNotMine)
+	return nil, fmt.Errorf("%q: %w", about, ErrUnknownSubject)
 }
 
-// Allow asks the part that owns the command's state machine.
-func (p Parts) Allow(c quorum.Command) error {
+// CheckCommand asks the part that owns the command's state machine.
+func (p Subsystems) CheckCommand(c quorum.Command) error {
 	for _, part := range p {
-		if part.Books()[c.StateMachine] != nil {
-			return part.Allow(c)
+		if part.StateMachines()[c.StateMachine] != nil {
+			return part.CheckCommand(c)
 		}
 	}
-	return fmt.Errorf("%q: %w", c.StateMachine, ErrNotMine)
+	return fmt.Errorf("%q: %w", c.StateMachine, ErrUnknownSubject)
 }
 
 // Idle reports whether all parts are idle.
-func (p Parts) Idle() bool {
+func (p Subsystems) Idle() bool {
 	for _, part := range p {
 		if !part.Idle() {
 			return false
@@ -78,7 +78,7 @@
 }
 
 // Close closes all parts.
-func (p Parts) Close() (err error) {
+func (p Subsystems) Close() (err error) {
 	for _, part := range p {
 		err = errors.Join(err, part.Close())
 	}
--- a/internal/rehearsal/sockets/maintenance_faults_test.go
+++ b/internal/rehearsal/sockets/maintenance_faults_test.go
@@ -29,7 +29,7 @@
 
 // machine returns the state of a machine.
 func (mc *machineCluster) machine(name string) (m machines.Machine) {
-	mc.call(drive.Question{About: "machine", Name: name}, &m, 0)
+	mc.call(drive.Query{Subject: "machine", Name: name}, &m, 0)
 	return m
 }
 
--- a/internal/rehearsal/sockets/maintenance_test.go
+++ b/internal/rehearsal/sockets/maintenance_test.go
@@ -126,7 +126,7 @@
 
 // call sends a question or a command to one gateway after another until one answers, and decodes the answer. The second result
 // reports whether one answered.
-func (mc *machineCluster) call(q drive.Question, to any, from int) (error, bool) {
+func (mc *machineCluster) call(q drive.Query, to any, from int) (error, bool) {
 	for i := range mc.names {
 		r, err := mc.stage.Call((from+i)%len(mc.names), q, time.Second)
 		if err != nil || q.Command != nil && !r.Report.Majority && r.Error != "" {
@@ -145,14 +145,14 @@
 
 // fleet returns all machines.
 func (mc *machineCluster) fleet() (f machineList) {
-	mc.call(drive.Question{About: "machines"}, &f, 0)
+	mc.call(drive.Query{Subject: "machines"}, &f, 0)
 	return f
 }
 
 // submitOrder submits a maintenance command. The second result reports whether a gateway answered.
 func (mc *machineCluster) submitOrder(kind string, o maintenance.Order, from int) (error, bool) {
 	o.At = float64(time.Now().UnixMilli())
-	return mc.call(drive.Question{Command: &quorum.Command{StateMachine: machines.Book, Kind: kind, Data: canon.Encode(o)}}, nil, from)
+	return mc.call(drive.Query{Command: &quorum.Command{StateMachine: machines.Book, Kind: kind, Data: canon.Encode(o)}}, nil, from)
 }
 
 // requestMaintenance requests a maintenance window for each machine and starts the machines' agents.
@@ -176,7 +176,7 @@
 	wentOut, stageSince, lastStage := false, 0.0, maintenance.In
 	for end := time.Now().Add(100 * time.Second); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 		var m machines.Machine
-		if err, ok := mc.call(drive.Question{About: "machine", Name: name, Fresh: true}, &m, n); !ok || err != nil {
+		if err, ok := mc.call(drive.Query{Subject: "machine", Name: name, Fresh: true}, &m, n); !ok || err != nil {
 			continue // no gateway knows its state
 		}
 		now := mc.stage.now()
@@ -375,7 +375,7 @@
 		mc.inject(script.Event{Do: "part", Name: mc.names[0], For: 4000})
 		mc.inject(script.Event{Do: "part", Name: mc.names[1], For: 4000, OneWay: true})
 		o := maintenance.Order{At: float64(time.Now().UnixMilli()), Request: &maintenance.Request{ID: "r-" + rest[0], Machine: rest[0], Takes: windowMillis}}
-		r, err := mc.stage.Call(0, drive.Question{Command: &quorum.Command{StateMachine: machines.Book, Kind: maintenance.Ask, Data: canon.Encode(o)}}, 1500*time.Millisecond)
+		r, err := mc.stage.Call(0, drive.Query{Command: &quorum.Command{StateMachine: machines.Book, Kind: maintenance.Ask, Data: canon.Encode(o)}}, 1500*time.Millisecond)
 		if err == nil && r.Error == "" {
 			t.Errorf("a gateway without a majority took a request: %+v", r)
 		}
@@ -399,7 +399,7 @@
 		delete(mc.outSince, first)
 		mc.mu.Unlock()
 		var m machines.Machine
-		mc.call(drive.Question{About: "machine", Name: first}, &m, 0)
+		mc.call(drive.Query{Subject: "machine", Name: first}, &m, 0)
 		mc.waitFor(first+" is back", func() bool {
 			mc.submitOrder(maintenance.Back, maintenance.Order{Machine: first, Token: m.Work.Token}, 0)
 			return stage(first) == "in"
