--- a/cmd/poppymill/job.go
+++ b/cmd/poppymill/job.go
@@ -85,7 +85,7 @@
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s\nJOB\tKIND\tTYPE\tSTATE\tOWNER\tTOKEN\tDONE\tMAY HAVE RUN\tGRANTS\n", viewHeader(r))
 	for _, j := range reports {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d of %d\t%d\t%d\n", j.Name, j.Kind, j.Type, j.State, orDash(j.Owner), j.Token, j.Done, j.Steps, len(j.Doubt), j.Grants)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d of %d\t%d\t%d\n", j.Name, j.Kind, j.Type, j.State, orDash(j.Owner), j.Token, j.Done, j.Steps, len(j.Uncertain), j.Grants)
 	}
 	return t.Flush()
 }
@@ -118,7 +118,7 @@
 	} else {
 		fmt.Printf("%s\n%s: %s, %s steps, %s\nowner %s, token %d, %d grants\n%d of %d steps done, all before step %d\n", viewHeader(r), j.Name, j.Kind, j.Type,
 			j.State, orDash(j.Owner), j.Token, j.Grants, j.Done, j.Steps, j.Next)
-		for _, d := range j.Doubt {
+		for _, d := range j.Uncertain {
 			where := "at the owner"
 			if d.Place != "" {
 				where = "at " + d.Place
@@ -126,7 +126,7 @@
 			fmt.Printf("step %d may have run: sent under token %d by %s, %s. Once you know whether it ran, record that with `job settle`\n", d.Step, d.Token, orDash(d.Owner), where)
 		}
 	}
-	if len(j.Doubt) > 0 {
+	if len(j.Uncertain) > 0 {
 		return cli.Exit("", 1)
 	}
 	return nil
@@ -143,7 +143,7 @@
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s\nINDEX\tWHAT\tOWNER\tINCARNATION\tTOKEN\n", viewHeader(r))
 	for _, h := range j.History {
-		fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%d\n", h.Index, h.What, orDash(h.Owner), h.Incarnation, h.Token)
+		fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%d\n", h.Index, h.Event, orDash(h.Owner), h.Incarnation, h.Token)
 	}
 	return t.Flush()
 }
@@ -199,7 +199,7 @@
 
 func jobStart(ctx context.Context, cmd *cli.Command) error {
 	j := owner.Job{Name: cmd.Args().Get(1), Kind: cmd.String("kind"), Data: []byte(cmd.String("data")), Steps: int(cmd.Int("steps")), Window: int(cmd.Int("window")),
-		Places: cmd.StringSlice("place")}
+		Gateways: cmd.StringSlice("place")}
 	types := []string{owner.Safe.String(), owner.Keyed.String(), owner.Unsafe.String()}
 	for i, name := range types {
 		if name == cmd.String("type") {
@@ -229,7 +229,7 @@
 	case cmd.Bool("ran") == cmd.Bool("never-ran"):
 		return usageError(errors.New("job settle: needs exactly one of --ran, --never-ran and --by-record"))
 	}
-	return submitJobCommand(ctx, cmd, 3, owner.Verdict, owner.Claim{Job: cmd.Args().Get(1), Step: step, Ran: cmd.Bool("ran")})
+	return submitJobCommand(ctx, cmd, 3, owner.Resolve, owner.Claim{Job: cmd.Args().Get(1), Step: step, Ran: cmd.Bool("ran")})
 }
 
 // settleByRecord settles all steps that may have run by the records of the places. That a record lacks a step proves
@@ -260,7 +260,7 @@
 	var j owner.Report
 	report, err := query(address, drive.Query{Subject: "job", Name: name, Command: command(owner.Fence, owner.Claim{Job: name})}, &j)
 	settled, unsettled := 0, 0
-	for _, d := range j.Doubt {
+	for _, d := range j.Uncertain {
 		placeAddress := ""
 		for _, m := range report.Members {
 			if m.Name == d.Place {
@@ -288,10 +288,10 @@
 			}
 		}
 		if err == nil {
-			_, err = query(address, drive.Query{Subject: "job", Name: name, Command: command(owner.Verdict, owner.Claim{Job: name, Step: d.Step, Ran: ran})}, &j)
+			_, err = query(address, drive.Query{Subject: "job", Name: name, Command: command(owner.Resolve, owner.Claim{Job: name, Step: d.Step, Ran: ran})}, &j)
 			var current owner.Report
 			if _, queryErr := query(address, drive.Query{Subject: "job", Name: name}, &current); err != nil && queryErr == nil &&
-				!slices.ContainsFunc(current.Doubt, func(x owner.Doubt) bool { return x.Step == d.Step }) {
+				!slices.ContainsFunc(current.Uncertain, func(x owner.UncertainStep) bool { return x.Step == d.Step }) {
 				err = nil // the sender of the step has settled it meanwhile
 			}
 		}
--- a/internal/gateway/prefetch.go
+++ b/internal/gateway/prefetch.go
@@ -94,29 +94,29 @@
 // any object.
 func warmHandler(p *poster) owned.Hand {
 	return owned.Hand{Type: owner.Safe, Check: func(j owner.Job) error {
-		var w owner.Warming
+		var w owner.WarmData
 		if err := canon.Decode(j.Data, &w); err != nil || w.Node == "" || w.Each < 1 {
 			return errors.New("data: names no node to be filled")
 		}
 		return nil
-	}, Do: func(e place.Effect, done func(owner.End)) {
-		var w owner.Warming
+	}, Do: func(e place.Effect, done func(owner.Outcome)) {
+		var w owner.WarmData
 		if canon.Decode(e.Data, &w) != nil {
-			done(owner.Perhaps)
+			done(owner.Uncertain)
 			return
 		}
 		select {
 		case p.inbox <- Ahead{Node: w.Node, Most: w.Each, At: p.now(), Done: func(filled, refused int) { done(WarmEnd(filled, refused)) }}:
 		default:
-			done(owner.NeverRan)
+			done(owner.NotRun)
 		}
 	}}
 }
 
 // WarmEnd returns how a warming step ended, from the number of objects filled and of those that found no room.
-func WarmEnd(filled, refused int) owner.End {
+func WarmEnd(filled, refused int) owner.Outcome {
 	if filled == 0 && refused > 0 {
-		return owner.NeverRan
+		return owner.NotRun
 	}
 	return owner.Ran
 }
--- a/internal/gateway/prefetch_test.go
+++ b/internal/gateway/prefetch_test.go
@@ -60,7 +60,7 @@
 	if doneCalls != 2 || filled+refused != 0 {
 		t.Errorf("unknown node: %d filled, %d refused", filled, refused)
 	}
-	if WarmEnd(0, 3) != owner.NeverRan || WarmEnd(1, 3) != owner.Ran || WarmEnd(0, 0) != owner.Ran {
+	if WarmEnd(0, 3) != owner.NotRun || WarmEnd(1, 3) != owner.Ran || WarmEnd(0, 0) != owner.Ran {
 		t.Error("wrong end of a warming step")
 	}
 }
--- a/internal/gateway/quorum_member.go
+++ b/internal/gateway/quorum_member.go
@@ -36,7 +36,7 @@
 	}
 	failpoint.Set(o.Failpoints)
 	zone, _ := c.RouterSettings["zone"].(string)
-	jobs, handlers := o.Jobs, map[string]owned.Hand{owner.Warm: warmHandler(p), owned.Hold: owned.HoldHand()}
+	jobs, handlers := o.Jobs, map[string]owned.Hand{owner.KindWarm: warmHandler(p), owned.Hold: owned.HoldHand()}
 	jobRunner, err := owned.Open(jobs, b.Store, handlers, log)
 	if err != nil {
 		log.WithError(err).Error("jobs: disabled until a restart: this gateway owns no jobs and runs no effects")
@@ -66,7 +66,7 @@
 	if err == nil && jobs.On && jobs.Limits.WarmRounds > 0 {
 		core.Boots(func(n router.Entry) {
 			if left := ColdFor(c, n, p.now()); left > 0 {
-				m.council.Post(owner.Booted{Node: n.Node, Zone: n.Zone, Start: uint64(n.StartedAt), Left: left})
+				m.council.Post(owner.NodeStarted{Node: n.Node, Zone: n.Zone, Start: uint64(n.StartedAt), ColdFor: left})
 			}
 		})
 	}
--- a/internal/owner/agent.go
+++ b/internal/owner/agent.go
@@ -29,12 +29,12 @@
 // the log, the planner (active on the leader), the executor of its own jobs, and the effects in flight. It is
 // pure; the caller applies log entries to Book between calls.
 type Agent struct {
-	Book         *Book
+	State        *StateMachine
 	limits       Limits
 	executor     Executor
 	planner      Planner
 	warmer       Warmer
-	inFlight     map[effectKey]Do
+	inFlight     map[effectKey]SendEffect
 	proposed     map[string]float64 // proposed grants and starts, not yet applied: job -> time of the proposal
 	raised       map[string]uint64  // the last token of each job that was raised at the local executing gateway
 	leading      bool
@@ -52,52 +52,52 @@
 
 // Events that Handle accepts.
 type (
-	// Followed reports that log entries were applied, or that this gateway's role changed. Incarnation 0: it may
+	// LogApplied reports that log entries were applied, or that this gateway's role changed. Incarnation 0: it may
 	// propose nothing.
-	Followed struct {
+	LogApplied struct {
 		Name        string
 		Incarnation uint64
 		Leads       bool
 	}
-	// Ended reports the outcome of a step's effect that was sent under a token.
-	Ended struct {
+	// StepEnded reports the outcome of a step's effect that was sent under a token.
+	StepEnded struct {
 		Job   string
 		Token uint64
 		Step  int
-		End   End
+		End   Outcome
 	}
 	// ProposalDone reports whether a proposal was committed. A committed command that the state machine rejected
 	// does not count as failed.
 	ProposalDone struct{ Failed bool }
 	// Leaving reports that this gateway is about to shut down.
 	Leaving struct{}
-	// Booted reports a node that started recently with an empty cache, as seen in this gateway's discovery list.
-	Booted struct {
+	// NodeStarted reports a node that started recently with an empty cache, as seen in this gateway's discovery list.
+	NodeStarted struct {
 		Node, Zone string
 		Start      uint64  // identifies the start of its process
-		Left       float64 // ms for which its cache still counts as cold
+		ColdFor    float64 // ms for which its cache still counts as cold
 	}
 )
 
-// Raise is an action besides Do and Ask: the local executing gateway must learn of a grant in the log, whether or
+// RaiseToken is an action besides Do and Ask: the local executing gateway must learn of a grant in the log, whether or
 // not an effect under it arrives there.
-type Raise struct {
+type RaiseToken struct {
 	Job   string
 	Token uint64
 }
 
 // NewAgent returns an Agent with an empty state machine.
 func NewAgent(limits Limits) *Agent {
-	return &Agent{Book: New(limits.MaxJobs), limits: limits, executor: Executor{Backoff: limits.Backoff, MaxBackoff: limits.MaxBackoff},
+	return &Agent{State: New(limits.MaxJobs), limits: limits, executor: Executor{Backoff: limits.Backoff, MaxBackoff: limits.MaxBackoff},
 		warmer:  Warmer{Rounds: limits.WarmRounds, Each: limits.WarmEach},
-		planner: Planner{HoldDown: limits.HoldDown, MaxHoldDown: limits.MaxHoldDown}, inFlight: map[effectKey]Do{}, proposed: map[string]float64{},
+		planner: Planner{HoldDown: limits.HoldDown, MaxHoldDown: limits.MaxHoldDown}, inFlight: map[effectKey]SendEffect{}, proposed: map[string]float64{},
 		raised: map[string]uint64{}, retryAt: math.Inf(1)}
 }
 
 // Handle processes one event and returns the actions to perform; a nil event only advances the time.
 func (a *Agent) Handle(now float64, e any) (actions []any) {
 	switch e := e.(type) {
-	case Followed:
+	case LogApplied:
 		if e.Incarnation != a.executor.Incarnation || e.Name != a.executor.Name {
 			// The log names another process: effects of the old one end on their own, and this one starts with nothing.
 			a.executor = Executor{Name: e.Name, Incarnation: e.Incarnation, Backoff: a.limits.Backoff, MaxBackoff: a.limits.MaxBackoff, leaving: a.leaving}
@@ -107,18 +107,18 @@
 		}
 		a.leading = e.Leads
 		actions = append(actions, a.raiseTokens()...)
-	case Ended:
+	case StepEnded:
 		key := effectKey{e.Job, e.Token, e.Step}
 		sent, known := a.inFlight[key]
 		if delete(a.inFlight, key); !known && e.End != Ran {
 			return nil // already counted as lost
 		}
 		t := sent.Job.Type
-		if j := a.Book.Jobs[e.Job]; !known && j != nil {
+		if j := a.State.Jobs[e.Job]; !known && j != nil {
 			t = j.Type
 		}
 		actions = append(actions, a.executor.HandleEnd(now, e.Job, e.Token, e.Step, t, e.End)...)
-	case Booted:
+	case NodeStarted:
 		a.warmer.NodeStarted(now, e)
 	case ProposalDone:
 		if e.Failed && !a.retryPending {
@@ -136,10 +136,10 @@
 	if a.leading && !a.leaving {
 		actions = append(actions, a.planGrants(now)...)
 	}
-	actions = append(actions, a.executor.Sync(now, a.Book)...)
+	actions = append(actions, a.executor.Sync(now, a.State)...)
 	for i, x := range actions {
-		if x, ok := x.(Do); ok {
-			x.By = now + a.limits.EffectTimeout
+		if x, ok := x.(SendEffect); ok {
+			x.Deadline = now + a.limits.EffectTimeout
 			a.inFlight[effectKey{x.Job.Name, x.Token, x.Step}] = x
 			actions[i] = x
 		}
@@ -150,62 +150,62 @@
 // raiseTokens has the local executing gateway refuse tokens older than the grants of the log, before any newer
 // effect arrives there.
 func (a *Agent) raiseTokens() (actions []any) {
-	for _, j := range a.Book.All() {
+	for _, j := range a.State.All() {
 		if j.Token > a.raised[j.Name] {
 			a.raised[j.Name] = j.Token
-			actions = append(actions, Raise{j.Name, j.Token})
+			actions = append(actions, RaiseToken{j.Name, j.Token})
 		}
 	}
-	maps.DeleteFunc(a.raised, func(name string, _ uint64) bool { return a.Book.Jobs[name] == nil })
+	maps.DeleteFunc(a.raised, func(name string, _ uint64) bool { return a.State.Jobs[name] == nil })
 	return actions
 }
 
 // expireEffects counts effects as lost once their time is over. They may have run.
 func (a *Agent) expireEffects(now float64) (actions []any) {
-	var expired []Do
+	var expired []SendEffect
 	for _, x := range a.inFlight {
-		if now >= x.By {
+		if now >= x.Deadline {
 			expired = append(expired, x)
 		}
 	}
-	slices.SortFunc(expired, func(x, y Do) int {
+	slices.SortFunc(expired, func(x, y SendEffect) int {
 		return cmp.Or(cmp.Compare(x.Token, y.Token), cmp.Compare(x.Step, y.Step)) // a token belongs to one job
 	})
 	for _, x := range expired {
 		delete(a.inFlight, effectKey{x.Job.Name, x.Token, x.Step})
-		actions = append(actions, a.executor.HandleEnd(now, x.Job.Name, x.Token, x.Step, x.Job.Type, Perhaps)...)
+		actions = append(actions, a.executor.HandleEnd(now, x.Job.Name, x.Token, x.Step, x.Job.Type, Uncertain)...)
 	}
 	return actions
 }
 
 // planGrants proposes jobs and grants on the leader, each at most once per RetryInterval.
 func (a *Agent) planGrants(now float64) (actions []any) {
-	for _, j := range a.warmer.Plan(now, a.Book) {
+	for _, j := range a.warmer.Plan(now, a.State) {
 		if at, ok := a.proposed[j.Name]; ok && now < at+a.limits.RetryInterval {
 			continue
 		}
 		a.proposed[j.Name] = now
-		actions = append(actions, Ask{Kind: Start, Job: &j})
+		actions = append(actions, Propose{Kind: Start, Job: &j})
 	}
-	for _, c := range a.planner.Plan(now, a.Book) {
+	for _, c := range a.planner.Plan(now, a.State) {
 		if at, ok := a.proposed[c.Job]; ok && now < at+a.limits.RetryInterval {
 			continue
 		}
 		a.proposed[c.Job] = now
-		actions = append(actions, Ask{Kind: Grant, Claim: c})
+		actions = append(actions, Propose{Kind: Grant, Claim: c})
 	}
 	maps.DeleteFunc(a.proposed, func(job string, at float64) bool {
-		j := a.Book.Jobs[job]
+		j := a.State.Jobs[job]
 		return now >= at+a.limits.RetryInterval || j != nil && j.Owner != ""
 	})
 	return actions
 }
 
-// Next returns the time of the next deadline.
-func (a *Agent) Next() float64 {
+// NextDeadline returns the time of the next deadline.
+func (a *Agent) NextDeadline() float64 {
 	next := min(a.retryAt, a.executor.Next())
 	for _, x := range a.inFlight {
-		next = min(next, x.By)
+		next = min(next, x.Deadline)
 	}
 	if a.leading && !a.leaving {
 		next = min(next, a.planner.nextEligible)
--- a/internal/owner/drive/crew.go
+++ b/internal/owner/drive/crew.go
@@ -33,7 +33,7 @@
 type Hand struct {
 	Type  owner.Type
 	Check func(j owner.Job) error // validates a job that an operator starts
-	Do    func(e place.Effect, done func(owner.End))
+	Do    func(e place.Effect, done func(owner.Outcome))
 }
 
 // Crew runs jobs on one gateway. All methods are called from the council's loop.
@@ -53,18 +53,18 @@
 }
 
 // stateMachine adapts owner.Book to the interface of the log.
-type stateMachine struct{ *owner.Book }
+type stateMachine struct{ *owner.StateMachine }
 
 func (b stateMachine) Apply(index uint64, c quorum.Command) any {
-	return b.Book.Apply(index, c.Kind, c.Data)
+	return b.StateMachine.Apply(index, c.Kind, c.Data)
 }
 
 func (b stateMachine) Member(index uint64, m quorum.Member) {
-	b.Book.Member(index, m.Name, owner.Worker{Incarnation: m.Incarnation, There: m.State == quorum.MemberJoined, Losses: m.LeaseExpirations, Zone: m.Zone, Idle: !m.RunsOwnedWork})
+	b.StateMachine.ApplyMember(index, m.Name, owner.Member{Incarnation: m.Incarnation, Present: m.State == quorum.MemberJoined, Losses: m.LeaseExpirations, Zone: m.Zone, Idle: !m.RunsOwnedWork})
 }
 
 // Leap raises the token counter above every token that can have been issued.
-func (b stateMachine) Leap() { b.Book.LastToken += 1 << 32 }
+func (b stateMachine) Leap() { b.StateMachine.LastToken += 1 << 32 }
 
 // Books returns empty state machines for reading a store offline.
 func Books() map[string]quorum.StateMachine {
@@ -90,7 +90,7 @@
 
 // StateMachines returns the state machines that this part keeps in the log.
 func (c *Crew) StateMachines() map[string]quorum.StateMachine {
-	return map[string]quorum.StateMachine{Book: stateMachine{c.agent.Book}}
+	return map[string]quorum.StateMachine{Book: stateMachine{c.agent.State}}
 }
 
 // Start sets the council.
@@ -101,7 +101,7 @@
 	if !c.block.On {
 		return math.Inf(1)
 	}
-	return c.agent.Next()
+	return c.agent.NextDeadline()
 }
 
 // Idle reports whether nothing of this gateway's own is in flight.
@@ -110,7 +110,7 @@
 // Owns returns the token under which this gateway owns a job, as far as it has applied the log, and whether it
 // does.
 func (c *Crew) Owns(job string) (uint64, bool) {
-	j := c.agent.Book.Jobs[job]
+	j := c.agent.State.Jobs[job]
 	if j == nil || j.Owner != c.followed.Name || j.Incarnation != c.followed.Incarnation || c.followed.Incarnation == 0 {
 		return 0, false
 	}
@@ -119,7 +119,7 @@
 
 // Has reports whether a job is running.
 func (c *Crew) Has(job string) bool {
-	j := c.agent.Book.Jobs[job]
+	j := c.agent.State.Jobs[job]
 	return j != nil && j.State == owner.Running
 }
 
@@ -154,16 +154,16 @@
 	case agreement.LogAdvanced:
 		c.followed = e
 		c.logChanges(e.Restored)
-		c.perform(c.agent.Handle(c.now, owner.Followed{Name: e.Name, Incarnation: e.Incarnation, Leads: e.Leads}))
+		c.perform(c.agent.Handle(c.now, owner.LogApplied{Name: e.Name, Incarnation: e.Incarnation, Leads: e.Leads}))
 	case agreement.ShuttingDown:
 		c.perform(c.agent.Handle(c.now, owner.Leaving{}))
 	case agreement.PeerRequest:
 		c.handleFrame(e)
 	case nil:
-		if c.now >= c.agent.Next() {
+		if c.now >= c.agent.NextDeadline() {
 			c.perform(c.agent.Handle(c.now, nil))
 		}
-	case owner.Ended, owner.ProposalDone, owner.Booted:
+	case owner.StepEnded, owner.ProposalDone, owner.NodeStarted:
 		c.perform(c.agent.Handle(c.now, e))
 	}
 }
@@ -171,11 +171,11 @@
 // logChanges logs each new change of a job's owner or state.
 func (c *Crew) logChanges(restored bool) {
 	last := c.loggedIndex
-	for _, j := range c.agent.Book.All() {
+	for _, j := range c.agent.State.All() {
 		for _, h := range j.History {
 			if last = max(last, h.Index); h.Index > c.loggedIndex && !restored {
 				c.log.WithFields(logrus.Fields{"job": j.Name, "owner": h.Owner, "incarnation": h.Incarnation, "token": h.Token, "index": h.Index}).
-					Info("jobs: " + h.What)
+					Info("jobs: " + h.Event)
 			}
 		}
 	}
@@ -185,9 +185,9 @@
 func (c *Crew) perform(actions []any) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case owner.Ask:
+		case owner.Propose:
 			switch a.Kind {
-			case owner.Did:
+			case owner.Complete:
 				failpoint.Here(failpoint.Executed)
 			case owner.Grant:
 				failpoint.Here(failpoint.Granting)
@@ -200,9 +200,9 @@
 				// Any other error means that this process may no longer propose; a retry would not help.
 				c.Handle(c.now, owner.ProposalDone{Failed: errors.Is(o.Err, quorum.ErrGivenUp) || errors.Is(o.Err, quorum.ErrBusy)})
 			})
-		case owner.Raise:
+		case owner.RaiseToken:
 			c.place.Raise(a.Job, a.Token)
-		case owner.Do:
+		case owner.SendEffect:
 			failpoint.Here(failpoint.Sending)
 			c.send(a)
 		}
@@ -210,23 +210,23 @@
 }
 
 // send delivers an effect: to a Hand of this gateway, to its own record, or to another gateway.
-func (c *Crew) send(do owner.Do) {
+func (c *Crew) send(do owner.SendEffect) {
 	e := place.Effect{Job: do.Job.Name, Kind: do.Job.Kind, Token: do.Token, Step: do.Step, Type: do.Job.Type, Data: do.Job.Data, From: c.followed.Name, Incarnation: c.followed.Incarnation}
-	ended := func(end owner.End) {
-		if _, handler := c.handlers[e.Kind]; end == owner.NeverRan && handler {
+	ended := func(end owner.Outcome) {
+		if _, handler := c.handlers[e.Kind]; end == owner.NotRun && handler {
 			c.log.WithFields(logrus.Fields{"job": e.Job, "step": e.Step}).Info("jobs: step deferred, no capacity yet")
-		} else if end == owner.NeverRan {
-			c.log.WithFields(logrus.Fields{"job": e.Job, "step": e.Step, "place": do.Job.Place(do.Step)}).Warn("jobs: step was not executed")
+		} else if end == owner.NotRun {
+			c.log.WithFields(logrus.Fields{"job": e.Job, "step": e.Step, "place": do.Job.ExecutingGateway(do.Step)}).Warn("jobs: step was not executed")
 		}
-		c.council.Post(owner.Ended{Job: e.Job, Token: e.Token, Step: e.Step, End: end})
+		c.council.Post(owner.StepEnded{Job: e.Job, Token: e.Token, Step: e.Step, End: end})
 	}
 	if handler, registered := c.handlers[e.Kind]; registered {
 		handler.Do(e, ended)
 		return
 	}
-	if to := do.Job.Place(do.Step); to != "" && to != c.followed.Name {
+	if to := do.Job.ExecutingGateway(do.Step); to != "" && to != c.followed.Name {
 		e.Data = nil
-		c.council.Send(to, quorum.Frame{Kind: quorum.KindEffect, Data: canon.Encode(e)}, func() { ended(owner.NeverRan) })
+		c.council.Send(to, quorum.Frame{Kind: quorum.KindEffect, Data: canon.Encode(e)}, func() { ended(owner.NotRun) })
 		return
 	}
 	c.place.Do(e, func(r place.Result) { ended(r.End) })
@@ -240,7 +240,7 @@
 			if r.End != owner.Ran {
 				c.log.WithFields(logrus.Fields{"job": r.Job, "step": r.Step, "token": r.Token, "place": asked.From}).Warn("jobs: step not confirmed as run: " + r.Why)
 			}
-			c.perform(c.agent.Handle(c.now, owner.Ended{Job: r.Job, Token: r.Token, Step: r.Step, End: r.End}))
+			c.perform(c.agent.Handle(c.now, owner.StepEnded{Job: r.Job, Token: r.Token, Step: r.Step, End: r.End}))
 		}
 		return
 	}
@@ -249,7 +249,7 @@
 		return
 	}
 	answer := func(r place.Result) { asked.Answer(quorum.Frame{Kind: quorum.KindEffectResult, Data: canon.Encode(r)}) }
-	refusal := place.Result{Job: e.Job, Token: e.Token, Step: e.Step, End: owner.NeverRan}
+	refusal := place.Result{Job: e.Job, Token: e.Token, Step: e.Step, End: owner.NotRun}
 	switch {
 	case c.followed.Incarnation == 0:
 		// Until this gateway has applied the log up to its own start, it does not know all grants up to then. Waiting
@@ -273,7 +273,7 @@
 			return err
 		}
 		return c.check(j)
-	case owner.Stop, owner.Fence, owner.Verdict:
+	case owner.Stop, owner.Fence, owner.Resolve:
 		return nil
 	}
 	return fmt.Errorf("%s: not for people to ask for", command.Kind)
@@ -291,8 +291,8 @@
 	case registered:
 		return handler.Check(j)
 	}
-	for i, name := range j.Places {
-		if _, known := c.agent.Book.Workers[name]; !known {
+	for i, name := range j.Gateways {
+		if _, known := c.agent.State.Workers[name]; !known {
 			return fmt.Errorf("places: %d: no gateway %q is known", i, name)
 		}
 	}
@@ -304,12 +304,12 @@
 	switch subject {
 	case "jobs":
 		list := []owner.Report{}
-		for _, j := range c.agent.Book.All() {
+		for _, j := range c.agent.State.All() {
 			list = append(list, j.Report())
 		}
 		return list, nil
 	case "job":
-		if j := c.agent.Book.Jobs[name]; j != nil {
+		if j := c.agent.State.Jobs[name]; j != nil {
 			return j.Report(), nil
 		}
 		return nil, fmt.Errorf("job %q: %w", name, owner.ErrUnknownJob)
@@ -334,7 +334,7 @@
 // OnRecord checks a step that may have run against the record of its executing gateway: ran means that the step is
 // on record, fenced that the gateway knows a newer token than the one the step was sent under. A step that is
 // fenced and not on record did not run there and never will.
-func OnRecord(entries []place.Entry, job string, d owner.Doubt) (ran, fenced bool) {
+func OnRecord(entries []place.Entry, job string, d owner.UncertainStep) (ran, fenced bool) {
 	for _, e := range entries {
 		if e.Effect.Job == job && e.Refused == 0 {
 			ran = ran || e.Effect.Step == d.Step && !e.Told
--- a/internal/owner/drive/crew_test.go
+++ b/internal/owner/drive/crew_test.go
@@ -41,7 +41,7 @@
 		return <-results
 	}
 	e := place.Effect{Job: "j", Kind: Drill, Token: 3, Type: owner.Unsafe}
-	if r := send(e); r.End != owner.NeverRan || !strings.Contains(r.Why, "has not followed") {
+	if r := send(e); r.End != owner.NotRun || !strings.Contains(r.Why, "has not followed") {
 		t.Errorf("before it has applied the log: %+v", r)
 	}
 	c.Handle(0, agreement.LogAdvanced{Name: "h", Incarnation: 2})
@@ -51,7 +51,7 @@
 	if r := send(place.Effect{Job: "j", Kind: Drill, Token: 2, Step: 1, Type: owner.Safe}); r.End != owner.Refused || r.Newer != 3 {
 		t.Errorf("older token: %+v", r)
 	}
-	if r := send(place.Effect{Job: "j", Kind: "odd", Token: 4}); r.End != owner.NeverRan {
+	if r := send(place.Effect{Job: "j", Kind: "odd", Token: 4}); r.End != owner.NotRun {
 		t.Errorf("unknown kind: %+v", r)
 	}
 	for _, x := range []struct {
@@ -60,7 +60,7 @@
 		want string
 	}{
 		{owner.Grant, owner.Claim{Job: "j"}, "grant: not for people"}, {owner.Start, owner.Job{Kind: "odd"}, `kind: "odd" is none of [warm drill]`},
-		{owner.Start, owner.Job{Kind: "warm", Type: owner.Unsafe}, "type: steps of warm are safe"}, {owner.Start, owner.Job{Kind: Drill, Places: []string{"z"}}, `places: 0: no gateway "z"`},
+		{owner.Start, owner.Job{Kind: "warm", Type: owner.Unsafe}, "type: steps of warm are safe"}, {owner.Start, owner.Job{Kind: Drill, Gateways: []string{"z"}}, `places: 0: no gateway "z"`},
 		{owner.Start, owner.Job{Kind: Drill}, ""}, {owner.Stop, owner.Claim{}, ""},
 	} {
 		err := c.CheckCommand(quorum.Command{StateMachine: Book, Kind: x.kind, Data: canon.Encode(x.data)})
--- a/internal/owner/drive/hold.go
+++ b/internal/owner/drive/hold.go
@@ -15,5 +15,5 @@
 // cost. Operators can't start such jobs.
 func HoldHand() Hand {
 	return Hand{Type: owner.Safe, Check: func(owner.Job) error { return errors.New("kind: the leader asks for it by itself") },
-		Do: func(place.Effect, func(owner.End)) {}}
+		Do: func(place.Effect, func(owner.Outcome)) {}}
 }
--- a/internal/owner/executor.go
+++ b/internal/owner/executor.go
@@ -21,45 +21,45 @@
 // ownedJob is a job that this member believes to own.
 type ownedJob struct {
 	token       uint64
-	sent        map[int]bool // steps sent, outcome not known
-	intending   map[int]bool // steps with a Mean proposal in flight
-	unconfirmed map[int]Ask  // proposals that report the end of steps, not yet applied on this member
-	releasing   bool         // its Release is proposed
-	refused     bool         // an executing gateway refused the token: nothing more is sent under it
-	failures    int          // steps that did not run, since the last one that did
-	resumeAt    float64      // end of the pause after a failure
+	sent        map[int]bool    // steps sent, outcome not known
+	intending   map[int]bool    // steps with a Mean proposal in flight
+	unconfirmed map[int]Propose // proposals that report the end of steps, not yet applied on this member
+	releasing   bool            // its Release is proposed
+	refused     bool            // an executing gateway refused the token: nothing more is sent under it
+	failures    int             // steps that did not run, since the last one that did
+	resumeAt    float64         // end of the pause after a failure
 }
 
 // Actions of an Executor, to be performed in order.
 type (
-	// Do sends a step's effect to its executing gateway, with job, token and step.
-	Do struct {
-		Job   Job
-		Token uint64
-		Step  int
-		By    float64 // when it counts as lost
+	// SendEffect sends a step's effect to its executing gateway, with job, token and step.
+	SendEffect struct {
+		Job      Job
+		Token    uint64
+		Step     int
+		Deadline float64 // when it counts as lost
 	}
-	// Ask proposes a command. The proposal may be lost: Resend repeats it.
-	Ask struct {
+	// Propose proposes a command. The proposal may be lost: Resend repeats it.
+	Propose struct {
 		Kind  string
 		Claim Claim
 		Job   *Job // of a Start, in place of a claim
 	}
 )
 
-// End is the outcome of a step's effect.
-type End int
+// Outcome is the outcome of a step's effect.
+type Outcome int
 
-// The outcomes. NeverRan needs proof, like the status of a pull; without proof the outcome is Perhaps.
+// The outcomes. NotRun needs proof, like the status of a pull; without proof the outcome is Uncertain.
 const (
-	Ran End = iota
-	NeverRan
-	Perhaps
+	Ran Outcome = iota
+	NotRun
+	Uncertain
 	Refused // by the executing gateway, for a stale token: this member no longer owns the job
 )
 
 // Sync takes over the current grants from the state machine and continues the jobs that this member owns.
-func (x *Executor) Sync(now float64, b *Book) (actions []any) {
+func (x *Executor) Sync(now float64, b *StateMachine) (actions []any) {
 	if x.jobs == nil {
 		x.jobs = map[string]*ownedJob{}
 	}
@@ -74,7 +74,7 @@
 		}
 		owned := x.jobs[j.Name]
 		if owned == nil {
-			owned = &ownedJob{token: j.Token, sent: map[int]bool{}, intending: map[int]bool{}, unconfirmed: map[int]Ask{}}
+			owned = &ownedJob{token: j.Token, sent: map[int]bool{}, intending: map[int]bool{}, unconfirmed: map[int]Propose{}}
 			x.jobs[j.Name] = owned
 		}
 		actions = append(actions, x.advance(now, j, owned)...)
@@ -95,7 +95,7 @@
 	if x.leaving || owned.refused {
 		if len(owned.sent) == 0 && !owned.releasing {
 			owned.releasing = true
-			actions = append(actions, Ask{Kind: Release, Claim: Claim{Job: j.Name, Token: owned.token, Leaving: x.leaving}})
+			actions = append(actions, Propose{Kind: Release, Claim: Claim{Job: j.Name, Token: owned.token, Leaving: x.leaving}})
 		}
 		return actions
 	}
@@ -114,25 +114,25 @@
 		if j.Type == Unsafe && j.Intended[step] != owned.token {
 			if !owned.intending[step] {
 				owned.intending[step] = true
-				actions = append(actions, Ask{Kind: Mean, Claim: Claim{Job: j.Name, Token: owned.token, Step: step}})
+				actions = append(actions, Propose{Kind: Intend, Claim: Claim{Job: j.Name, Token: owned.token, Step: step}})
 			}
 			continue
 		}
 		delete(owned.intending, step)
 		owned.sent[step] = true
-		actions = append(actions, Do{Job: j.clone(), Token: owned.token, Step: step})
+		actions = append(actions, SendEffect{Job: j.clone(), Token: owned.token, Step: step})
 	}
 	return actions
 }
 
 // HandleEnd processes the outcome of a step that was sent under a token.
-func (x *Executor) HandleEnd(now float64, job string, token uint64, step int, t Type, e End) (actions []any) {
+func (x *Executor) HandleEnd(now float64, job string, token uint64, step int, t Type, e Outcome) (actions []any) {
 	owned := x.jobs[job]
 	current := owned != nil && owned.token == token
 	switch {
 	case e == Ran:
 		// Reported even if this member no longer owns the job: the report resolves an uncertain step.
-		ask := Ask{Kind: Did, Claim: Claim{Job: job, Token: token, Step: step}}
+		ask := Propose{Kind: Complete, Claim: Claim{Job: job, Token: token, Step: step}}
 		if current {
 			owned.unconfirmed[step], owned.failures, owned.resumeAt = ask, 0, 0
 		}
@@ -143,8 +143,8 @@
 		// accepts only a newer token. In both cases the job is released, and its next grant has a newer token.
 		owned.refused = true
 		delete(owned.sent, step)
-	case t == Unsafe && e == Perhaps:
-		owned.unconfirmed[step] = Ask{Kind: Unsure, Claim: Claim{Job: job, Token: token, Step: step}}
+	case t == Unsafe && e == Uncertain:
+		owned.unconfirmed[step] = Propose{Kind: MarkUncertain, Claim: Claim{Job: job, Token: token, Step: step}}
 		actions = append(actions, owned.unconfirmed[step])
 	default:
 		delete(owned.sent, step) // it is sent again
@@ -174,7 +174,7 @@
 			actions = append(actions, owned.unconfirmed[step])
 		}
 		for _, step := range slices.Sorted(maps.Keys(owned.intending)) {
-			actions = append(actions, Ask{Kind: Mean, Claim: Claim{Job: name, Token: owned.token, Step: step}})
+			actions = append(actions, Propose{Kind: Intend, Claim: Claim{Job: name, Token: owned.token, Step: step}})
 		}
 		owned.releasing = false
 	}
--- a/internal/owner/interleavings_test.go
+++ b/internal/owner/interleavings_test.go
@@ -33,7 +33,7 @@
 	kind   string
 	data   []byte
 	name   string // the member, if the entry is a membership change
-	worker Worker
+	worker Member
 }
 
 type memberModel struct {
@@ -45,7 +45,7 @@
 
 // view is an immutable state machine and its encoding.
 type view struct {
-	*Book
+	*StateMachine
 	encoded string
 }
 
@@ -61,7 +61,7 @@
 		b.Workers[name] = w
 	}
 	if e.name != "" {
-		b.Member(uint64(index), e.name, e.worker)
+		b.ApplyMember(uint64(index), e.name, e.worker)
 	} else {
 		b.Apply(uint64(index), e.kind, e.data)
 	}
@@ -79,7 +79,7 @@
 type message struct {
 	sender      int
 	incarnation uint64
-	effect      Do
+	effect      SendEffect
 	isReply     bool
 	refused     bool
 }
@@ -173,11 +173,11 @@
 func (s *model) perform(i int, actions []any) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Ask:
+		case Propose:
 			if x := (proposal{a.Kind, a.Claim}); !slices.Contains(s.proposals, x) {
 				s.proposals = append(s.proposals, x)
 			}
-		case Do:
+		case SendEffect:
 			s.inFlight = append(s.inFlight, message{sender: i, incarnation: s.members[i].incarnation, effect: a})
 		}
 	}
@@ -202,23 +202,23 @@
 				x := &n.members[i]
 				x.book = x.book.after(n.log[x.applied], x.applied+1)
 				x.applied++
-				n.perform(i, x.executor.Sync(0, x.book.Book))
+				n.perform(i, x.executor.Sync(0, x.book.StateMachine))
 			})
 		}
 		w := s.full.Workers[memberNames[i]]
-		if w.There {
+		if w.Present {
 			branch(expiries, func(n *model) {
-				n.add(entry{name: memberNames[i], worker: Worker{Incarnation: w.Incarnation, Losses: w.Losses + 1}})
+				n.add(entry{name: memberNames[i], worker: Member{Incarnation: w.Incarnation, Losses: w.Losses + 1}})
 			})
 		} else {
 			branch(-1, func(n *model) {
-				n.add(entry{name: memberNames[i], worker: Worker{Incarnation: w.Incarnation, There: true, Losses: w.Losses}})
+				n.add(entry{name: memberNames[i], worker: Member{Incarnation: w.Incarnation, Present: true, Losses: w.Losses}})
 			})
 		}
 		branch(crashes, func(n *model) { // a new process; effects of the old one are still in flight
 			inc := uint64(10 + n.budget[crashes])
 			inc = 20 - inc
-			n.add(entry{name: memberNames[i], worker: Worker{Incarnation: inc, There: true, Losses: w.Losses + 1}})
+			n.add(entry{name: memberNames[i], worker: Member{Incarnation: inc, Present: true, Losses: w.Losses + 1}})
 			n.members[i] = memberModel{incarnation: inc, applied: n.members[i].applied, book: n.members[i].book, executor: &Executor{Name: memberNames[i], Incarnation: inc}}
 		})
 	}
@@ -233,7 +233,7 @@
 			continue
 		}
 		for _, name := range memberNames {
-			if w := s.full.Workers[name]; w.There {
+			if w := s.full.Workers[name]; w.Present {
 				branch(grants, func(n *model) {
 					n.add(entry{kind: Grant, data: canon.Encode(Claim{Job: j.Name, Name: name, Incarnation: w.Incarnation})})
 				})
@@ -269,7 +269,7 @@
 		branch(losses, func(n *model) { // lost; its sender's timeout expires
 			n.inFlight = slices.Delete(n.inFlight, x, x+1)
 			if m := &n.members[msg.sender]; m.incarnation == msg.incarnation {
-				n.perform(msg.sender, m.executor.HandleEnd(0, msg.effect.Job.Name, msg.effect.Token, msg.effect.Step, msg.effect.Job.Type, Perhaps))
+				n.perform(msg.sender, m.executor.HandleEnd(0, msg.effect.Job.Name, msg.effect.Token, msg.effect.Step, msg.effect.Job.Type, Uncertain))
 			}
 		})
 		if msg.isReply {
@@ -294,7 +294,7 @@
 	for _, c := range cases {
 		initial := &model{full: view{New(4), ""}, checker: NewTokenChecker(4), highest: map[string]uint64{}, admitted: map[string]int{}, ran: map[string]int{}, budget: c.budget}
 		for i, name := range memberNames {
-			initial.add(entry{name: name, worker: Worker{Incarnation: uint64(i + 1), There: true}})
+			initial.add(entry{name: name, worker: Member{Incarnation: uint64(i + 1), Present: true}})
 		}
 		jobs := []string{"j", "k"}[:len(c.types)]
 		for i, name := range jobs {
--- a/internal/owner/job.go
+++ b/internal/owner/job.go
@@ -41,7 +41,7 @@
 	Uncertain   map[int]uint64 `cbor:"14,keyasint,omitempty"` // unsafe steps that may have run, and their token
 	Grants      int            `cbor:"15,keyasint"`
 	Since       uint64         `cbor:"16,keyasint"`           // log index of the last change of owner or state
-	Places      []string       `cbor:"17,keyasint,omitempty"` // gateways that execute the steps, in turn; empty: the owner does
+	Gateways    []string       `cbor:"17,keyasint,omitempty"` // gateways that execute the steps, in turn; empty: the owner does
 	Zone        string         `cbor:"19,keyasint,omitempty"` // zone preferred for the owner; empty: any
 	History     []Change       `cbor:"18,keyasint,omitempty"` // the last maxHistory changes
 }
@@ -49,18 +49,18 @@
 // Change is one change of a job's owner or state.
 type Change struct {
 	Index       uint64 `cbor:"1,keyasint" json:"index"`
-	What        string `cbor:"2,keyasint" json:"what"`
+	Event       string `cbor:"2,keyasint" json:"what"`
 	Owner       string `cbor:"3,keyasint,omitempty" json:"owner,omitempty"`
 	Incarnation uint64 `cbor:"4,keyasint,omitempty" json:"incarnation,omitempty"`
 	Token       uint64 `cbor:"5,keyasint,omitempty" json:"token,omitempty"`
 }
 
-// Place returns the gateway that executes a step; empty: the owner of the job.
-func (j *Job) Place(step int) string {
-	if len(j.Places) == 0 {
+// ExecutingGateway returns the gateway that executes a step; empty: the owner of the job.
+func (j *Job) ExecutingGateway(step int) string {
+	if len(j.Gateways) == 0 {
 		return ""
 	}
-	return j.Places[step%len(j.Places)]
+	return j.Gateways[step%len(j.Gateways)]
 }
 
 // State is the state of a job.
@@ -77,15 +77,15 @@
 
 // Kinds of commands in the log, each with its content.
 const (
-	Start   = "start"   // Job: name, kind, data, steps, type, window, places, zone
-	Stop    = "stop"    // Claim: job
-	Grant   = "grant"   // Claim: job, name and incarnation of the new owner; proposed by the leader
-	Release = "release" // Claim: job and token; proposed by an owner that leaves or whose token was refused
-	Mean    = "mean"    // Claim: job, token, step: the owner intends to send an unsafe step
-	Did     = "did"     // Claim: job, token, step: the step ran
-	Unsure  = "unsure"  // Claim: job, token, step: its owner can't know whether the step ran
-	Fence   = "fence"   // Claim: job; by an operator: effects still in flight are refused once the next token is seen
-	Verdict = "verdict" // Claim: job, step, ran: an operator states whether a step that may have run did run
+	Start         = "start"   // Job: name, kind, data, steps, type, window, places, zone
+	Stop          = "stop"    // Claim: job
+	Grant         = "grant"   // Claim: job, name and incarnation of the new owner; proposed by the leader
+	Release       = "release" // Claim: job and token; proposed by an owner that leaves or whose token was refused
+	Intend        = "mean"    // Claim: job, token, step: the owner intends to send an unsafe step
+	Complete      = "did"     // Claim: job, token, step: the step ran
+	MarkUncertain = "unsure"  // Claim: job, token, step: its owner can't know whether the step ran
+	Fence         = "fence"   // Claim: job; by an operator: effects still in flight are refused once the next token is seen
+	Resolve       = "verdict" // Claim: job, step, ran: an operator states whether a step that may have run did run
 )
 
 // Claim is the content of all commands but Start.
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -15,8 +15,8 @@
 // checks tokens. It states the rules independently of the code: who may run what follows from the order of the log
 // alone.
 type simulation struct {
-	log       []func(*Book, uint64) // committed entries, in order
-	books     []*Book               // per member, as far as it has applied the log
+	log       []func(*StateMachine, uint64) // committed entries, in order
+	books     []*StateMachine               // per member, as far as it has applied the log
 	applied   []int
 	executors []*Executor
 	inFlight  []delayedEffect // effects and replies in flight, with unbounded delay
@@ -30,18 +30,18 @@
 
 type delayedEffect struct {
 	sender  int
-	effect  Do
+	effect  SendEffect
 	isReply bool // the effect has happened and its reply is in flight
 	err     error
 }
 
 func (p *simulation) agree(kind string, data any) {
 	text := canon.Encode(data)
-	p.log = append(p.log, func(b *Book, index uint64) { b.Apply(index, kind, text) })
+	p.log = append(p.log, func(b *StateMachine, index uint64) { b.Apply(index, kind, text) })
 }
 
-func (p *simulation) member(name string, w Worker) {
-	p.log = append(p.log, func(b *Book, index uint64) { b.Member(index, name, w) })
+func (p *simulation) member(name string, w Member) {
+	p.log = append(p.log, func(b *StateMachine, index uint64) { b.ApplyMember(index, name, w) })
 }
 
 // follow applies up to so many log entries on a member and performs its actions.
@@ -56,12 +56,12 @@
 func (p *simulation) perform(i int, actions []any) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Ask:
+		case Propose:
 			if p.lossy && rapid.IntRange(0, 3).Draw(p.t, "proposal lost") == 0 {
 				continue
 			}
 			p.agree(a.Kind, a.Claim)
-		case Do:
+		case SendEffect:
 			p.inFlight = append(p.inFlight, delayedEffect{sender: i, effect: a})
 		}
 	}
@@ -75,7 +75,7 @@
 	if msg.isReply {
 		end := Ran
 		if lose {
-			end = Perhaps
+			end = Uncertain
 		} else if msg.err != nil {
 			end = Refused
 		}
@@ -83,7 +83,7 @@
 		return
 	}
 	if lose {
-		p.perform(msg.sender, p.executors[msg.sender].HandleEnd(0, msg.effect.Job.Name, msg.effect.Token, msg.effect.Step, msg.effect.Job.Type, Perhaps))
+		p.perform(msg.sender, p.executors[msg.sender].HandleEnd(0, msg.effect.Job.Name, msg.effect.Token, msg.effect.Step, msg.effect.Job.Type, Uncertain))
 		return
 	}
 	_, again, err := p.checkers["place"].Check(msg.effect.Job.Name, msg.effect.Token, msg.effect.Step, msg.effect.Job.Type)
@@ -109,10 +109,10 @@
 		p := &simulation{t: t, checkers: map[string]*TokenChecker{"place": NewTokenChecker(4)}, ran: map[string]int{}, admitted: map[string]int{}, lossy: true, highest: map[string]uint64{}}
 		names := []string{"a", "b", "c"}
 		inc := uint64(0)
-		workers := map[string]Worker{}
+		workers := map[string]Member{}
 		for i, name := range names {
 			inc++
-			workers[name] = Worker{Incarnation: inc, There: true}
+			workers[name] = Member{Incarnation: inc, Present: true}
 			p.member(name, workers[name])
 			p.books, p.applied, p.executors = append(p.books, New(8)), append(p.applied, 0), append(p.executors, &Executor{Name: name, Incarnation: inc})
 			_ = i
@@ -120,7 +120,7 @@
 		p.agree(Start, Job{Name: "j", Kind: "k", Steps: 6, Type: typ, Window: 2})
 		p.agree(Start, Job{Name: "k", Kind: "k", Steps: 4, Type: typ, Window: 3})
 		planner, now := &Planner{HoldDown: 10, MaxHoldDown: 100}, 0.0
-		fullState := func() *Book { // the whole log applied, as on a leader
+		fullState := func() *StateMachine { // the whole log applied, as on a leader
 			b := New(8)
 			for i, c := range p.log {
 				c(b, uint64(i+1))
@@ -146,20 +146,20 @@
 			case 5:
 				plan()
 			case 6: // declared lost, whatever it does
-				if w := workers[name]; w.There {
-					w.There, w.Losses = false, w.Losses+1
+				if w := workers[name]; w.Present {
+					w.Present, w.Losses = false, w.Losses+1
 					workers[name] = w
 					p.member(name, w)
 				}
 			case 7: // back under the same incarnation
-				if w := workers[name]; !w.There {
-					w.There = true
+				if w := workers[name]; !w.Present {
+					w.Present = true
 					workers[name] = w
 					p.member(name, w)
 				}
 			case 8: // a new process; effects of the old one are still in flight
 				inc++
-				workers[name] = Worker{Incarnation: inc, There: true, Losses: workers[name].Losses + 1}
+				workers[name] = Member{Incarnation: inc, Present: true, Losses: workers[name].Losses + 1}
 				p.member(name, workers[name])
 				p.executors[i] = &Executor{Name: name, Incarnation: inc}
 			}
@@ -176,9 +176,9 @@
 				t.Fatalf("not done: %+v %+v", b.Jobs["j"], b.Jobs["k"])
 			}
 			for i, name := range names {
-				if !workers[name].There {
+				if !workers[name].Present {
 					w := workers[name]
-					w.There = true
+					w.Present = true
 					workers[name] = w
 					p.member(name, w)
 				}
@@ -191,7 +191,7 @@
 			plan()
 			for _, j := range fullState().All() {
 				for step := range j.Uncertain {
-					p.agree(Verdict, Claim{Job: j.Name, Step: step, Ran: p.ran[fmt.Sprint(j.Name, "/", step)] > 0})
+					p.agree(Resolve, Claim{Job: j.Name, Step: step, Ran: p.ran[fmt.Sprint(j.Name, "/", step)] > 0})
 				}
 			}
 		}
@@ -219,35 +219,35 @@
 func TestStaleOwnerFenced(t *testing.T) {
 	for _, typ := range []Type{Safe, Keyed, Unsafe} {
 		b, g := New(4), NewTokenChecker(4)
-		b.Member(1, "a", Worker{Incarnation: 1, There: true})
-		b.Member(2, "b", Worker{Incarnation: 2, There: true})
+		b.ApplyMember(1, "a", Member{Incarnation: 1, Present: true})
+		b.ApplyMember(2, "b", Member{Incarnation: 2, Present: true})
 		b.Apply(3, Start, canon.Encode(Job{Name: "j", Kind: "k", Steps: 3, Type: typ, Window: 1}))
 		b.Apply(4, Grant, canon.Encode(Claim{Job: "j", Name: "a", Incarnation: 1}))
 		a := &Executor{Name: "a", Incarnation: 1}
 		actions := a.Sync(0, b)
 		if typ == Unsafe {
-			ask := actions[0].(Ask)
+			ask := actions[0].(Propose)
 			b.Apply(5, ask.Kind, canon.Encode(ask.Claim))
 			actions = a.Sync(0, b)
 		}
-		held := actions[0].(Do) // frozen before it sends this
+		held := actions[0].(SendEffect) // frozen before it sends this
 		if r := b.Apply(6, Grant, canon.Encode(Claim{Job: "j", Name: "b", Incarnation: 2})); r != ErrHasOwner {
 			t.Errorf("%v: a second owner while the first is present: %v", typ, r)
 		}
-		b.Member(7, "a", Worker{Incarnation: 1, Losses: 1})
+		b.ApplyMember(7, "a", Member{Incarnation: 1, Losses: 1})
 		if r := b.Apply(8, Grant, canon.Encode(Claim{Job: "j", Name: "b", Incarnation: 2})); r.(Job).Token <= held.Token {
 			t.Errorf("%v: token %d after %d", typ, r.(Job).Token, held.Token)
 		}
 		next := &Executor{Name: "b", Incarnation: 2}
 		step := -1
 		for _, x := range next.Sync(0, b) {
-			if ask, ok := x.(Ask); ok {
+			if ask, ok := x.(Propose); ok {
 				b.Apply(9, ask.Kind, canon.Encode(ask.Claim))
 				for _, x := range next.Sync(0, b) {
-					step = x.(Do).Step
+					step = x.(SendEffect).Step
 				}
 			} else {
-				step = x.(Do).Step
+				step = x.(SendEffect).Step
 			}
 		}
 		if _, _, err := g.Check("j", b.Jobs["j"].Token, max(step, 1), typ); err != nil {
@@ -260,7 +260,7 @@
 		if _, doubt := b.Jobs["j"].Uncertain[held.Step]; doubt != (typ == Unsafe) || typ == Unsafe && step == held.Step {
 			t.Errorf("%v: a step that may have run: new owner sends step %d; uncertain: %t", typ, step, doubt)
 		}
-		if r := b.Apply(10, Did, canon.Encode(Claim{Job: "j", Token: held.Token, Step: held.Step})); (r == ErrStaleToken) != (typ != Unsafe) {
+		if r := b.Apply(10, Complete, canon.Encode(Claim{Job: "j", Token: held.Token, Step: held.Step})); (r == ErrStaleToken) != (typ != Unsafe) {
 			t.Errorf("%v: late report of the old owner: %v", typ, r)
 		}
 	}
@@ -271,7 +271,7 @@
 func TestPlanner(t *testing.T) {
 	b, p := New(8), &Planner{HoldDown: 1000, MaxHoldDown: 8000}
 	for i, name := range []string{"a", "b", "c"} {
-		b.Member(uint64(i+1), name, Worker{Incarnation: uint64(i + 1), There: true})
+		b.ApplyMember(uint64(i+1), name, Member{Incarnation: uint64(i + 1), Present: true})
 	}
 	for i := range 6 {
 		b.Apply(uint64(10+i), Start, canon.Encode(Job{Name: fmt.Sprint("j", i), Kind: "k", Steps: 1, Window: 1}))
@@ -286,11 +286,11 @@
 	}
 	at := 0.0
 	for loss := uint64(1); loss <= 5; loss++ {
-		b.Member(100+loss, "a", Worker{Incarnation: 1, Losses: loss})
+		b.ApplyMember(100+loss, "a", Member{Incarnation: 1, Losses: loss})
 		for _, c := range p.Plan(at, b) {
 			b.Apply(110+loss, Grant, canon.Encode(c))
 		}
-		b.Member(120+loss, "a", Worker{Incarnation: 1, There: true, Losses: loss})
+		b.ApplyMember(120+loss, "a", Member{Incarnation: 1, Present: true, Losses: loss})
 		p.Plan(at, b)
 		name := fmt.Sprint("new", loss)
 		for _, other := range []string{"b", "c"} { // both own more jobs than a
@@ -316,17 +316,17 @@
 func TestPlannerAllHeldDown(t *testing.T) {
 	b, p := New(8), &Planner{HoldDown: 1000, MaxHoldDown: 60_000}
 	for i, name := range []string{"a", "b", "c"} {
-		b.Member(uint64(i+1), name, Worker{Incarnation: uint64(i + 1), There: true, Losses: uint64(3 + (i+1)%3)}) // a 4, b 5, c 3
+		b.ApplyMember(uint64(i+1), name, Member{Incarnation: uint64(i + 1), Present: true, Losses: uint64(3 + (i+1)%3)}) // a 4, b 5, c 3
 	}
 	b.Apply(10, Start, canon.Encode(Job{Name: "j", Kind: "k", Steps: 1, Window: 1}))
 	if c := p.Plan(0, b); len(c) != 1 || c[0].Name != "c" {
 		t.Errorf("three members in hold-down: %v", c)
 	}
-	b.Member(11, "c", Worker{Incarnation: 3, Losses: 4})
+	b.ApplyMember(11, "c", Member{Incarnation: 3, Losses: 4})
 	if c := p.Plan(10, b); len(c) != 1 || c[0].Name != "a" {
 		t.Errorf("two members in hold-down: %v", c)
 	}
-	b.Member(12, "d", Worker{Incarnation: 9, There: true})
+	b.ApplyMember(12, "d", Member{Incarnation: 9, Present: true})
 	if c := p.Plan(20, b); len(c) != 1 || c[0].Name != "d" {
 		t.Errorf("one member not in hold-down: %v", c)
 	}
@@ -335,7 +335,7 @@
 // Tests that invalid commands change nothing and return the right error, and that memory is bounded.
 func TestRefusals(t *testing.T) {
 	b := New(2)
-	b.Member(1, "a", Worker{Incarnation: 1, There: true})
+	b.ApplyMember(1, "a", Member{Incarnation: 1, Present: true})
 	job := Job{Name: "j", Kind: "k", Steps: 2, Type: Unsafe, Window: 2}
 	for i, c := range []struct {
 		kind string
@@ -345,12 +345,12 @@
 		{Start, Job{Name: "j", Kind: "k", Steps: 0, Window: 1}, ErrMalformed}, {Grant, Claim{Job: "j"}, ErrUnknownJob}, {Start, job, nil}, {Start, job, nil},
 		{Start, Job{Name: "j", Kind: "other", Steps: 2, Type: Unsafe, Window: 2}, ErrConflict},
 		{Grant, Claim{Job: "j", Name: "b", Incarnation: 1}, ErrMemberAbsent}, {Grant, Claim{Job: "j", Name: "a", Incarnation: 2}, ErrMemberAbsent},
-		{Mean, Claim{Job: "j", Token: 0}, ErrStaleToken}, {Grant, Claim{Job: "j", Name: "a", Incarnation: 1}, nil},
-		{Did, Claim{Job: "j", Token: 1}, ErrMalformed}, {Mean, Claim{Job: "j", Token: 1}, nil}, {Mean, Claim{Job: "j", Token: 1}, ErrAlreadySent},
-		{Verdict, Claim{Job: "j", Ran: true}, ErrAlreadySent}, {Release, Claim{Job: "j", Token: 7}, ErrStaleToken}, {Release, Claim{Job: "j", Token: 1}, nil},
-		{Mean, Claim{Job: "j", Token: 1, Step: 1}, ErrStaleToken}, {Grant, Claim{Job: "j", Name: "a", Incarnation: 1}, nil},
-		{Mean, Claim{Job: "j", Token: 2, Step: 0}, ErrAlreadySent}, {Verdict, Claim{Job: "j"}, nil}, {Mean, Claim{Job: "j", Token: 2, Step: 0}, nil},
-		{Unsure, Claim{Job: "j", Token: 1, Step: 0}, ErrStaleToken}, {Did, Claim{Job: "j", Token: 2, Step: 0}, nil}, {Did, Claim{Job: "j", Token: 2, Step: 0}, nil},
+		{Intend, Claim{Job: "j", Token: 0}, ErrStaleToken}, {Grant, Claim{Job: "j", Name: "a", Incarnation: 1}, nil},
+		{Complete, Claim{Job: "j", Token: 1}, ErrMalformed}, {Intend, Claim{Job: "j", Token: 1}, nil}, {Intend, Claim{Job: "j", Token: 1}, ErrAlreadySent},
+		{Resolve, Claim{Job: "j", Ran: true}, ErrAlreadySent}, {Release, Claim{Job: "j", Token: 7}, ErrStaleToken}, {Release, Claim{Job: "j", Token: 1}, nil},
+		{Intend, Claim{Job: "j", Token: 1, Step: 1}, ErrStaleToken}, {Grant, Claim{Job: "j", Name: "a", Incarnation: 1}, nil},
+		{Intend, Claim{Job: "j", Token: 2, Step: 0}, ErrAlreadySent}, {Resolve, Claim{Job: "j"}, nil}, {Intend, Claim{Job: "j", Token: 2, Step: 0}, nil},
+		{MarkUncertain, Claim{Job: "j", Token: 1, Step: 0}, ErrStaleToken}, {Complete, Claim{Job: "j", Token: 2, Step: 0}, nil}, {Complete, Claim{Job: "j", Token: 2, Step: 0}, nil},
 		{Start, Job{Name: "k", Steps: 1, Window: 1}, nil}, {Start, Job{Name: "l", Steps: 1, Window: 1}, ErrFull},
 		{Stop, Claim{Job: "k"}, nil}, {Stop, Claim{Job: "k"}, ErrNotRunning}, {Start, Job{Name: "l", Steps: 1, Window: 1}, nil}, {"odd", Claim{Job: "j"}, ErrMalformed},
 	} {
@@ -387,32 +387,32 @@
 func TestStepOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		typ  Type
-		end  End
+		end  Outcome
 		want string
 	}{
-		{Safe, Perhaps, "do 0"}, {Keyed, Perhaps, "do 0"}, {Unsafe, Perhaps, "unsure 0"}, {Unsafe, NeverRan, "do 0"}, {Safe, Ran, "did 0"},
+		{Safe, Uncertain, "do 0"}, {Keyed, Uncertain, "do 0"}, {Unsafe, Uncertain, "unsure 0"}, {Unsafe, NotRun, "do 0"}, {Safe, Ran, "did 0"},
 		{Unsafe, Ran, "did 0"}, {Safe, Refused, "release 0"},
 	} {
 		b := New(2)
-		b.Member(1, "a", Worker{Incarnation: 1, There: true})
+		b.ApplyMember(1, "a", Member{Incarnation: 1, Present: true})
 		b.Apply(2, Start, canon.Encode(Job{Name: "j", Kind: "k", Steps: 1, Type: c.typ, Window: 1}))
 		b.Apply(3, Grant, canon.Encode(Claim{Job: "j", Name: "a", Incarnation: 1}))
 		w := &Executor{Name: "a", Incarnation: 1}
 		actions := w.Sync(0, b)
-		if ask, ok := actions[0].(Ask); ok {
+		if ask, ok := actions[0].(Propose); ok {
 			b.Apply(4, ask.Kind, canon.Encode(ask.Claim))
 			actions = w.Sync(0, b)
 		}
 		if again := w.Sync(0, b); len(again) != 0 {
 			t.Errorf("%v: sent twice: %v", c.typ, again)
 		}
-		actions = append(w.HandleEnd(0, "j", actions[0].(Do).Token, 0, c.typ, c.end), w.Sync(0, b)...)
+		actions = append(w.HandleEnd(0, "j", actions[0].(SendEffect).Token, 0, c.typ, c.end), w.Sync(0, b)...)
 		got := ""
 		for _, x := range actions {
 			switch x := x.(type) {
-			case Do:
+			case SendEffect:
 				got += fmt.Sprintf("do %d", x.Step)
-			case Ask:
+			case Propose:
 				got += fmt.Sprintf("%s %d", x.Kind, x.Claim.Step)
 			}
 		}
@@ -424,8 +424,8 @@
 			if actions := w.Sync(0, b); len(actions) != 0 {
 				t.Errorf("leaving with a step in flight: %v", actions)
 			}
-			w.HandleEnd(0, "j", b.Jobs["j"].Token, 0, c.typ, NeverRan)
-			if actions := w.Sync(0, b); len(actions) != 1 || actions[0].(Ask).Kind != Release {
+			w.HandleEnd(0, "j", b.Jobs["j"].Token, 0, c.typ, NotRun)
+			if actions := w.Sync(0, b); len(actions) != 1 || actions[0].(Propose).Kind != Release {
 				t.Errorf("leaving: %v", actions)
 			}
 		}
@@ -436,7 +436,7 @@
 func TestUnconfirmedProposalsResent(t *testing.T) {
 	for _, typ := range []Type{Safe, Keyed, Unsafe} {
 		b := New(2)
-		b.Member(1, "a", Worker{Incarnation: 1, There: true})
+		b.ApplyMember(1, "a", Member{Incarnation: 1, Present: true})
 		b.Apply(2, Start, canon.Encode(Job{Name: "j", Kind: "k", Steps: 1, Type: typ, Window: 1}))
 		b.Apply(3, Grant, canon.Encode(Claim{Job: "j", Name: "a", Incarnation: 1}))
 		w := &Executor{Name: "a", Incarnation: 1}
@@ -445,10 +445,10 @@
 			if again := w.Resend(); len(again) != 1 || again[0] != actions[0] {
 				t.Errorf("lost Mean proposal sent again: %v", again)
 			}
-			b.Apply(4, Mean, canon.Encode(actions[0].(Ask).Claim))
+			b.Apply(4, Intend, canon.Encode(actions[0].(Propose).Claim))
 			actions = w.Sync(0, b)
 		}
-		reported := w.HandleEnd(0, "j", actions[0].(Do).Token, 0, typ, Ran)
+		reported := w.HandleEnd(0, "j", actions[0].(SendEffect).Token, 0, typ, Ran)
 		if idle := w.Sync(0, b); len(reported) != 1 || len(idle) != 0 {
 			t.Errorf("%v: reported %v, then %v", typ, reported, idle)
 		}
@@ -456,7 +456,7 @@
 		if len(again) != 1 || again[0] != reported[0] {
 			t.Fatalf("%v: lost report sent again: %v", typ, again)
 		}
-		b.Apply(5, Did, canon.Encode(again[0].(Ask).Claim))
+		b.Apply(5, Complete, canon.Encode(again[0].(Propose).Claim))
 		if w.Sync(0, b); b.Jobs["j"].State != Finished || len(w.Resend()) != 0 {
 			t.Errorf("%v: not finished, or still proposing: %+v", typ, b.Jobs["j"])
 		}
--- a/internal/owner/place/place.go
+++ b/internal/owner/place/place.go
@@ -35,12 +35,12 @@
 
 // Result is the outcome of an effect.
 type Result struct {
-	Job   string    `cbor:"1,keyasint"`
-	Token uint64    `cbor:"2,keyasint"`
-	Step  int       `cbor:"3,keyasint"`
-	End   owner.End `cbor:"4,keyasint"`
-	Newer uint64    `cbor:"5,keyasint,omitempty"` // if refused: the newer token seen here
-	Why   string    `cbor:"6,keyasint,omitempty"`
+	Job   string        `cbor:"1,keyasint"`
+	Token uint64        `cbor:"2,keyasint"`
+	Step  int           `cbor:"3,keyasint"`
+	End   owner.Outcome `cbor:"4,keyasint"`
+	Newer uint64        `cbor:"5,keyasint,omitempty"` // if refused: the newer token seen here
+	Why   string        `cbor:"6,keyasint,omitempty"`
 }
 
 // Entry is an effect that happened or was refused here, numbered in the order of this record.
@@ -198,7 +198,7 @@
 	select {
 	case p.queue <- func() { done(p.execute(e)) }:
 	default:
-		done(Result{Job: e.Job, Token: e.Token, Step: e.Step, End: owner.NeverRan, Why: "too much waits there"})
+		done(Result{Job: e.Job, Token: e.Token, Step: e.Step, End: owner.NotRun, Why: "too much waits there"})
 	}
 }
 
@@ -218,10 +218,10 @@
 	r := Result{Job: e.Job, Token: e.Token, Step: e.Step}
 	switch {
 	case p.failure != nil:
-		r.End, r.Why = owner.NeverRan, p.failure.Error()
+		r.End, r.Why = owner.NotRun, p.failure.Error()
 		return r
 	case p.db == nil && e.Type != owner.Safe:
-		r.End, r.Why = owner.NeverRan, "this gateway has no disk, and keeps no record of what ran"
+		r.End, r.Why = owner.NotRun, "this gateway has no disk, and keeps no record of what ran"
 		return r
 	}
 	_, again, err := p.checker.Check(e.Job, e.Token, e.Step, e.Type)
@@ -235,7 +235,7 @@
 			Warn("jobs: refused an effect with a stale token")
 	}
 	if err := p.write(entry); err != nil && r.End != owner.Refused {
-		r.End, r.Why = owner.Perhaps, err.Error()
+		r.End, r.Why = owner.Uncertain, err.Error()
 	}
 	return r
 }
--- a/internal/owner/planner.go
+++ b/internal/owner/planner.go
@@ -27,7 +27,7 @@
 // name, preferably in the job's zone. If all members are in hold-down, the one whose hold-down ends first is
 // chosen: without that rule a simulation with many losses left a job without an owner for 27 s, as every member
 // had been lost several times.
-func (p *Planner) Plan(now float64, b *Book) (grants []Claim) {
+func (p *Planner) Plan(now float64, b *StateMachine) (grants []Claim) {
 	if p.observed == nil {
 		p.observed = map[string]observation{}
 	}
@@ -37,8 +37,8 @@
 	fallback, fallbackAt := "", math.Inf(1) // member whose hold-down ends first
 	for _, name := range slices.Sorted(maps.Keys(b.Workers)) {
 		worker, obs := b.Workers[name], p.observed[name]
-		if obs.losses != worker.Losses || obs.there != worker.There || obs.incarnation != worker.Incarnation {
-			if obs = (observation{incarnation: worker.Incarnation, losses: worker.Losses, there: worker.There, since: now}); !worker.There {
+		if obs.losses != worker.Losses || obs.there != worker.Present || obs.incarnation != worker.Incarnation {
+			if obs = (observation{incarnation: worker.Incarnation, losses: worker.Losses, there: worker.Present, since: now}); !worker.Present {
 				obs.since = 0
 			}
 			p.observed[name] = obs
@@ -47,9 +47,9 @@
 		if worker.Losses > 0 {
 			holdDown = min(p.MaxHoldDown, p.HoldDown*float64(uint64(1)<<min(worker.Losses-1, 20)))
 		}
-		if worker.There && !worker.Idle && now >= obs.since+holdDown {
+		if worker.Present && !worker.Idle && now >= obs.since+holdDown {
 			eligible = append(eligible, name)
-		} else if worker.There && !worker.Idle {
+		} else if worker.Present && !worker.Idle {
 			p.nextEligible = min(p.nextEligible, obs.since+holdDown)
 			if obs.since+holdDown < fallbackAt {
 				fallback, fallbackAt = name, obs.since+holdDown
--- a/internal/owner/state_machine.go
+++ b/internal/owner/state_machine.go
@@ -8,18 +8,18 @@
 	"poppymill/internal/canon"
 )
 
-// Book is the replicated state machine of all jobs: its state follows from the commands of the log alone.
-type Book struct {
+// StateMachine is the replicated state machine of all jobs: its state follows from the commands of the log alone.
+type StateMachine struct {
 	MaxJobs   int               `cbor:"-"`          // jobs remembered
 	LastToken uint64            `cbor:"1,keyasint"` // the last token issued; it only increases
 	Jobs      map[string]*Job   `cbor:"2,keyasint"`
-	Workers   map[string]Worker `cbor:"3,keyasint"`
+	Workers   map[string]Member `cbor:"3,keyasint"`
 }
 
-// Worker is a member as the log describes it.
-type Worker struct {
+// Member is a member as the log describes it.
+type Member struct {
 	Incarnation uint64 `cbor:"1,keyasint"`
-	There       bool   `cbor:"2,keyasint"`
+	Present     bool   `cbor:"2,keyasint"`
 	Losses      uint64 `cbor:"3,keyasint"` // how often it went away without leaving properly
 	Zone        string `cbor:"5,keyasint"`
 	Idle        bool   `cbor:"4,keyasint"` // must be granted nothing: it does not take part in jobs, or is about to leave
@@ -39,21 +39,21 @@
 )
 
 // New returns an empty state machine.
-func New(maxJobs int) *Book {
-	return &Book{MaxJobs: maxJobs, Jobs: map[string]*Job{}, Workers: map[string]Worker{}}
+func New(maxJobs int) *StateMachine {
+	return &StateMachine{MaxJobs: maxJobs, Jobs: map[string]*Job{}, Workers: map[string]Member{}}
 }
 
-// Member applies a membership change at its index in the log. A member that is gone owns nothing from that index
+// ApplyMember applies a membership change at its index in the log. A member that is gone owns nothing from that index
 // on, whatever it believes itself.
-func (b *Book) Member(index uint64, name string, w Worker) {
+func (b *StateMachine) ApplyMember(index uint64, name string, w Member) {
 	if old := b.Workers[name]; old.Incarnation == w.Incarnation {
 		w.Idle = w.Idle || old.Idle // once leaving, a process stays idle until its end
 	}
-	if b.Workers[name] = w; !w.There && w.Incarnation == 0 {
+	if b.Workers[name] = w; !w.Present && w.Incarnation == 0 {
 		delete(b.Workers, name)
 	}
 	for _, j := range b.All() {
-		if j.Owner == name && (!w.There || j.Incarnation != w.Incarnation) {
+		if j.Owner == name && (!w.Present || j.Incarnation != w.Incarnation) {
 			j.endGrant(index, "owner lost")
 		}
 	}
@@ -64,7 +64,7 @@
 	if len(j.History) >= maxHistory {
 		j.History = append([]Change(nil), j.History[1:]...) // keeps the history of copies that were handed out
 	}
-	j.History = append(j.History, Change{Index: index, What: event, Owner: j.Owner, Incarnation: j.Incarnation, Token: j.Token})
+	j.History = append(j.History, Change{Index: index, Event: event, Owner: j.Owner, Incarnation: j.Incarnation, Token: j.Token})
 }
 
 // endGrant ends a grant. Steps that were intended under it and are not done may have run: they run again only if
@@ -87,7 +87,7 @@
 }
 
 // All returns the jobs, sorted by name.
-func (b *Book) All() []*Job {
+func (b *StateMachine) All() []*Job {
 	var all []*Job
 	for _, name := range slices.Sorted(maps.Keys(b.Jobs)) {
 		all = append(all, b.Jobs[name])
@@ -96,11 +96,11 @@
 }
 
 // Apply applies the command at an index of the log. It returns a copy of the job after the command, or an error.
-func (b *Book) Apply(index uint64, kind string, data []byte) any {
+func (b *StateMachine) Apply(index uint64, kind string, data []byte) any {
 	if kind == Start {
 		var j Job
 		if canon.Decode(data, &j) != nil || j.Name == "" || j.Steps < 1 || j.Steps > maxSteps || j.Window < 1 || j.Window > maxWindow ||
-			len(j.Data) > maxDataSize || len(j.Places) > maxPlaces || j.Type < Safe || j.Type > Unsafe {
+			len(j.Data) > maxDataSize || len(j.Gateways) > maxPlaces || j.Type < Safe || j.Type > Unsafe {
 			return ErrMalformed
 		}
 		return b.start(index, j)
@@ -121,15 +121,15 @@
 		err = b.grant(index, j, c)
 	case Release:
 		err = b.release(index, j, c)
-	case Mean:
+	case Intend:
 		err = j.intend(c)
-	case Did:
+	case Complete:
 		err = j.complete(index, c)
-	case Unsure:
+	case MarkUncertain:
 		err = j.reportUncertain(c)
 	case Fence:
 		err = j.fence(index)
-	case Verdict:
+	case Resolve:
 		err = j.resolve(index, c)
 	default:
 		err = ErrMalformed
@@ -147,14 +147,14 @@
 	return c
 }
 
-func (b *Book) start(index uint64, j Job) any {
-	created := Job{Name: j.Name, Kind: j.Kind, Data: j.Data, Steps: j.Steps, Type: j.Type, Window: j.Window, Places: j.Places, Zone: j.Zone, Since: index}
+func (b *StateMachine) start(index uint64, j Job) any {
+	created := Job{Name: j.Name, Kind: j.Kind, Data: j.Data, Steps: j.Steps, Type: j.Type, Window: j.Window, Gateways: j.Gateways, Zone: j.Zone, Since: index}
 	created.record(index, "started")
 	if old := b.Jobs[j.Name]; old != nil {
 		// Repeating a start is harmless. A different job under the same name would have steps counted as done that
 		// never ran.
 		if old.Kind == j.Kind && string(old.Data) == string(j.Data) && old.Steps == j.Steps && old.Type == j.Type && old.Window == j.Window && old.Zone == j.Zone &&
-			slices.Equal(old.Places, j.Places) {
+			slices.Equal(old.Gateways, j.Gateways) {
 			return old.clone()
 		}
 		return ErrConflict
@@ -175,7 +175,7 @@
 	return created
 }
 
-func (b *Book) stop(index uint64, j *Job) error {
+func (b *StateMachine) stop(index uint64, j *Job) error {
 	if j.State != Running {
 		return ErrNotRunning
 	}
@@ -186,14 +186,14 @@
 
 // grant gives a job without an owner to a member that is present. It does not matter who proposed it: of two
 // concurrent grants the first in the log wins.
-func (b *Book) grant(index uint64, j *Job, c Claim) error {
+func (b *StateMachine) grant(index uint64, j *Job, c Claim) error {
 	w := b.Workers[c.Name]
 	switch {
 	case j.State != Running:
 		return ErrNotRunning
 	case j.Owner != "":
 		return ErrHasOwner
-	case !w.There || w.Idle || w.Incarnation != c.Incarnation:
+	case !w.Present || w.Idle || w.Incarnation != c.Incarnation:
 		return ErrMemberAbsent
 	}
 	b.LastToken++
@@ -203,7 +203,7 @@
 	return nil
 }
 
-func (b *Book) release(index uint64, j *Job, c Claim) error {
+func (b *StateMachine) release(index uint64, j *Job, c Claim) error {
 	if j.Owner == "" || c.Token != j.Token {
 		return ErrStaleToken
 	}
@@ -305,10 +305,10 @@
 }
 
 // Save encodes the state; equal states have equal encodings, byte for byte.
-func (b *Book) Save() []byte { return canon.Encode(b) }
+func (b *StateMachine) Save() []byte { return canon.Encode(b) }
 
 // Load replaces the whole state by an encoded one; nil stands for the empty state.
-func (b *Book) Load(data []byte) error {
+func (b *StateMachine) Load(data []byte) error {
 	loaded := New(b.MaxJobs)
 	if data == nil {
 		*b = *loaded
--- a/internal/owner/warmer.go
+++ b/internal/owner/warmer.go
@@ -8,11 +8,11 @@
 	"poppymill/internal/canon"
 )
 
-// Warm is the kind of jobs that prefill the cache of a node.
-const Warm = "warm"
+// KindWarm is the kind of jobs that prefill the cache of a node.
+const KindWarm = "warm"
 
-// Warming is the data of a Warm job.
-type Warming struct {
+// WarmData is the data of a Warm job.
+type WarmData struct {
 	Node string `cbor:"1,keyasint"`
 	Each int    `cbor:"2,keyasint"` // objects per step
 }
@@ -34,22 +34,22 @@
 const maxStartedNodes = 512
 
 // NodeStarted records a node. Every gateway does so, as any of them may become the leader.
-func (w *Warmer) NodeStarted(now float64, e Booted) {
-	if w.Rounds == 0 || e.Left <= 0 || len(w.started) >= maxStartedNodes {
+func (w *Warmer) NodeStarted(now float64, e NodeStarted) {
+	if w.Rounds == 0 || e.ColdFor <= 0 || len(w.started) >= maxStartedNodes {
 		return
 	}
 	if w.started == nil {
 		w.started = map[string]startedNode{}
 	}
-	w.started[fmt.Sprintf("warm %s %d", e.Node, e.Start)] = startedNode{node: e.Node, zone: e.Zone, until: now + e.Left}
+	w.started[fmt.Sprintf("warm %s %d", e.Node, e.Start)] = startedNode{node: e.Node, zone: e.Zone, until: now + e.ColdFor}
 }
 
 // Plan returns the jobs that do not exist yet.
-func (w *Warmer) Plan(now float64, b *Book) (jobs []Job) {
+func (w *Warmer) Plan(now float64, b *StateMachine) (jobs []Job) {
 	maps.DeleteFunc(w.started, func(_ string, n startedNode) bool { return now >= n.until })
 	for _, name := range slices.Sorted(maps.Keys(w.started)) {
 		if n := w.started[name]; b.Jobs[name] == nil {
-			jobs = append(jobs, Job{Name: name, Kind: Warm, Data: canon.Encode(Warming{Node: n.node, Each: w.Each}), Steps: w.Rounds, Type: Safe, Window: 1, Zone: n.zone})
+			jobs = append(jobs, Job{Name: name, Kind: KindWarm, Data: canon.Encode(WarmData{Node: n.node, Each: w.Each}), Steps: w.Rounds, Type: Safe, Window: 1, Zone: n.zone})
 		}
 	}
 	return jobs
--- a/internal/rehearsal/sockets/control.go
+++ b/internal/rehearsal/sockets/control.go
@@ -85,7 +85,7 @@
 	for i := range j.Places {
 		s.Do(func(w *world.World) {
 			name, _, _ := w.Config(i)
-			job.Places = append(job.Places, name)
+			job.Gateways = append(job.Gateways, name)
 		})
 	}
 	command := &quorum.Command{StateMachine: owned.Book, Kind: owner.Start, Data: canon.Encode(job)}
--- a/internal/rehearsal/sockets/owner_test.go
+++ b/internal/rehearsal/sockets/owner_test.go
@@ -47,7 +47,7 @@
 // startDrill starts a drill job whose steps are executed at the last gateways, as many as places says.
 func (c *cluster) startDrill(name string, typ owner.Type, steps, window, places int) {
 	c.t.Helper()
-	c.commit(owner.Start, owner.Job{Name: name, Kind: owned.Drill, Type: typ, Steps: steps, Window: window, Places: c.names[len(c.names)-places:]})
+	c.commit(owner.Start, owner.Job{Name: name, Kind: owned.Drill, Type: typ, Steps: steps, Window: window, Gateways: c.names[len(c.names)-places:]})
 }
 
 // job returns a job as seen by the gateway that has applied most of the log.
@@ -126,10 +126,10 @@
 	c.t.Helper()
 	unsettled := 0
 	c.waitForJob(name, "finished", func(j owner.Report) bool {
-		for _, d := range j.Doubt {
+		for _, d := range j.Uncertain {
 			if i := c.index(d.Place); i >= 0 {
 				if ran, fenced := owned.OnRecord(c.stage.EffectRecords(300 * time.Millisecond)[i], name, d); ran || fenced {
-					c.submit(i, owner.Verdict, owner.Claim{Job: name, Step: d.Step, Ran: ran}) // rejected if the sender has reported the result meanwhile
+					c.submit(i, owner.Resolve, owner.Claim{Job: name, Step: d.Step, Ran: ran}) // rejected if the sender has reported the result meanwhile
 				} else if unsettled++; unsettled%10 == 1 {
 					c.commit(owner.Fence, owner.Claim{Job: name})
 				}
@@ -197,9 +197,9 @@
 					t.Errorf("the frozen owner %s was granted the job again", next.Owner)
 				}
 				if next = c.waitForJob("work", "its successor is done, or waits for steps in doubt to be settled", func(j owner.Report) bool {
-					return j.State == "finished" || len(j.Doubt) > 0 && j.Done > first.Done
-				}); x.typ != owner.Unsafe && len(next.Doubt) > 0 {
-					t.Errorf("steps that may be repeated are in doubt: %v", next.Doubt)
+					return j.State == "finished" || len(j.Uncertain) > 0 && j.Done > first.Done
+				}); x.typ != owner.Unsafe && len(next.Uncertain) > 0 {
+					t.Errorf("steps that may be repeated are in doubt: %v", next.Uncertain)
 				}
 				c.waitForReports("the old owner has rejoined", c.converged)
 				all := c.finishJob("work")
@@ -255,7 +255,7 @@
 		all := c.finishJob("work")
 		c.checkSteps(all, "work", steps, true)
 		first, refused := c.job("work").History[1], 0
-		if first.Owner != c.names[old] || first.What != "granted" {
+		if first.Owner != c.names[old] || first.Event != "granted" {
 			t.Fatalf("unexpected first grant: %+v", first)
 		}
 		for _, entries := range all {
@@ -293,7 +293,7 @@
 	runCluster(t, func(s *script.Script) { s.Gateways = 6 }, func(c *cluster) {
 		c.waitForReports("all converged", c.converged)
 		bridge := len(c.names) - 1
-		c.commit(owner.Start, owner.Job{Name: "work", Kind: owned.Drill, Type: owner.Unsafe, Steps: 400, Window: 2, Places: c.names[bridge:]})
+		c.commit(owner.Start, owner.Job{Name: "work", Kind: owned.Drill, Type: owner.Unsafe, Steps: 400, Window: 2, Gateways: c.names[bridge:]})
 		first := c.waitForJob("work", "begun", func(j owner.Report) bool { return j.Done > 3 && j.Owner != "" })
 		old := c.index(first.Owner)
 		if old == bridge {
--- a/internal/rehearsal/virtual/replicated_log.go
+++ b/internal/rehearsal/virtual/replicated_log.go
@@ -33,7 +33,7 @@
 	kind   string
 	data   []byte
 	name   string // member that the entry is about; empty for a command
-	worker owner.Worker
+	worker owner.Member
 }
 
 // logMember is one gateway's view of the log.
@@ -102,10 +102,10 @@
 	limits.WarmRounds, limits.WarmEach = m.consensus.d.script.Quorum.Warm, 24
 	m.agent = owner.NewAgent(limits)
 	m.timer = m.consensus.d.agenda.Add(math.Inf(1), func() { m.handle(nil) })
-	m.consensus.propose(logEntry{name: m.name, worker: owner.Worker{Incarnation: m.incarnation, There: true, Losses: m.losses, Zone: m.zone}})
+	m.consensus.propose(logEntry{name: m.name, worker: owner.Member{Incarnation: m.incarnation, Present: true, Losses: m.losses, Zone: m.zone}})
 	m.g.core.Boots(func(n router.Entry) {
 		if remaining := gateway.ColdFor(m.g.config, n, m.consensus.d.unix()); remaining > 0 {
-			m.handle(owner.Booted{Node: n.Node, Zone: n.Zone, Start: uint64(n.StartedAt), Left: remaining})
+			m.handle(owner.NodeStarted{Node: n.Node, Zone: n.Zone, Start: uint64(n.StartedAt), ColdFor: remaining})
 		}
 	})
 }
@@ -127,7 +127,7 @@
 	losses := m.losses
 	m.consensus.d.agenda.Add(m.consensus.d.now+delay, func() {
 		if m.incarnation == incarnation {
-			m.consensus.propose(logEntry{name: m.name, worker: owner.Worker{Incarnation: incarnation, Losses: losses, Zone: m.zone}})
+			m.consensus.propose(logEntry{name: m.name, worker: owner.Member{Incarnation: incarnation, Losses: losses, Zone: m.zone}})
 		}
 	})
 }
@@ -135,12 +135,12 @@
 func (m *logMember) follow(upTo int) {
 	for ; m.applied < upTo; m.applied++ {
 		if entry := m.consensus.entries[m.applied]; entry.name != "" {
-			m.agent.Book.Member(uint64(m.applied+1), entry.name, entry.worker)
+			m.agent.State.ApplyMember(uint64(m.applied+1), entry.name, entry.worker)
 		} else {
-			m.agent.Book.Apply(uint64(m.applied+1), entry.kind, entry.data)
+			m.agent.State.Apply(uint64(m.applied+1), entry.kind, entry.data)
 		}
 	}
-	m.handle(owner.Followed{Name: m.name, Incarnation: m.incarnation, Leads: m.consensus.leader() == m})
+	m.handle(owner.LogApplied{Name: m.name, Incarnation: m.incarnation, Leads: m.consensus.leader() == m})
 }
 
 func (m *logMember) handle(e any) {
@@ -150,24 +150,24 @@
 	d := m.consensus.d
 	for _, x := range m.agent.Handle(d.now, e) {
 		switch x := x.(type) {
-		case owner.Ask:
+		case owner.Propose:
 			data := canon.Encode(x.Claim)
 			if x.Job != nil {
 				data = canon.Encode(x.Job)
 			}
 			m.consensus.propose(logEntry{kind: x.Kind, data: data})
-		case owner.Do:
+		case owner.SendEffect:
 			m.runStep(x)
 		}
 	}
 	if m.agent != nil {
-		d.agenda.Move(m.timer, max(d.now, m.agent.Next()))
+		d.agenda.Move(m.timer, max(d.now, m.agent.NextDeadline()))
 	}
 }
 
 // runStep runs a job's step on this gateway's own core.
-func (m *logMember) runStep(step owner.Do) {
-	var warming owner.Warming
+func (m *logMember) runStep(step owner.SendEffect) {
+	var warming owner.WarmData
 	if canon.Decode(step.Job.Data, &warming) != nil {
 		return
 	}
@@ -177,7 +177,7 @@
 			d.stats.Prefilled += filled
 			d.runNext(func() {
 				if m.process == process {
-					m.handle(owner.Ended{Job: step.Job.Name, Token: step.Token, Step: step.Step, End: gateway.WarmEnd(filled, refused)})
+					m.handle(owner.StepEnded{Job: step.Job.Name, Token: step.Token, Step: step.Step, End: gateway.WarmEnd(filled, refused)})
 				}
 			})
 		}})
