--- a/cmd/poppymill/quorum.go
+++ b/cmd/poppymill/quorum.go
@@ -127,7 +127,7 @@
 	if cmd.Args().Len() != 1 {
 		return usageError(errors.New("quorum recover: takes the FOLDER of one store"))
 	}
-	books := jobs.Books()
+	books := jobs.EmptyStateMachines()
 	maps.Copy(books, machines.Books())
 	maps.Copy(books, purgesdrive.Books())
 	r, err := drive.Recover(cmd.Args().First(), books, cmd.Bool("yes"))
--- a/internal/gateway/prefetch.go
+++ b/internal/gateway/prefetch.go
@@ -92,8 +92,8 @@
 
 // warmHandler executes warming steps by a prefetch at the core. A step counts as not run if the node had no room for
 // any object.
-func warmHandler(p *poster) owned.Hand {
-	return owned.Hand{Type: owner.Safe, Check: func(j owner.Job) error {
+func warmHandler(p *poster) owned.Handler {
+	return owned.Handler{Type: owner.Safe, Check: func(j owner.Job) error {
 		var w owner.WarmData
 		if err := canon.Decode(j.Data, &w); err != nil || w.Node == "" || w.Each < 1 {
 			return errors.New("data: names no node to be filled")
--- a/internal/gateway/quorum_member.go
+++ b/internal/gateway/quorum_member.go
@@ -36,7 +36,7 @@
 	}
 	failpoint.Set(o.Failpoints)
 	zone, _ := c.RouterSettings["zone"].(string)
-	jobs, handlers := o.Jobs, map[string]owned.Hand{owner.KindWarm: warmHandler(p), owned.Hold: owned.HoldHand()}
+	jobs, handlers := o.Jobs, map[string]owned.Handler{owner.KindWarm: warmHandler(p), owned.KindHold: owned.HoldHandler()}
 	jobRunner, err := owned.Open(jobs, b.Store, handlers, log)
 	if err != nil {
 		log.WithError(err).Error("jobs: disabled until a restart: this gateway owns no jobs and runs no effects")
--- a/internal/maintenance/drive/coordinator.go
+++ b/internal/maintenance/drive/coordinator.go
@@ -49,7 +49,7 @@
 type Yard struct {
 	block         Block
 	state         *maintenance.Book
-	crew          *owned.Crew
+	crew          *owned.Runner
 	core          Core
 	council       *agreement.Replica
 	log           logrus.FieldLogger
@@ -92,7 +92,7 @@
 }
 
 // Open creates a gateway's part. Without the block it only follows the log, and still drains machines that are about to leave.
-func Open(b Block, crew *owned.Crew, core Core, log logrus.FieldLogger) *Yard {
+func Open(b Block, crew *owned.Runner, core Core, log logrus.FieldLogger) *Yard {
 	return &Yard{block: b, state: maintenance.New(), crew: crew, core: core, log: log, inFlight: map[string]float64{},
 		loggedStages: map[string]string{}, unixMillis: func() float64 { return float64(time.Now().UnixMilli()) }}
 }
@@ -212,8 +212,8 @@
 	if y.block.Inventory.Version > y.state.Inventory.Version {
 		y.propose(maintenance.Have, "", y.block.Inventory)
 	}
-	if !y.crew.Has(Schedule) {
-		y.council.Propose(quorum.Command{StateMachine: owned.Book, Kind: owner.Start, Data: canon.Encode(owner.Job{Name: Schedule, Kind: owned.Hold, Steps: 1, Window: 1})}, func(quorum.Outcome) {})
+	if !y.crew.IsRunning(Schedule) {
+		y.council.Propose(quorum.Command{StateMachine: owned.StateMachineName, Kind: owner.Start, Data: canon.Encode(owner.Job{Name: Schedule, Kind: owned.KindHold, Steps: 1, Window: 1})}, func(quorum.Outcome) {})
 	}
 	if voters := y.council.Voters(); len(voters) > 0 && !slices.Equal(voters, y.state.Voters) {
 		y.propose(maintenance.SetVoters, "", maintenance.Order{Names: voters})
--- a/internal/owner/drive/crew.go
+++ b/internal/owner/drive/crew.go
@@ -21,28 +21,28 @@
 	agreement "poppymill/internal/quorum/drive"
 )
 
-// Book is the name of the jobs' state machine in the log.
-const Book = "jobs"
+// StateMachineName is the name of the jobs' state machine in the log.
+const StateMachineName = "jobs"
 
-// Drill is the kind of jobs that exercise the mechanism: each step is an entry in the record of its executing
+// KindDrill is the kind of jobs that exercise the mechanism: each step is an entry in the record of its executing
 // gateway.
-const Drill = "drill"
+const KindDrill = "drill"
 
-// Hand executes the steps of one kind of job at their owner. Do must not block; done is called once, from any
+// Handler executes the steps of one kind of job at their owner. Do must not block; done is called once, from any
 // goroutine.
-type Hand struct {
+type Handler struct {
 	Type  owner.Type
 	Check func(j owner.Job) error // validates a job that an operator starts
 	Do    func(e place.Effect, done func(owner.Outcome))
 }
 
-// Crew runs jobs on one gateway. All methods are called from the council's loop.
-type Crew struct {
+// Runner runs jobs on one gateway. All methods are called from the council's loop.
+type Runner struct {
 	block       Block
 	agent       *owner.Agent
 	place       *place.Place
 	council     *agreement.Replica
-	handlers    map[string]Hand
+	handlers    map[string]Handler
 	log         logrus.FieldLogger
 	followed    agreement.LogAdvanced
 	loggedIndex uint64 // log index up to which changes were written to the program's log
@@ -66,15 +66,15 @@
 // Leap raises the token counter above every token that can have been issued.
 func (b stateMachine) Leap() { b.StateMachine.LastToken += 1 << 32 }
 
-// Books returns empty state machines for reading a store offline.
-func Books() map[string]quorum.StateMachine {
-	return map[string]quorum.StateMachine{Book: stateMachine{owner.New(owner.DefaultLimits().MaxJobs)}}
+// EmptyStateMachines returns empty state machines for reading a store offline.
+func EmptyStateMachines() map[string]quorum.StateMachine {
+	return map[string]quorum.StateMachine{StateMachineName: stateMachine{owner.New(owner.DefaultLimits().MaxJobs)}}
 }
 
 // Open creates the Crew of a gateway that keeps its record of effects in a folder. Without the block it applies
 // the log, but owns nothing and executes no effects.
-func Open(b Block, folder string, handlers map[string]Hand, log logrus.FieldLogger) (*Crew, error) {
-	c := &Crew{block: b, agent: owner.NewAgent(b.limits()), handlers: handlers, log: log}
+func Open(b Block, folder string, handlers map[string]Handler, log logrus.FieldLogger) (*Runner, error) {
+	c := &Runner{block: b, agent: owner.NewAgent(b.limits()), handlers: handlers, log: log}
 	if b.On {
 		if folder != "" {
 			folder = filepath.Clean(folder)
@@ -89,15 +89,15 @@
 }
 
 // StateMachines returns the state machines that this part keeps in the log.
-func (c *Crew) StateMachines() map[string]quorum.StateMachine {
-	return map[string]quorum.StateMachine{Book: stateMachine{c.agent.State}}
+func (c *Runner) StateMachines() map[string]quorum.StateMachine {
+	return map[string]quorum.StateMachine{StateMachineName: stateMachine{c.agent.State}}
 }
 
 // Start sets the council.
-func (c *Crew) Start(council *agreement.Replica) { c.council = council }
+func (c *Runner) Start(council *agreement.Replica) { c.council = council }
 
 // NextDeadline returns the time of the next deadline.
-func (c *Crew) NextDeadline() float64 {
+func (c *Runner) NextDeadline() float64 {
 	if !c.block.On {
 		return math.Inf(1)
 	}
@@ -105,11 +105,11 @@
 }
 
 // Idle reports whether nothing of this gateway's own is in flight.
-func (c *Crew) Idle() bool { return c.agent.Idle() }
+func (c *Runner) Idle() bool { return c.agent.Idle() }
 
 // Owns returns the token under which this gateway owns a job, as far as it has applied the log, and whether it
 // does.
-func (c *Crew) Owns(job string) (uint64, bool) {
+func (c *Runner) Owns(job string) (uint64, bool) {
 	j := c.agent.State.Jobs[job]
 	if j == nil || j.Owner != c.followed.Name || j.Incarnation != c.followed.Incarnation || c.followed.Incarnation == 0 {
 		return 0, false
@@ -117,14 +117,14 @@
 	return j.Token, true
 }
 
-// Has reports whether a job is running.
-func (c *Crew) Has(job string) bool {
+// IsRunning reports whether a job is running.
+func (c *Runner) IsRunning(job string) bool {
 	j := c.agent.State.Jobs[job]
 	return j != nil && j.State == owner.Running
 }
 
 // Close stops handling events and closes the record of effects.
-func (c *Crew) Close() error {
+func (c *Runner) Close() error {
 	c.closed = true
 	if c.place == nil {
 		return nil
@@ -133,7 +133,7 @@
 }
 
 // Handle processes an event from the council, the local executing gateway or a Hand.
-func (c *Crew) Handle(now float64, e any) {
+func (c *Runner) Handle(now float64, e any) {
 	if c.now = now; c.closed || !c.block.On {
 		return
 	}
@@ -149,7 +149,7 @@
 	c.handling = false
 }
 
-func (c *Crew) handle(e any) {
+func (c *Runner) handle(e any) {
 	switch e := e.(type) {
 	case agreement.LogAdvanced:
 		c.followed = e
@@ -169,7 +169,7 @@
 }
 
 // logChanges logs each new change of a job's owner or state.
-func (c *Crew) logChanges(restored bool) {
+func (c *Runner) logChanges(restored bool) {
 	last := c.loggedIndex
 	for _, j := range c.agent.State.All() {
 		for _, h := range j.History {
@@ -182,7 +182,7 @@
 	c.loggedIndex = last
 }
 
-func (c *Crew) perform(actions []any) {
+func (c *Runner) perform(actions []any) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case owner.Propose:
@@ -196,7 +196,7 @@
 			if a.Job != nil {
 				data = canon.Encode(a.Job)
 			}
-			c.council.Propose(quorum.Command{StateMachine: Book, Kind: a.Kind, Data: data}, func(o quorum.Outcome) {
+			c.council.Propose(quorum.Command{StateMachine: StateMachineName, Kind: a.Kind, Data: data}, func(o quorum.Outcome) {
 				// Any other error means that this process may no longer propose; a retry would not help.
 				c.Handle(c.now, owner.ProposalDone{Failed: errors.Is(o.Err, quorum.ErrGivenUp) || errors.Is(o.Err, quorum.ErrBusy)})
 			})
@@ -210,7 +210,7 @@
 }
 
 // send delivers an effect: to a Hand of this gateway, to its own record, or to another gateway.
-func (c *Crew) send(do owner.SendEffect) {
+func (c *Runner) send(do owner.SendEffect) {
 	e := place.Effect{Job: do.Job.Name, Kind: do.Job.Kind, Token: do.Token, Step: do.Step, Type: do.Job.Type, Data: do.Job.Data, From: c.followed.Name, Incarnation: c.followed.Incarnation}
 	ended := func(end owner.Outcome) {
 		if _, handler := c.handlers[e.Kind]; end == owner.NotRun && handler {
@@ -233,7 +233,7 @@
 }
 
 // handleFrame processes an effect from another gateway, or the result of an effect sent by this one.
-func (c *Crew) handleFrame(asked agreement.PeerRequest) {
+func (c *Runner) handleFrame(asked agreement.PeerRequest) {
 	if asked.Frame.Kind == quorum.KindEffectResult {
 		var r place.Result
 		if canon.Decode(asked.Frame.Data, &r) == nil && r.End >= owner.Ran && r.End <= owner.Refused {
@@ -255,7 +255,7 @@
 		// Until this gateway has applied the log up to its own start, it does not know all grants up to then. Waiting
 		// for that makes up for tokens that were lost with a corrupt record.
 		refusal.Why = "this gateway has not followed the log to its own start"
-	case e.Kind != Drill || e.Type < owner.Safe || e.Type > owner.Unsafe:
+	case e.Kind != KindDrill || e.Type < owner.Safe || e.Type > owner.Unsafe:
 		refusal.Why = "nothing of that kind happens here"
 	default:
 		c.place.Do(e, answer)
@@ -265,7 +265,7 @@
 }
 
 // CheckCommand reports whether an operator may propose a command.
-func (c *Crew) CheckCommand(command quorum.Command) error {
+func (c *Runner) CheckCommand(command quorum.Command) error {
 	switch command.Kind {
 	case owner.Start:
 		var j owner.Job
@@ -279,13 +279,13 @@
 	return fmt.Errorf("%s: not for people to ask for", command.Kind)
 }
 
-func (c *Crew) check(j owner.Job) error {
+func (c *Runner) check(j owner.Job) error {
 	handler, registered := c.handlers[j.Kind]
 	switch {
 	case !c.block.On:
 		return errors.New("jobs: off at this gateway")
-	case j.Kind != Drill && !registered:
-		return fmt.Errorf("kind: %q is none of %v", j.Kind, append(slices.Sorted(maps.Keys(c.handlers)), Drill))
+	case j.Kind != KindDrill && !registered:
+		return fmt.Errorf("kind: %q is none of %v", j.Kind, append(slices.Sorted(maps.Keys(c.handlers)), KindDrill))
 	case registered && j.Type != handler.Type:
 		return fmt.Errorf("type: steps of %s are %v", j.Kind, handler.Type)
 	case registered:
@@ -300,7 +300,7 @@
 }
 
 // Query answers an operator's query.
-func (c *Crew) Query(subject, name string) (any, error) {
+func (c *Runner) Query(subject, name string) (any, error) {
 	switch subject {
 	case "jobs":
 		list := []owner.Report{}
@@ -331,10 +331,10 @@
 // maxEntriesPerReply bounds the effects in one reply, which has to fit into a frame.
 const maxEntriesPerReply = 4096
 
-// OnRecord checks a step that may have run against the record of its executing gateway: ran means that the step is
+// CheckRecord checks a step that may have run against the record of its executing gateway: ran means that the step is
 // on record, fenced that the gateway knows a newer token than the one the step was sent under. A step that is
 // fenced and not on record did not run there and never will.
-func OnRecord(entries []place.Entry, job string, d owner.UncertainStep) (ran, fenced bool) {
+func CheckRecord(entries []place.Entry, job string, d owner.UncertainStep) (ran, fenced bool) {
 	for _, e := range entries {
 		if e.Effect.Job == job && e.Refused == 0 {
 			ran = ran || e.Effect.Step == d.Step && !e.Told
--- a/internal/owner/drive/crew_test.go
+++ b/internal/owner/drive/crew_test.go
@@ -24,7 +24,7 @@
 	if err := operator.Parse([]byte("jobs {}\n"), "f", operator.One("jobs", b.Fields)); err != nil {
 		t.Fatal(err)
 	}
-	c, err := Open(b, t.TempDir(), map[string]Hand{"warm": {Type: owner.Safe, Check: func(owner.Job) error { return nil }}}, log)
+	c, err := Open(b, t.TempDir(), map[string]Handler{"warm": {Type: owner.Safe, Check: func(owner.Job) error { return nil }}}, log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 		}})
 		return <-results
 	}
-	e := place.Effect{Job: "j", Kind: Drill, Token: 3, Type: owner.Unsafe}
+	e := place.Effect{Job: "j", Kind: KindDrill, Token: 3, Type: owner.Unsafe}
 	if r := send(e); r.End != owner.NotRun || !strings.Contains(r.Why, "has not followed") {
 		t.Errorf("before it has applied the log: %+v", r)
 	}
@@ -48,7 +48,7 @@
 	if r := send(e); r.End != owner.Ran {
 		t.Errorf("%+v", r)
 	}
-	if r := send(place.Effect{Job: "j", Kind: Drill, Token: 2, Step: 1, Type: owner.Safe}); r.End != owner.Refused || r.Newer != 3 {
+	if r := send(place.Effect{Job: "j", Kind: KindDrill, Token: 2, Step: 1, Type: owner.Safe}); r.End != owner.Refused || r.Newer != 3 {
 		t.Errorf("older token: %+v", r)
 	}
 	if r := send(place.Effect{Job: "j", Kind: "odd", Token: 4}); r.End != owner.NotRun {
@@ -60,10 +60,10 @@
 		want string
 	}{
 		{owner.Grant, owner.Claim{Job: "j"}, "grant: not for people"}, {owner.Start, owner.Job{Kind: "odd"}, `kind: "odd" is none of [warm drill]`},
-		{owner.Start, owner.Job{Kind: "warm", Type: owner.Unsafe}, "type: steps of warm are safe"}, {owner.Start, owner.Job{Kind: Drill, Gateways: []string{"z"}}, `places: 0: no gateway "z"`},
-		{owner.Start, owner.Job{Kind: Drill}, ""}, {owner.Stop, owner.Claim{}, ""},
+		{owner.Start, owner.Job{Kind: "warm", Type: owner.Unsafe}, "type: steps of warm are safe"}, {owner.Start, owner.Job{Kind: KindDrill, Gateways: []string{"z"}}, `places: 0: no gateway "z"`},
+		{owner.Start, owner.Job{Kind: KindDrill}, ""}, {owner.Stop, owner.Claim{}, ""},
 	} {
-		err := c.CheckCommand(quorum.Command{StateMachine: Book, Kind: x.kind, Data: canon.Encode(x.data)})
+		err := c.CheckCommand(quorum.Command{StateMachine: StateMachineName, Kind: x.kind, Data: canon.Encode(x.data)})
 		if got := ""; err != nil {
 			if got = err.Error(); x.want == "" || !strings.Contains(got, x.want) {
 				t.Errorf("%s %+v: %s, want %s", x.kind, x.data, got, x.want)
--- a/internal/owner/drive/hold.go
+++ b/internal/owner/drive/hold.go
@@ -7,13 +7,13 @@
 	"poppymill/internal/owner/place"
 )
 
-// Hold is the kind of jobs that serve as a lock: their only step never ends. The owner of one does work that the
+// KindHold is the kind of jobs that serve as a lock: their only step never ends. The owner of one does work that the
 // log itself checks.
-const Hold = "hold"
+const KindHold = "hold"
 
-// HoldHand returns the handler of Hold jobs, which never ends a step: the step times out and is sent again, at no
+// HoldHandler returns the handler of Hold jobs, which never ends a step: the step times out and is sent again, at no
 // cost. Operators can't start such jobs.
-func HoldHand() Hand {
-	return Hand{Type: owner.Safe, Check: func(owner.Job) error { return errors.New("kind: the leader asks for it by itself") },
+func HoldHandler() Handler {
+	return Handler{Type: owner.Safe, Check: func(owner.Job) error { return errors.New("kind: the leader asks for it by itself") },
 		Do: func(place.Effect, func(owner.Outcome)) {}}
 }
--- a/internal/purges/drive/service.go
+++ b/internal/purges/drive/service.go
@@ -52,7 +52,7 @@
 type Sweep struct {
 	block          Block
 	book           *purges.Book
-	crew           *owned.Crew
+	crew           *owned.Runner
 	core           Core
 	council        *agreement.Replica
 	log            logrus.FieldLogger
@@ -89,7 +89,7 @@
 
 // Open returns the purge service of a gateway. Where the block is off, it applies the purges of other gateways, but
 // accepts none itself and keeps trusting older copies while it cannot reach the log.
-func Open(b Block, crew *owned.Crew, core Core, log logrus.FieldLogger) *Sweep {
+func Open(b Block, crew *owned.Runner, core Core, log logrus.FieldLogger) *Sweep {
 	return &Sweep{block: b, book: purges.New(), crew: crew, core: core, log: log, pending: map[string]float64{}, loggedStages: map[string]purges.Stage{}}
 }
 
@@ -170,8 +170,8 @@
 		s.propose(purges.Misses, "", purges.Order{At: unixMillis(), From: s.followed.Name, Rate: s.misses})
 	}
 	if s.followed.Leads {
-		if !s.crew.Has(Sender) && s.block.Limits.Rate > 0 {
-			s.proposeTo(owned.Book, owner.Start, "", owner.Job{Name: Sender, Kind: owned.Hold, Steps: 1, Window: 1})
+		if !s.crew.IsRunning(Sender) && s.block.Limits.Rate > 0 {
+			s.proposeTo(owned.StateMachineName, owner.Start, "", owner.Job{Name: Sender, Kind: owned.KindHold, Steps: 1, Window: 1})
 		}
 		if s.now >= s.tickedAt+tickInterval {
 			s.tickedAt = s.now
