--- a/cmd/poppymill/job.go
+++ b/cmd/poppymill/job.go
@@ -164,11 +164,11 @@
 	fmt.Fprintf(t, "record of %s\nNUMBER\tJOB\tSTEP\tTYPE\tTOKEN\tFROM\tWHAT\n", r.Report.Name)
 	for _, e := range entries {
 		what := "happened"
-		if e.Refused > 0 {
-			what = fmt.Sprintf("refused: newer token %d was seen", e.Refused)
-		} else if e.Told {
+		if e.NewerToken > 0 {
+			what = fmt.Sprintf("refused: newer token %d was seen", e.NewerToken)
+		} else if e.FromLog {
 			what = "newer token announced by the log"
-		} else if e.Again {
+		} else if e.Repeated {
 			what = "had happened before"
 		}
 		fmt.Fprintf(t, "%d\t%s\t%d\t%v\t%d\t%s\t%s\n", e.Number, e.Effect.Job, e.Effect.Step, e.Effect.Type, e.Effect.Token, e.Effect.From, what)
--- a/internal/owner/drive/crew.go
+++ b/internal/owner/drive/crew.go
@@ -40,7 +40,7 @@
 type Runner struct {
 	block       Block
 	agent       *owner.Agent
-	place       *place.Place
+	place       *place.Log
 	council     *agreement.Replica
 	handlers    map[string]Handler
 	log         logrus.FieldLogger
@@ -336,8 +336,8 @@
 // fenced and not on record did not run there and never will.
 func CheckRecord(entries []place.Entry, job string, d owner.UncertainStep) (ran, fenced bool) {
 	for _, e := range entries {
-		if e.Effect.Job == job && e.Refused == 0 {
-			ran = ran || e.Effect.Step == d.Step && !e.Told
+		if e.Effect.Job == job && e.NewerToken == 0 {
+			ran = ran || e.Effect.Step == d.Step && !e.FromLog
 			fenced = fenced || e.Effect.Token > d.Token
 		}
 	}
--- a/internal/owner/place/place.go
+++ b/internal/owner/place/place.go
@@ -45,11 +45,11 @@
 
 // Entry is an effect that happened or was refused here, numbered in the order of this record.
 type Entry struct {
-	Number  uint64 `cbor:"1,keyasint" json:"number"`
-	Effect  Effect `cbor:"2,keyasint" json:"effect"`
-	Refused uint64 `cbor:"3,keyasint,omitempty" json:"refused,omitempty"` // the newer token; 0: it happened
-	Again   bool   `cbor:"4,keyasint,omitempty" json:"again,omitempty"`   // it had happened before and was not repeated
-	Told    bool   `cbor:"5,keyasint,omitempty" json:"told,omitempty"`    // not an effect: a token learned from the log
+	Number     uint64 `cbor:"1,keyasint" json:"number"`
+	Effect     Effect `cbor:"2,keyasint" json:"effect"`
+	NewerToken uint64 `cbor:"3,keyasint,omitempty" json:"refused,omitempty"` // the newer token; 0: it happened
+	Repeated   bool   `cbor:"4,keyasint,omitempty" json:"again,omitempty"`   // it had happened before and was not repeated
+	FromLog    bool   `cbor:"5,keyasint,omitempty" json:"told,omitempty"`    // not an effect: a token learned from the log
 }
 
 // Limits of a Place.
@@ -68,8 +68,8 @@
 	floorKey      = []byte("floor")
 )
 
-// Place is the record of one gateway. A goroutine of its own writes to the disk, so callers never wait for it.
-type Place struct {
+// Log is the record of one gateway. A goroutine of its own writes to the disk, so callers never wait for it.
+type Log struct {
 	db        *bolt.DB // nil: no disk, only safe effects happen here
 	log       logrus.FieldLogger
 	writeHook func(string) // called at each stage of a write
@@ -86,8 +86,8 @@
 
 // Open reads or creates the record in a folder. Without a folder only safe effects happen here, and nothing is
 // kept.
-func Open(folder string, log logrus.FieldLogger) (*Place, error) {
-	p := &Place{log: log, writeHook: func(string) {}, queue: make(chan func(), maxQueued), stopped: make(chan bool), checker: owner.NewTokenChecker(maxJobs)}
+func Open(folder string, log logrus.FieldLogger) (*Log, error) {
+	p := &Log{log: log, writeHook: func(string) {}, queue: make(chan func(), maxQueued), stopped: make(chan bool), checker: owner.NewTokenChecker(maxJobs)}
 	if folder == "" {
 		return p, nil
 	}
@@ -113,7 +113,7 @@
 	return p, nil
 }
 
-func (p *Place) open(path string) (db *bolt.DB, err error) {
+func (p *Log) open(path string) (db *bolt.DB, err error) {
 	defer checked.RecoverCorruption(&err)()
 	if db, err = checked.Open(path); err != nil {
 		return nil, err
@@ -124,7 +124,7 @@
 	return db, nil
 }
 
-func (p *Place) read(db *bolt.DB) error {
+func (p *Log) read(db *bolt.DB) error {
 	if err := db.Update(func(tx *bolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(metaBucket)
 		if err == nil {
@@ -166,7 +166,7 @@
 			}
 			p.lastNumber = e.Number
 			p.entries = append(p.entries, e)
-			if e.Refused == 0 && !e.Told && e.Effect.Type != owner.Safe {
+			if e.NewerToken == 0 && !e.FromLog && e.Effect.Type != owner.Safe {
 				p.checker.RestoreStep(e.Effect.Job, e.Effect.Step)
 			}
 			return nil
@@ -175,7 +175,7 @@
 }
 
 // Run executes queued effects until Close.
-func (p *Place) Run() {
+func (p *Log) Run() {
 	defer close(p.stopped)
 	for task := range p.queue {
 		task()
@@ -183,7 +183,7 @@
 }
 
 // Close executes all queued effects, then stops.
-func (p *Place) Close() error {
+func (p *Log) Close() error {
 	close(p.queue)
 	<-p.stopped
 	if p.db == nil {
@@ -194,7 +194,7 @@
 
 // Do executes or refuses an effect. done is called from the Place's goroutine, or immediately if the queue is
 // full. Do must not be called after Close.
-func (p *Place) Do(e Effect, done func(Result)) {
+func (p *Log) Do(e Effect, done func(Result)) {
 	select {
 	case p.queue <- func() { done(p.execute(e)) }:
 	default:
@@ -203,18 +203,18 @@
 }
 
 // Raise has tokens older than the given one refused from now on.
-func (p *Place) Raise(job string, token uint64) {
+func (p *Log) Raise(job string, token uint64) {
 	select {
 	case p.queue <- func() {
 		if p.failure == nil && p.checker.Raise(job, token) {
-			p.write(&Entry{Effect: Effect{Job: job, Token: token}, Told: true})
+			p.write(&Entry{Effect: Effect{Job: job, Token: token}, FromLog: true})
 		}
 	}:
 	default: // the next effect, or the next grant in the log, raises it
 	}
 }
 
-func (p *Place) execute(e Effect) Result {
+func (p *Log) execute(e Effect) Result {
 	r := Result{Job: e.Job, Token: e.Token, Step: e.Step}
 	switch {
 	case p.failure != nil:
@@ -225,11 +225,11 @@
 		return r
 	}
 	_, again, err := p.checker.Check(e.Job, e.Token, e.Step, e.Type)
-	entry := &Entry{Effect: e, Again: again}
+	entry := &Entry{Effect: e, Repeated: again}
 	entry.Effect.Data = nil // the log has it
 	var stale owner.StaleTokenError
 	if errors.As(err, &stale) {
-		entry.Refused = stale.Newer
+		entry.NewerToken = stale.Newer
 		r.End, r.Newer, r.Why = owner.Refused, stale.Newer, stale.Error()
 		p.log.WithFields(logrus.Fields{"job": e.Job, "step": e.Step, "token": e.Token, "newer": stale.Newer, "from": e.From}).
 			Warn("jobs: refused an effect with a stale token")
@@ -241,7 +241,7 @@
 }
 
 // write stores an entry and the tokens in one transaction; the entry is the effect.
-func (p *Place) write(e *Entry) error {
+func (p *Log) write(e *Entry) error {
 	p.lastNumber++
 	e.Number = p.lastNumber
 	p.mu.Lock()
@@ -301,7 +301,7 @@
 }
 
 // Entries returns the latest effects that happened or were refused here, in order.
-func (p *Place) Entries() []Entry {
+func (p *Log) Entries() []Entry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]Entry(nil), p.entries...)
--- a/internal/owner/place/place_test.go
+++ b/internal/owner/place/place_test.go
@@ -16,7 +16,7 @@
 	"poppymill/internal/owner"
 )
 
-func open(t *testing.T, folder string) *Place {
+func open(t *testing.T, folder string) *Log {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -28,7 +28,7 @@
 	return p
 }
 
-func (p *Place) doSync(e Effect) Result {
+func (p *Log) doSync(e Effect) Result {
 	done := make(chan Result, 1)
 	p.Do(e, func(r Result) { done <- r })
 	return <-done
@@ -38,7 +38,7 @@
 // with an effect or came from the log, also after a restart. Without a disk only safe steps happen.
 func TestPlace(t *testing.T) {
 	dir := t.TempDir()
-	runCases := func(p *Place, cases []string) {
+	runCases := func(p *Log, cases []string) {
 		t.Helper()
 		for _, c := range cases {
 			var job, want string
@@ -49,7 +49,7 @@
 			before := len(p.Entries())
 			r := p.doSync(Effect{Job: job, Kind: "k", Token: token, Step: step, Type: typ, From: "g"})
 			got := [...]string{"ran", "never", "perhaps", "refused"}[r.End]
-			if all := p.Entries(); len(all) > before && all[len(all)-1].Again {
+			if all := p.Entries(); len(all) > before && all[len(all)-1].Repeated {
 				got = "again"
 			}
 			if got != want {
--- a/internal/rehearsal/sockets/control.go
+++ b/internal/rehearsal/sockets/control.go
@@ -71,7 +71,7 @@
 	for i, all := range s.EffectRecords(2 * time.Second) {
 		for _, e := range all {
 			s.Facts(world.Effected{At: at, Gateway: i, Step: e.Effect.Step, Job: e.Effect.Job, From: e.Effect.From, Type: e.Effect.Type.String(),
-				Token: e.Effect.Token, Newer: e.Refused, Again: e.Again, Told: e.Told})
+				Token: e.Effect.Token, Newer: e.NewerToken, Again: e.Repeated, Told: e.FromLog})
 		}
 	}
 }
--- a/internal/rehearsal/sockets/owner_test.go
+++ b/internal/rehearsal/sockets/owner_test.go
@@ -144,7 +144,7 @@
 				continue
 			}
 			c.audit.See(world.Effected{Gateway: i, Step: e.Effect.Step, Job: e.Effect.Job, From: e.Effect.From, Type: e.Effect.Type.String(),
-				Token: e.Effect.Token, Newer: e.Refused, Again: e.Again, Told: e.Told})
+				Token: e.Effect.Token, Newer: e.NewerToken, Again: e.Repeated, Told: e.FromLog})
 		}
 	}
 	return all
@@ -155,7 +155,7 @@
 	n := map[int]int{}
 	for _, entries := range all {
 		for _, e := range entries {
-			if e.Effect.Job == job && e.Refused == 0 && !e.Told && !e.Again {
+			if e.Effect.Job == job && e.NewerToken == 0 && !e.FromLog && !e.Repeated {
 				n[e.Effect.Step]++
 			}
 		}
@@ -207,7 +207,7 @@
 				refused := 0
 				for _, entries := range all {
 					for _, e := range entries {
-						if e.Refused > 0 && e.Effect.From == first.Owner && e.Effect.Token == first.Token {
+						if e.NewerToken > 0 && e.Effect.From == first.Owner && e.Effect.Token == first.Token {
 							refused++
 						}
 					}
@@ -260,7 +260,7 @@
 		}
 		for _, entries := range all {
 			for _, e := range entries {
-				if e.Refused > 0 && e.Effect.From == first.Owner && e.Effect.Token == first.Token {
+				if e.NewerToken > 0 && e.Effect.From == first.Owner && e.Effect.Token == first.Token {
 					refused++
 				}
 			}
