--- a/cmd/poppymill/agent.go
+++ b/cmd/poppymill/agent.go
@@ -39,7 +39,7 @@
 // agentState is the file that an agent keeps over restarts.
 type agentState struct {
 	Version int `json:"version"`
-	maintenance.Keeper
+	maintenance.AgentState
 }
 
 // stateVersion is the version of the file format.
@@ -51,7 +51,7 @@
 	name         string
 	addresses    []string // of gateways
 	lastAnswered int      // index of the gateway that answered last
-	keeper       maintenance.Keeper
+	keeper       maintenance.AgentState
 	log          logrus.FieldLogger
 }
 
@@ -75,7 +75,7 @@
 		if err != nil {
 			return usageError(fmt.Errorf("machines agent: --state: %s: %w", cmd.String("state"), err))
 		}
-		a.keeper = saved.Keeper
+		a.keeper = saved.AgentState
 	}
 	for ctx.Err() == nil {
 		finished, err := a.step(ctx)
@@ -100,15 +100,15 @@
 		return false, err
 	}
 	switch action := a.keeper.Next(m.Work); action {
-	case maintenance.DoDrain:
+	case maintenance.ActionDrain:
 		if err := a.runCommand(ctx, "drain", m.Work.Token); err != nil {
 			return false, err
 		}
 		return false, a.submit(ctx, maintenance.Drain, m.Work.Token)
-	case maintenance.DoGo:
-		return false, a.submit(ctx, maintenance.Go, m.Work.Token)
-	case maintenance.DoWork:
-		a.keeper.Begin(m.Work.Token)
+	case maintenance.ActionLeave:
+		return false, a.submit(ctx, maintenance.Leave, m.Work.Token)
+	case maintenance.ActionWork:
+		a.keeper.StartWork(m.Work.Token)
 		if err := a.saveState(); err != nil {
 			return false, err // the work must not begin before its start is on disk
 		}
@@ -117,16 +117,16 @@
 		if ctx.Err() != nil {
 			return false, ctx.Err() // stopped during the work, for example by the shutdown of the machine: the next start finds out the result
 		}
-		a.keeper.End(workErr == nil)
+		a.keeper.FinishWork(workErr == nil)
 		return false, errors.Join(workErr, a.saveState()) // after a failure the machine stays out until somebody runs `machines back`
-	case maintenance.DoReady:
+	case maintenance.ActionCheckReady:
 		if err := a.runCommand(ctx, "ready", m.Work.Token); err != nil {
 			return false, nil // not yet
 		}
 		a.log.Info("machine is back")
-		return false, a.submit(ctx, maintenance.Back, m.Work.Token)
-	case maintenance.Finished:
-		a.keeper.Over()
+		return false, a.submit(ctx, maintenance.Return, m.Work.Token)
+	case maintenance.ActionDone:
+		a.keeper.Reset()
 		return true, a.saveState()
 	}
 	return false, nil
@@ -161,8 +161,8 @@
 func (a *agent) submit(ctx context.Context, kind string, token uint64) error {
 	var m machines.Machine
 	err := a.query(ctx, drive.Query{Subject: "machine", Name: a.name, Command: &quorum.Command{StateMachine: machines.Book, Kind: kind,
-		Data: canon.Encode(maintenance.Order{At: float64(time.Now().UnixMilli()), Machine: a.name, Token: token})}}, &m)
-	if err != nil && (strings.Contains(err.Error(), maintenance.ErrWaits.Error()) || strings.Contains(err.Error(), "limit: ")) {
+		Data: canon.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), Machine: a.name, Token: token})}}, &m)
+	if err != nil && (strings.Contains(err.Error(), maintenance.ErrPendingAcks.Error()) || strings.Contains(err.Error(), "limit: ")) {
 		a.log.WithField("why", err).Debug("the machine may not go out yet")
 		return nil
 	}
--- a/cmd/poppymill/machines.go
+++ b/cmd/poppymill/machines.go
@@ -37,8 +37,8 @@
 		{Name: "cancel", Usage: "cancel a request, unless its machine is out", ArgsUsage: "ADDRESS ID", Flags: flags, Action: machinesCancel},
 		{Name: "withdraw", Usage: "withdraw a grant: the machine stays in service and waits again", ArgsUsage: "ADDRESS NAME", Flags: flags, Action: machinesStep(maintenance.Withdraw)},
 		{Name: "drain", Usage: "for the agent of a machine: draining begins", ArgsUsage: "ADDRESS NAME", Flags: agentFlags, Action: machinesStep(maintenance.Drain)},
-		{Name: "go", Usage: "for the agent of a machine: exit status 0 only once the machine may go out", ArgsUsage: "ADDRESS NAME", Flags: agentFlags, Action: machinesStep(maintenance.Go)},
-		{Name: "back", Usage: "for the agent of a machine: the machine is back", ArgsUsage: "ADDRESS NAME", Flags: agentFlags, Action: machinesStep(maintenance.Back)},
+		{Name: "go", Usage: "for the agent of a machine: exit status 0 only once the machine may go out", ArgsUsage: "ADDRESS NAME", Flags: agentFlags, Action: machinesStep(maintenance.Leave)},
+		{Name: "back", Usage: "for the agent of a machine: the machine is back", ArgsUsage: "ADDRESS NAME", Flags: agentFlags, Action: machinesStep(maintenance.Return)},
 		{Name: "plan", Usage: "show the expected schedule and the use of each limit; exit status 1 if a deadline cannot be met", ArgsUsage: "ADDRESS", Flags: queryFlags, Action: machinesPlan},
 		{Name: "watch", Usage: "print changes until no machine waits or is out", ArgsUsage: "ADDRESS", Flags: append(flags[:2:2], &cli.DurationFlag{Name: "every", Value: time.Second}), Action: machinesWatch},
 		agentCommand(),
@@ -127,11 +127,11 @@
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t-\t-\t-\t-\t-\n", m.Name, m.Club, m.Zone, state)
 			continue
 		}
-		reason := m.Work.Why
+		reason := m.Work.Reason
 		if len(m.Waits) > 0 {
 			reason = "waits for " + strings.Join(m.Waits, ", ")
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\n", m.Name, m.Club, m.Zone, state, m.Work.Token, formatTime(m.Work.Since), m.Work.Request.ID, formatTime(m.Work.Request.By), reason)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\n", m.Name, m.Club, m.Zone, state, m.Work.Token, formatTime(m.Work.Since), m.Work.Request.ID, formatTime(m.Work.Request.Deadline), reason)
 	}
 }
 
@@ -148,15 +148,15 @@
 	if err := printTable(func(w *tabwriter.Writer) { printMachines(w, []machines.Machine{m}) }); err != nil {
 		return err
 	}
-	fmt.Printf("gateways %v, boxes %v, hubs %v, carries %g\n", m.Gateways, m.Boxes, m.Hubs, m.Carries)
-	if m.Work != nil && m.Work.Backs > 0 {
-		fmt.Printf("returned to waiting %d times, last reason: %s\n", m.Work.Backs, m.Work.Before)
+	fmt.Printf("gateways %v, boxes %v, hubs %v, carries %g\n", m.Gateways, m.Boxes, m.Hubs, m.Capacity)
+	if m.Work != nil && m.Work.RevokedGrants > 0 {
+		fmt.Printf("returned to waiting %d times, last reason: %s\n", m.Work.RevokedGrants, m.Work.LastRevocation)
 	}
 	if m.Work != nil && len(m.Work.Warm) > 0 {
 		fmt.Printf("found warm by gateways %v\n", slices.Sorted(maps.Keys(m.Work.Warm)))
 	}
-	if m.Work != nil && len(m.Work.Without) > 0 {
-		fmt.Printf("went out without an acknowledgement from %v\n", m.Work.Without)
+	if m.Work != nil && len(m.Work.MissingAcks) > 0 {
+		fmt.Printf("went out without an acknowledgement from %v\n", m.Work.MissingAcks)
 	}
 	return nil
 }
@@ -206,10 +206,10 @@
 		case len(args) > 2:
 			id += "-" + name
 		}
-		request := maintenance.Request{ID: id, Machine: name, Takes: float64(cmd.Duration("for").Milliseconds()), By: by, NotBefore: notBefore, Why: cmd.String("why")}
+		request := maintenance.Request{ID: id, Machine: name, Duration: float64(cmd.Duration("for").Milliseconds()), Deadline: by, NotBefore: notBefore, Reason: cmd.String("why")}
 		var m machines.Machine
-		_, err := sendMachinesQuery(ctx, cmd, drive.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.Book, Kind: maintenance.Ask,
-			Data: canon.Encode(maintenance.Order{At: float64(now.UnixMilli()), Request: &request})}}, &m)
+		_, err := sendMachinesQuery(ctx, cmd, drive.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.Book, Kind: maintenance.Submit,
+			Data: canon.Encode(maintenance.CommandData{At: float64(now.UnixMilli()), Request: &request})}}, &m)
 		if err != nil {
 			failed++
 			fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
@@ -225,7 +225,7 @@
 
 func machinesCancel(ctx context.Context, cmd *cli.Command) error {
 	_, err := queryMachines(ctx, cmd, 2, drive.Query{Command: &quorum.Command{StateMachine: machines.Book, Kind: maintenance.Cancel,
-		Data: canon.Encode(maintenance.Order{At: float64(time.Now().UnixMilli()), ID: cmd.Args().Get(1)})}}, nil)
+		Data: canon.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), ID: cmd.Args().Get(1)})}}, nil)
 	return err
 }
 
@@ -235,7 +235,7 @@
 		var m machines.Machine
 		name := cmd.Args().Get(1)
 		_, err := queryMachines(ctx, cmd, 2, drive.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.Book, Kind: kind,
-			Data: canon.Encode(maintenance.Order{At: float64(time.Now().UnixMilli()), Machine: name, Token: cmd.Uint64("token")})}}, &m)
+			Data: canon.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), Machine: name, Token: cmd.Uint64("token")})}}, &m)
 		if err != nil {
 			return err
 		}
@@ -260,7 +260,7 @@
 	if err != nil {
 		return err
 	}
-	late := slices.ContainsFunc(schedule.Plan, func(s maintenance.Slot) bool { return s.Late })
+	late := slices.ContainsFunc(schedule.Plan, func(s maintenance.Slot) bool { return s.MissesDeadline })
 	if cmd.Bool("json") {
 		err = printJSON(map[string]any{"view": r.Report, "schedule": schedule})
 	} else {
@@ -272,7 +272,7 @@
 				if s.Never {
 					goes, back = "never, with the present limits", "-"
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", s.Machine, s.ID, goes, back, formatTime(s.By), map[bool]string{true: "NO", false: "yes"}[s.Late], orDash(s.Limit))
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", s.Machine, s.ID, goes, back, formatTime(s.Deadline), map[bool]string{true: "NO", false: "yes"}[s.MissesDeadline], orDash(s.BlockedBy))
 			}
 			fmt.Fprintln(w, "\nLIMIT\tTAKEN\tOF")
 			for _, name := range slices.Sorted(maps.Keys(schedule.Usage)) {
@@ -315,7 +315,7 @@
 }
 
 func machinesHistory(ctx context.Context, cmd *cli.Command) error {
-	var ended []maintenance.Ended
+	var ended []maintenance.FinishedRequest
 	r, err := queryMachines(ctx, cmd, 1, drive.Query{Subject: "ended"}, &ended)
 	if err != nil {
 		return err
@@ -327,7 +327,7 @@
 	return printTable(func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "REQUEST\tMACHINE\tENDED\tAT\tWHY")
 		for _, e := range ended {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", e.Request.ID, e.Request.Machine, e.What, formatTime(e.At), orDash(e.Request.Why))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", e.Request.ID, e.Request.Machine, e.Outcome, formatTime(e.At), orDash(e.Request.Reason))
 		}
 	})
 }
--- a/internal/gateway/load_meter.go
+++ b/internal/gateway/load_meter.go
@@ -64,10 +64,10 @@
 		return
 	}
 	m.nextReport = now + loadReportInterval
-	load := maintenance.Load{Rate: m.taken.Sum(now) / (loadWindow / 1000), Boxes: map[string]maintenance.Held{}}
+	load := maintenance.Load{Rate: m.taken.Sum(now) / (loadWindow / 1000), Boxes: map[string]maintenance.PullCounts{}}
 	for name, edge := range m.edges {
 		if pulls := edge.pulls.Sum(now); pulls > 0 {
-			load.Boxes[name] = maintenance.Held{Pulls: pulls, Held: edge.hits.Sum(now)}
+			load.Boxes[name] = maintenance.PullCounts{Pulls: pulls, Hits: edge.hits.Sum(now)}
 		} else {
 			delete(m.edges, name)
 		}
--- a/internal/maintenance/drive/config.go
+++ b/internal/maintenance/drive/config.go
@@ -18,17 +18,17 @@
 // Fields returns the fields of the block machines, after setting their defaults.
 func (b *Block) Fields() []operator.Field {
 	b.On = true
-	b.Inventory = maintenance.Inventory{Version: 1, Limits: maintenance.Limits{Most: 1, Begin: 60_000, Drain: 30_000, Warm: 60_000, Overdue: 2, Grace: 1000, WarmShare: 0.8}}
+	b.Inventory = maintenance.Inventory{Version: 1, Limits: maintenance.Limits{MaxMachines: 1, BeginTimeout: 60_000, DrainTimeout: 30_000, WarmTimeout: 60_000, Overdue: 2, Grace: 1000, WarmShare: 0.8}}
 	l := &b.Inventory.Limits
 	silent := "back"
 	return []operator.Field{
 		operator.Must("version", operator.Whole(&b.Inventory.Version, 1, 1<<30)),
-		operator.Attr("most", operator.Whole(&l.Most, 0, 4096)), operator.Attr("per_club", operator.Whole(&l.PerClub, 0, 4096)),
+		operator.Attr("most", operator.Whole(&l.MaxMachines, 0, 4096)), operator.Attr("per_club", operator.Whole(&l.PerClub, 0, 4096)),
 		operator.Attr("per_zone", operator.Whole(&l.PerZone, 0, 4096)),
 		operator.Attr("gateways", operator.Share(&l.Gateways)), operator.Attr("boxes", operator.Share(&l.Boxes)), operator.Attr("hubs", operator.Share(&l.Hubs)),
 		operator.Attr("reserve", operator.Number(&l.Reserve, 0, 10)),
-		operator.Attr("begin", operator.Span(&l.Begin, time.Second, 24*time.Hour)), operator.Attr("drain", operator.Span(&l.Drain, 100*time.Millisecond, 24*time.Hour)),
-		operator.Attr("warm", operator.Span(&l.Warm, 0, 24*time.Hour)), operator.Attr("warm_share", operator.Share(&l.WarmShare)), operator.Attr("grace", operator.Span(&l.Grace, 0, time.Hour)),
+		operator.Attr("begin", operator.Span(&l.BeginTimeout, time.Second, 24*time.Hour)), operator.Attr("drain", operator.Span(&l.DrainTimeout, 100*time.Millisecond, 24*time.Hour)),
+		operator.Attr("warm", operator.Span(&l.WarmTimeout, 0, 24*time.Hour)), operator.Attr("warm_share", operator.Share(&l.WarmShare)), operator.Attr("grace", operator.Span(&l.Grace, 0, time.Hour)),
 		operator.Attr("overdue", operator.Number(&l.Overdue, 1, 100)),
 		operator.Attr("silent", operator.OneOf(&silent, "back", "out")),
 		operator.Block("machine", []string{"name"}, func(labels []string, _ int) ([]operator.Field, error) {
@@ -36,7 +36,7 @@
 			m := &b.Inventory.Machines[len(b.Inventory.Machines)-1] // its fields are read before the next append may move the slice
 			return []operator.Field{operator.Must("club", operator.Text(&m.Club)), operator.Attr("zone", operator.Text(&m.Zone)),
 				operator.Attr("gateways", operator.Texts(&m.Gateways)), operator.Attr("boxes", operator.Texts(&m.Boxes)), operator.Attr("hubs", operator.Texts(&m.Hubs)),
-				operator.Attr("carries", operator.Number(&m.Carries, 0, 1e12))}, nil
+				operator.Attr("carries", operator.Number(&m.Capacity, 0, 1e12))}, nil
 		}),
 		operator.Check(func() error {
 			if len(b.Inventory.Machines) == 0 {
--- a/internal/maintenance/drive/coordinator.go
+++ b/internal/maintenance/drive/coordinator.go
@@ -48,7 +48,7 @@
 // Yard is one gateway's part in maintenance windows. It runs in the loop of the quorum's driver.
 type Yard struct {
 	block         Block
-	state         *maintenance.Book
+	state         *maintenance.State
 	crew          *owned.Runner
 	core          Core
 	council       *agreement.Replica
@@ -71,20 +71,20 @@
 }
 
 // stateMachine adapts maintenance.Book to the log's commands.
-type stateMachine struct{ *maintenance.Book }
+type stateMachine struct{ *maintenance.State }
 
 // Apply applies a committed command.
 func (s stateMachine) Apply(index uint64, c quorum.Command) any {
-	return s.Book.Apply(index, c.Kind, c.Data)
+	return s.State.Apply(index, c.Kind, c.Data)
 }
 
 // Member applies a change of the fleet's membership.
 func (s stateMachine) Member(_ uint64, m quorum.Member) {
-	s.Book.SetGateway(m.Name, m.Incarnation, m.State == quorum.MemberJoined)
+	s.State.SetGateway(m.Name, m.Incarnation, m.State == quorum.MemberJoined)
 }
 
 // Leap raises the token counter above every token that can have been issued, after log entries may have been lost.
-func (s stateMachine) Leap() { s.Book.LastToken += 1 << 32 }
+func (s stateMachine) Leap() { s.State.LastToken += 1 << 32 }
 
 // Books returns an empty state machine under its name in the log, to read a gateway's store with.
 func Books() map[string]quorum.StateMachine {
@@ -107,7 +107,7 @@
 
 // NextDeadline returns the time of the next check.
 func (y *Yard) NextDeadline() float64 {
-	if len(y.state.Works) == 0 && (!y.block.On || y.status.Incarnation == 0) {
+	if len(y.state.Windows) == 0 && (!y.block.On || y.status.Incarnation == 0) {
 		return math.Inf(1)
 	}
 	return y.nextCheck
@@ -182,8 +182,8 @@
 // leaveNodes makes the core send no new requests to machines that are draining or out.
 func (y *Yard) leaveNodes() {
 	var nodes []string
-	for _, name := range slices.Sorted(maps.Keys(y.state.Works)) {
-		if w, m := y.state.Works[name], y.state.Machine(name); m != nil && (w.Stage == maintenance.Draining || w.Stage == maintenance.Out || w.Stage == maintenance.Overdue) {
+	for _, name := range slices.Sorted(maps.Keys(y.state.Windows)) {
+		if w, m := y.state.Windows[name], y.state.Machine(name); m != nil && (w.Stage == maintenance.Draining || w.Stage == maintenance.OutOfService || w.Stage == maintenance.Overdue) {
 			nodes = append(append(nodes, m.Boxes...), m.Hubs...)
 		}
 	}
@@ -196,13 +196,13 @@
 
 // acknowledge proposes that this gateway has drained a draining machine, and that it finds a returned machine warm.
 func (y *Yard) acknowledge() {
-	for _, name := range slices.Sorted(maps.Keys(y.state.Works)) {
-		w, m := y.state.Works[name], y.state.Machine(name)
+	for _, name := range slices.Sorted(maps.Keys(y.state.Windows)) {
+		w, m := y.state.Windows[name], y.state.Machine(name)
 		if m != nil && w.Stage == maintenance.Warming && !w.Warm[y.status.Name] && y.state.IsWarm(m, y.load) {
-			y.propose(maintenance.ReportWarm, name, maintenance.Order{At: y.unixMillis(), Machine: name, Token: w.Token, From: y.status.Name})
+			y.propose(maintenance.ReportWarm, name, maintenance.CommandData{At: y.unixMillis(), Machine: name, Token: w.Token, Gateway: y.status.Name})
 		}
 		if y.drainedNumber == y.leaveNumber && m != nil && w.Stage == maintenance.Draining && !w.Acks[y.status.Name] && !slices.Contains(m.Gateways, y.status.Name) {
-			y.propose(maintenance.Ack, name, maintenance.Order{At: y.unixMillis(), Machine: name, Token: w.Token, From: y.status.Name})
+			y.propose(maintenance.Ack, name, maintenance.CommandData{At: y.unixMillis(), Machine: name, Token: w.Token, Gateway: y.status.Name})
 		}
 	}
 }
@@ -210,13 +210,13 @@
 // runLeaderDuties proposes what only the leader proposes: the inventory, the voters, lost nodes, ticks and the job that owns the schedule.
 func (y *Yard) runLeaderDuties() {
 	if y.block.Inventory.Version > y.state.Inventory.Version {
-		y.propose(maintenance.Have, "", y.block.Inventory)
+		y.propose(maintenance.SetInventory, "", y.block.Inventory)
 	}
 	if !y.crew.IsRunning(Schedule) {
 		y.council.Propose(quorum.Command{StateMachine: owned.StateMachineName, Kind: owner.Start, Data: canon.Encode(owner.Job{Name: Schedule, Kind: owned.KindHold, Steps: 1, Window: 1})}, func(quorum.Outcome) {})
 	}
 	if voters := y.council.Voters(); len(voters) > 0 && !slices.Equal(voters, y.state.Voters) {
-		y.propose(maintenance.SetVoters, "", maintenance.Order{Names: voters})
+		y.propose(maintenance.SetVoters, "", maintenance.CommandData{Names: voters})
 	}
 	y.council.Retire(y.state.LeavingGateways())
 	if y.listed != nil {
@@ -230,23 +230,23 @@
 		}
 		slices.Sort(lost)
 		if known := slices.Sorted(maps.Keys(y.state.Lost)); !slices.Equal(known, lost) {
-			y.propose(maintenance.Lost, "", maintenance.Order{At: y.unixMillis(), Names: lost})
+			y.propose(maintenance.SetLost, "", maintenance.CommandData{At: y.unixMillis(), Names: lost})
 		}
 	}
-	if len(y.state.Works) > 0 && y.now >= y.lastTick+tickEvery { // by the local clock, since other commands advance the log's time too
+	if len(y.state.Windows) > 0 && y.now >= y.lastTick+tickEvery { // by the local clock, since other commands advance the log's time too
 		y.lastTick = y.now
-		y.propose(maintenance.Tick, "", maintenance.Order{At: y.unixMillis()})
+		y.propose(maintenance.Tick, "", maintenance.CommandData{At: y.unixMillis()})
 	}
 }
 
 // grantPlanned finishes the warm-up of machines reported warm, and grants the machines that the plan starts now.
 func (y *Yard) grantPlanned(token uint64) {
-	if len(y.state.Works) == 0 {
+	if len(y.state.Windows) == 0 {
 		return
 	}
-	for _, name := range slices.Sorted(maps.Keys(y.state.Works)) {
-		if m := y.state.Machine(name); m != nil && y.state.WarmByMajority(m, y.state.Works[name]) {
-			y.propose(maintenance.FinishWarming, name, maintenance.Order{At: y.unixMillis(), Machine: name, OwnerToken: token})
+	for _, name := range slices.Sorted(maps.Keys(y.state.Windows)) {
+		if m := y.state.Machine(name); m != nil && y.state.WarmByMajority(m, y.state.Windows[name]) {
+			y.propose(maintenance.FinishWarming, name, maintenance.CommandData{At: y.unixMillis(), Machine: name, OwnerToken: token})
 		}
 	}
 	if y.now < y.nextPlan {
@@ -256,24 +256,24 @@
 	plan := y.state.Plan()
 	y.nextPlan = y.now + 10*float64(time.Since(started))/float64(time.Millisecond)
 	for _, slot := range plan {
-		if w := y.state.Works[slot.Machine]; !slot.Never && slot.Start <= y.state.Now && w != nil && w.Stage == maintenance.Asked {
+		if w := y.state.Windows[slot.Machine]; !slot.Never && slot.Start <= y.state.Now && w != nil && w.Stage == maintenance.Queued {
 			failpoint.Here(failpoint.Scheduling)
-			y.propose(maintenance.Grant, slot.Machine, maintenance.Order{At: y.unixMillis(), Machine: slot.Machine, OwnerToken: token})
+			y.propose(maintenance.Grant, slot.Machine, maintenance.CommandData{At: y.unixMillis(), Machine: slot.Machine, OwnerToken: token})
 		}
 	}
 }
 
 // logStages logs each machine that entered another stage.
 func (y *Yard) logStages() {
-	for _, name := range slices.Sorted(maps.Keys(y.state.Works)) {
-		w := y.state.Works[name]
+	for _, name := range slices.Sorted(maps.Keys(y.state.Windows)) {
+		w := y.state.Windows[name]
 		if current := fmt.Sprint(w.Stage, w.Token); y.loggedStages[name] != current {
 			y.loggedStages[name] = current
-			y.log.WithFields(logrus.Fields{"machine": name, "is": w.Stage.String(), "token": w.Token, "why": w.Why, "request": w.Request.ID}).Info("machines: stage")
+			y.log.WithFields(logrus.Fields{"machine": name, "is": w.Stage.String(), "token": w.Token, "why": w.Reason, "request": w.Request.ID}).Info("machines: stage")
 		}
 	}
 	for name := range y.loggedStages {
-		if y.state.Works[name] == nil {
+		if y.state.Windows[name] == nil {
 			delete(y.loggedStages, name)
 			y.log.WithField("machine", name).Info("machines: in")
 		}
@@ -283,8 +283,8 @@
 // CheckCommand checks whether operators, or a machine's agent, may propose a command.
 func (y *Yard) CheckCommand(c quorum.Command) error {
 	switch c.Kind {
-	case maintenance.Ask, maintenance.Cancel, maintenance.Withdraw, maintenance.Drain, maintenance.Go, maintenance.Back, maintenance.SetPeak:
-		var o maintenance.Order
+	case maintenance.Submit, maintenance.Cancel, maintenance.Withdraw, maintenance.Drain, maintenance.Leave, maintenance.Return, maintenance.SetPeak:
+		var o maintenance.CommandData
 		if err := canon.Decode(c.Data, &o); err != nil {
 			return err
 		}
@@ -299,15 +299,15 @@
 // Machine is the answer to a question about one machine.
 type Machine struct {
 	maintenance.Machine
-	Stage string            `json:"stage"`
-	Hurt  bool              `json:"hurt"` // part of it is lost or drained
-	Work  *maintenance.Work `json:"work,omitempty"`
-	Waits []string          `json:"waits,omitempty"` // gateways that have not acknowledged the drain
+	Stage string              `json:"stage"`
+	Hurt  bool                `json:"hurt"` // part of it is lost or drained
+	Work  *maintenance.Window `json:"work,omitempty"`
+	Waits []string            `json:"waits,omitempty"` // gateways that have not acknowledged the drain
 }
 
 // describeMachine returns the answer for one machine.
 func (y *Yard) describeMachine(m maintenance.Machine) Machine {
-	answer := Machine{Machine: m, Stage: maintenance.In.String(), Hurt: y.state.Degraded(m.Name), Work: y.state.Works[m.Name]}
+	answer := Machine{Machine: m, Stage: maintenance.InService.String(), Hurt: y.state.Degraded(m.Name), Work: y.state.Windows[m.Name]}
 	if answer.Work != nil {
 		if answer.Stage = answer.Work.Stage.String(); answer.Work.Stage == maintenance.Draining {
 			answer.Waits = y.state.PendingAcks(answer.Work, &m)
@@ -333,7 +333,7 @@
 	case "plan":
 		return map[string]any{"now": y.state.Now, "plan": append([]maintenance.Slot{}, y.state.Plan()...), "near": y.state.LimitUsage()}, nil
 	case "ended":
-		return append([]maintenance.Ended{}, y.state.Ended...), nil
+		return append([]maintenance.FinishedRequest{}, y.state.Ended...), nil
 	}
 	return nil, agreement.ErrUnknownSubject
 }
--- a/internal/maintenance/interleavings_test.go
+++ b/internal/maintenance/interleavings_test.go
@@ -15,7 +15,7 @@
 // model is one state of a small fleet: three machines with requests, a limit on concurrent outages, three gateways that each follow the log
 // with any lag, and commands that are in flight for any time or are delivered twice.
 type model struct {
-	b           *Book
+	b           *State
 	inFlight    []message       // sorted by their text
 	views       [3][3]view      // by gateway and machine: what the gateway has followed
 	fresh       [3]bool         // by gateway: it restarted and has followed nothing yet
@@ -30,11 +30,11 @@
 // message is a command in flight.
 type message struct {
 	kind  string
-	order Order
+	order CommandData
 }
 
 func (m message) String() string {
-	return m.kind + " " + m.order.Machine + " " + strconv.FormatUint(m.order.Token, 10) + " " + m.order.From
+	return m.kind + " " + m.order.Machine + " " + strconv.FormatUint(m.order.Token, 10) + " " + m.order.Gateway
 }
 
 // view is what a gateway knows of a machine.
@@ -53,11 +53,11 @@
 	c := *s
 	b := *s.b
 	c.b = &b
-	b.Works, b.Gateways, b.Lost = map[string]*Work{}, maps.Clone(s.b.Gateways), maps.Clone(s.b.Lost)
-	for name, w := range s.b.Works {
+	b.Windows, b.Gateways, b.Lost = map[string]*Window{}, maps.Clone(s.b.Gateways), maps.Clone(s.b.Lost)
+	for name, w := range s.b.Windows {
 		x := *w
-		x.Acks, x.Warm, x.Without = maps.Clone(w.Acks), maps.Clone(w.Warm), slices.Clone(w.Without)
-		b.Works[name] = &x
+		x.Acks, x.Warm, x.MissingAcks = maps.Clone(w.Acks), maps.Clone(w.Warm), slices.Clone(w.MissingAcks)
+		b.Windows[name] = &x
 	}
 	c.inFlight, c.gone, b.Ended = slices.Clone(s.inFlight), maps.Clone(s.gone), slices.Clone(s.b.Ended)
 	return &c
@@ -72,7 +72,7 @@
 		}
 	}
 	for _, m := range modelMachines {
-		if w := s.b.Works[m]; w != nil {
+		if w := s.b.Windows[m]; w != nil {
 			k = append(k, byte(w.Stage), byte(w.Token), byte(w.Since/100))
 			for _, g := range modelGateways {
 				flag(w.Acks[g])
@@ -94,7 +94,7 @@
 	rest := s.remaining
 	k = append(k, byte(s.b.Now/100), byte(s.b.LastToken), byte(rest.crashes), byte(rest.duplicates), byte(rest.ticks), byte(rest.withdrawals), byte(rest.losses))
 	for _, x := range s.inFlight {
-		k = append(append(append(k, x.kind...), x.order.Machine...), x.order.From...)
+		k = append(append(append(k, x.kind...), x.order.Machine...), x.order.Gateway...)
 		k = append(k, byte(x.order.Token))
 	}
 	return string(k)
@@ -104,7 +104,7 @@
 func (s *model) apply(x message) {
 	x.order.At = s.b.Now
 	result := s.b.Apply(1, x.kind, canon.Encode(x.order))
-	if w, ok := result.(Work); ok && x.kind == Go && w.Stage == Out {
+	if w, ok := result.(Window); ok && x.kind == Leave && w.Stage == OutOfService {
 		s.gone[x.order.Machine] = true
 	}
 }
@@ -137,29 +137,29 @@
 		}
 	}
 	for _, m := range modelMachines {
-		w := s.b.Works[m]
+		w := s.b.Windows[m]
 		if w == nil {
 			continue
 		}
-		o := Order{Machine: m, Token: w.Token}
+		o := CommandData{Machine: m, Token: w.Token}
 		switch w.Stage {
-		case Asked:
-			send(message{Grant, Order{Machine: m, OwnerToken: 1}})
+		case Queued:
+			send(message{Grant, CommandData{Machine: m, OwnerToken: 1}})
 		case Granted:
 			send(message{Drain, o})
 		case Draining:
-			send(message{Go, o})
-		case Out, Overdue:
+			send(message{Leave, o})
+		case OutOfService, Overdue:
 			if s.gone[m] {
 				add("agent sees the machine back "+m, func(c *model) { delete(c.gone, m) })
 			} else {
-				send(message{Back, o})
+				send(message{Return, o})
 			}
 		}
 		if s.remaining.withdrawals > 0 && (w.Stage == Granted || w.Stage == Draining) {
 			add("grant withdrawn "+m, func(c *model) {
 				c.remaining.withdrawals--
-				c.apply(message{Withdraw, Order{Machine: m}})
+				c.apply(message{Withdraw, CommandData{Machine: m}})
 			})
 		}
 	}
@@ -168,7 +168,7 @@
 		if live {
 			current := [3]view{}
 			for j, m := range modelMachines {
-				if w := s.b.Works[m]; w != nil {
+				if w := s.b.Windows[m]; w != nil {
 					current[j] = view{w.Stage, w.Token}
 				}
 			}
@@ -177,8 +177,8 @@
 			}
 			for j, m := range modelMachines {
 				if v := s.views[i][j]; v.stage == Draining && !s.fresh[i] {
-					if w := s.b.Works[m]; w == nil || !w.Acks[g] {
-						send(message{Ack, Order{Machine: m, Token: v.token, From: g}})
+					if w := s.b.Windows[m]; w == nil || !w.Acks[g] {
+						send(message{Ack, CommandData{Machine: m, Token: v.token, Gateway: g}})
 					}
 				}
 			}
@@ -193,7 +193,7 @@
 			add("restarted "+g, func(c *model) {
 				c.b.SetGateway(g, c.b.Gateways[g].Incarnation+10, true)
 				// The log rejects what the previous process sent (quorum.Members).
-				c.inFlight = slices.DeleteFunc(c.inFlight, func(x message) bool { return x.order.From == g })
+				c.inFlight = slices.DeleteFunc(c.inFlight, func(x message) bool { return x.order.Gateway == g })
 			})
 		}
 	}
@@ -207,7 +207,7 @@
 	if s.remaining.losses > 0 {
 		add("an edge cache is lost", func(c *model) {
 			c.remaining.losses--
-			c.b.Apply(1, Lost, canon.Encode(Order{At: c.b.Now, Names: []string{"e1"}}))
+			c.b.Apply(1, SetLost, canon.Encode(CommandData{At: c.b.Now, Names: []string{"e1"}}))
 		})
 	}
 	return states, events
@@ -216,8 +216,8 @@
 // violation describes a safety violation in the step from before to this state, or returns "".
 func (s *model) violation(before *model) string {
 	for j, m := range modelMachines {
-		w := s.b.Works[m]
-		if s.gone[m] && (w == nil || w.Stage != Out && w.Stage != Overdue) {
+		w := s.b.Windows[m]
+		if s.gone[m] && (w == nil || w.Stage != OutOfService && w.Stage != Overdue) {
 			return m + " has left, and does not count as out"
 		}
 		if !s.gone[m] || before.gone[m] {
@@ -236,7 +236,7 @@
 				return fmt.Sprintf("%s leaves within the grace period after the loss of %s", m, g)
 			}
 		}
-		if n := len(s.gone); n > s.b.Inventory.Limits.Most {
+		if n := len(s.gone); n > s.b.Inventory.Limits.MaxMachines {
 			return fmt.Sprintf("%d machines have left", n)
 		}
 		lost := map[string]bool{}
@@ -245,7 +245,7 @@
 				lost[x.Name] = true
 			}
 		}
-		if n := len(lost); n > s.b.Inventory.Limits.Most {
+		if n := len(lost); n > s.b.Inventory.Limits.MaxMachines {
 			return fmt.Sprintf("%s leaves as outage number %d, losses included", m, n)
 		}
 	}
@@ -277,7 +277,7 @@
 // exploreStates visits every reachable state, and returns how many there are.
 func exploreStates(t *testing.T, requests, limit, maxInFlight int, remaining budget) int {
 	b := New()
-	b.Inventory = Inventory{Version: 1, Limits: Limits{Most: limit, Begin: 100, Drain: 100, Warm: 100, Overdue: 2, Grace: 50},
+	b.Inventory = Inventory{Version: 1, Limits: Limits{MaxMachines: limit, BeginTimeout: 100, DrainTimeout: 100, WarmTimeout: 100, Overdue: 2, Grace: 50},
 		Machines: []Machine{{Name: "m0", Club: "c", Boxes: []string{"e0"}}, {Name: "m1", Club: "c", Boxes: []string{"e1"}}, {Name: "m2", Club: "c", Gateways: []string{"g2"}},
 			{Name: "m3", Club: "c", Gateways: []string{"g0", "g1"}}}}
 	for i, g := range modelGateways {
@@ -285,7 +285,7 @@
 	}
 	b.Voters = modelGateways[:2]
 	for _, m := range append([]string{"m2"}, modelMachines...)[:requests] { // m2 has a gateway
-		b.Apply(1, Ask, canon.Encode(Order{Request: &Request{ID: m, Machine: m, Takes: 100}}))
+		b.Apply(1, Submit, canon.Encode(CommandData{Request: &Request{ID: m, Machine: m, Duration: 100}}))
 	}
 	first := &model{b: b, gone: map[string]bool{}, remaining: remaining, maxInFlight: maxInFlight}
 	seen := map[string]bool{first.key(): true}
--- a/internal/maintenance/limits.go
+++ b/internal/maintenance/limits.go
@@ -8,7 +8,7 @@
 
 // outages counts everything that is out, so that each further machine can be checked against the limits in constant time.
 type outages struct {
-	b                              *Book
+	b                              *State
 	machinesOut                    int
 	names                          []string       // of clubs and zones; the slices by club and by zone have the same indices
 	index                          map[string]int // into names, by "c"+club or "z"+zone
@@ -29,15 +29,15 @@
 }
 
 // isOut tells whether a machine counts as out: it has been granted and is not back in service yet, or part of it is lost or drained.
-func (b *Book) isOut(m *Machine) bool {
-	if w := b.Works[m.Name]; w != nil && w.Stage >= Granted {
+func (b *State) isOut(m *Machine) bool {
+	if w := b.Windows[m.Name]; w != nil && w.Stage >= Granted {
 		return true
 	}
 	return b.isDegraded(m)
 }
 
 // isDegraded tells whether part of a machine is lost, or drained in the node list.
-func (b *Book) isDegraded(m *Machine) bool {
+func (b *State) isDegraded(m *Machine) bool {
 	for _, g := range m.Gateways {
 		if gateway, known := b.Gateways[g]; known && !gateway.Live {
 			return true
@@ -47,10 +47,10 @@
 }
 
 // isLost tells whether an edge cache or hub is missing from or drained in the node list.
-func (b *Book) isLost(name string) bool { return b.Lost[name] }
+func (b *State) isLost(name string) bool { return b.Lost[name] }
 
 // countOutages counts everything that is out now.
-func (b *Book) countOutages() *outages {
+func (b *State) countOutages() *outages {
 	o := &outages{b: b, index: map[string]int{}}
 	for i := range b.Inventory.Machines {
 		m := &b.Inventory.Machines[i]
@@ -71,7 +71,7 @@
 		o.totals[1] += len(m.Boxes)
 		o.totals[2] += len(m.Hubs)
 		o.liveGateways[c] += len(m.Gateways)
-		o.capacity[c] += m.Carries
+		o.capacity[c] += m.Capacity
 		for _, g := range m.Gateways {
 			for h, p := range b.MeasuredPeaks[g] {
 				o.clubPeaks[c][h] += p
@@ -116,7 +116,7 @@
 	o.boxesOut += by * len(m.Boxes)
 	o.hubsOut += by * len(m.Hubs)
 	o.liveGateways[at.club] -= by * len(m.Gateways)
-	o.capacity[at.club] -= float64(by) * m.Carries
+	o.capacity[at.club] -= float64(by) * m.Capacity
 }
 
 // limit identifies a limit that can keep a machine from leaving.
@@ -143,7 +143,7 @@
 func (o *outages) firstLimit(m *Machine, at placement, peak float64) limit {
 	l := &o.b.Inventory.Limits
 	switch {
-	case l.Most > 0 && o.machinesOut+1 > l.Most:
+	case l.MaxMachines > 0 && o.machinesOut+1 > l.MaxMachines:
 		return limitTotal
 	case l.PerClub > 0 && o.outByClub[at.club]+1 > l.PerClub:
 		return limitPerClub
@@ -159,7 +159,7 @@
 		return limitLastHubs
 	case len(m.Gateways) > 0 && o.liveGateways[at.club] <= len(m.Gateways):
 		return limitLastGateways
-	case m.Carries > 0 && o.capacity[at.club]-m.Carries < peak*(1+l.Reserve):
+	case m.Capacity > 0 && o.capacity[at.club]-m.Capacity < peak*(1+l.Reserve):
 		return limitReserve
 	}
 	return noLimit
@@ -172,7 +172,7 @@
 	case noLimit:
 		return ""
 	case limitTotal:
-		return fmt.Sprintf("most: %d of %d are out", o.machinesOut, l.Most)
+		return fmt.Sprintf("most: %d of %d are out", o.machinesOut, l.MaxMachines)
 	case limitPerClub:
 		return fmt.Sprintf("per_club: %d of %d are out at %s", o.outByClub[at.club], l.PerClub, m.Club)
 	case limitPerZone:
@@ -188,7 +188,7 @@
 	case limitLastGateways:
 		return "gateways: the last ones of " + m.Club
 	case limitReserve:
-		return fmt.Sprintf("reserve: what is left at %s carries %.4g of a peak of %.4g with %.4g more", m.Club, o.capacity[at.club]-m.Carries, peak, l.Reserve)
+		return fmt.Sprintf("reserve: what is left at %s carries %.4g of a peak of %.4g with %.4g more", m.Club, o.capacity[at.club]-m.Capacity, peak, l.Reserve)
 	case limitDegraded:
 		return "something on it is lost or drained"
 	}
@@ -210,8 +210,8 @@
 // exceeded returns a limit that the current outages exceed, as they can after a loss, or "".
 func (o *outages) exceeded() string {
 	l := o.b.Inventory.Limits
-	if l.Most > 0 && o.machinesOut > l.Most {
-		return fmt.Sprintf("most: %d of %d are out", o.machinesOut, l.Most)
+	if l.MaxMachines > 0 && o.machinesOut > l.MaxMachines {
+		return fmt.Sprintf("most: %d of %d are out", o.machinesOut, l.MaxMachines)
 	}
 	for i, n := range o.outByClub {
 		if l.PerClub > 0 && n > l.PerClub {
@@ -237,7 +237,7 @@
 
 // majorityAtRisk checks the voters on a machine: without them, losing one more voter must still leave a majority. It returns the reason
 // why the machine must not leave, or "".
-func (b *Book) majorityAtRisk(m *Machine) string {
+func (b *State) majorityAtRisk(m *Machine) string {
 	own, remaining := 0, 0
 	for _, v := range b.Voters {
 		switch gateway := b.Gateways[v]; {
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -17,7 +17,7 @@
 )
 
 // apply encodes and applies a command.
-func (b *Book) apply(t interface{ Fatalf(string, ...any) }, kind string, content any) any {
+func (b *State) apply(t interface{ Fatalf(string, ...any) }, kind string, content any) any {
 	return b.Apply(1, kind, canon.Encode(content))
 }
 
@@ -27,8 +27,8 @@
 	i := Inventory{Version: 1, Limits: l}
 	for _, club := range []string{"amber", "birch"} {
 		i.Machines = append(i.Machines,
-			Machine{Name: club + "-1", Club: club, Zone: "z1", Gateways: []string{"g1" + club}, Boxes: []string{"e1" + club}, Carries: 10},
-			Machine{Name: club + "-2", Club: club, Zone: "z2", Boxes: []string{"e2" + club, "e3" + club}, Carries: 20},
+			Machine{Name: club + "-1", Club: club, Zone: "z1", Gateways: []string{"g1" + club}, Boxes: []string{"e1" + club}, Capacity: 10},
+			Machine{Name: club + "-2", Club: club, Zone: "z2", Boxes: []string{"e2" + club, "e3" + club}, Capacity: 20},
 			Machine{Name: club + "-3", Club: club, Zone: "z3", Gateways: []string{"g2" + club}},
 			Machine{Name: club + "-hub", Club: "hubs", Zone: club, Hubs: []string{"h" + club}})
 	}
@@ -36,9 +36,9 @@
 }
 
 // newTestBook returns a state with that inventory and all its gateways live.
-func newTestBook(t interface{ Fatalf(string, ...any) }, l Limits) *Book {
+func newTestBook(t interface{ Fatalf(string, ...any) }, l Limits) *State {
 	b := New()
-	if r := b.apply(t, Have, testInventory(l)); r != nil {
+	if r := b.apply(t, SetInventory, testInventory(l)); r != nil {
 		t.Fatalf("inventory: %v", r)
 	}
 	for n, m := range b.Inventory.Machines {
@@ -51,7 +51,7 @@
 
 // countOut returns the machines that count as out, and those of them that no revoked grant could keep in. It computes them independently
 // of the code under test, to check the limits against it.
-func countOut(b *Book) (out, irrevocable []Machine) {
+func countOut(b *State) (out, irrevocable []Machine) {
 	for _, m := range b.Inventory.Machines {
 		lost := false
 		for _, g := range m.Gateways {
@@ -62,11 +62,11 @@
 		for _, p := range append(append([]string{}, m.Boxes...), m.Hubs...) {
 			lost = lost || b.Lost[p]
 		}
-		w := b.Works[m.Name]
-		if lost || w != nil && w.Stage != Asked {
+		w := b.Windows[m.Name]
+		if lost || w != nil && w.Stage != Queued {
 			out = append(out, m)
 		}
-		if lost || w != nil && w.Stage != Asked && w.Stage != Granted && w.Stage != Draining {
+		if lost || w != nil && w.Stage != Queued && w.Stage != Granted && w.Stage != Draining {
 			irrevocable = append(irrevocable, m)
 		}
 	}
@@ -74,7 +74,7 @@
 }
 
 // exceededLimit returns the limit that these machines exceed if they are all out, or "".
-func exceededLimit(b *Book, out []Machine) string {
+func exceededLimit(b *State, out []Machine) string {
 	l, clubs, zones, boxes, all := b.Inventory.Limits, map[string]int{}, map[string]int{}, 0, 0
 	for _, m := range b.Inventory.Machines {
 		all += len(m.Boxes)
@@ -84,7 +84,7 @@
 		zones[m.Zone]++
 		boxes += len(m.Boxes)
 	}
-	if l.Most > 0 && len(out) > l.Most {
+	if l.MaxMachines > 0 && len(out) > l.MaxMachines {
 		return "most"
 	}
 	for _, n := range clubs {
@@ -108,8 +108,8 @@
 // current grant and with the acknowledgement of every live gateway; tokens increase; saved states load back to equal bytes.
 func TestLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Limits{Most: rapid.IntRange(0, 4).Draw(t, "most"), PerClub: rapid.IntRange(0, 2).Draw(t, "club"), PerZone: rapid.IntRange(0, 2).Draw(t, "zone"),
-			Boxes: rapid.SampledFrom([]float64{0, 0.4, 0.7}).Draw(t, "boxes"), Begin: 50, Drain: 100, Warm: 100, Overdue: 2, Grace: 30, MissingAck: MissingAckPolicy(rapid.IntRange(0, 1).Draw(t, "silent"))}
+		l := Limits{MaxMachines: rapid.IntRange(0, 4).Draw(t, "most"), PerClub: rapid.IntRange(0, 2).Draw(t, "club"), PerZone: rapid.IntRange(0, 2).Draw(t, "zone"),
+			Boxes: rapid.SampledFrom([]float64{0, 0.4, 0.7}).Draw(t, "boxes"), BeginTimeout: 50, DrainTimeout: 100, WarmTimeout: 100, Overdue: 2, Grace: 30, MissingAck: MissingAckPolicy(rapid.IntRange(0, 1).Draw(t, "silent"))}
 		b := newTestBook(t, l)
 		names := []string{}
 		for _, m := range b.Inventory.Machines {
@@ -119,42 +119,42 @@
 		inc, now, last := uint64(10), 0.0, uint64(0)
 		for n := range rapid.IntRange(1, 120).Draw(t, "commands") {
 			now += float64(rapid.IntRange(0, 30).Draw(t, "ms"))
-			before := map[string]Work{}
-			for name, w := range b.Works {
+			before := map[string]Window{}
+			for name, w := range b.Windows {
 				c := *w
 				c.Acks, c.Warm = maps.Clone(w.Acks), maps.Clone(w.Warm)
 				before[name] = c
 			}
 			outBefore, _ := countOut(b)
 			name := rapid.SampledFrom(names).Draw(t, "machine")
-			o := Order{At: now, Machine: name, Token: uint64(rapid.IntRange(0, int(b.LastToken)+1).Draw(t, "token"))}
-			if w := b.Works[name]; w != nil && rapid.Bool().Draw(t, "current token") {
+			o := CommandData{At: now, Machine: name, Token: uint64(rapid.IntRange(0, int(b.LastToken)+1).Draw(t, "token"))}
+			if w := b.Windows[name]; w != nil && rapid.Bool().Draw(t, "current token") {
 				o.Token = w.Token
 			}
-			kind := rapid.SampledFrom([]string{Ask, Ask, Grant, Grant, Grant, Drain, Drain, Ack, Ack, Ack, Go, Go, Back, ReportWarm, FinishWarming, Withdraw, Cancel, Tick, Lost, "member", "next", "next", "next", "next", "next", "next", "next", "next", "next", "next"}).Draw(t, "command")
+			kind := rapid.SampledFrom([]string{Submit, Submit, Grant, Grant, Grant, Drain, Drain, Ack, Ack, Ack, Leave, Leave, Return, ReportWarm, FinishWarming, Withdraw, Cancel, Tick, SetLost, "member", "next", "next", "next", "next", "next", "next", "next", "next", "next", "next"}).Draw(t, "command")
 			if kind == "next" { // the next command in that machine's lifecycle
-				w := b.Works[name]
-				if kind = Ask; w != nil {
-					kind = [...]string{Ask, Grant, Drain, Ack, Back, Back, rapid.SampledFrom([]string{ReportWarm, ReportWarm, FinishWarming}).Draw(t, "warm")}[w.Stage]
+				w := b.Windows[name]
+				if kind = Submit; w != nil {
+					kind = [...]string{Submit, Grant, Drain, Ack, Return, Return, rapid.SampledFrom([]string{ReportWarm, ReportWarm, FinishWarming}).Draw(t, "warm")}[w.Stage]
 					o.Token = w.Token
 					if w.Stage == Draining && len(b.PendingAcks(w, b.Machine(name))) == 0 {
-						kind = Go
+						kind = Leave
 					}
 				}
 			}
 			switch kind {
-			case Ask:
-				o.Request = &Request{ID: "r" + name + fmt.Sprint(n/40), Machine: name, Takes: 60}
+			case Submit:
+				o.Request = &Request{ID: "r" + name + fmt.Sprint(n/40), Machine: name, Duration: 60}
 			case Cancel:
 				o.ID = "r" + name + fmt.Sprint(n/40)
 			case Ack, ReportWarm:
-				o.From = rapid.SampledFrom(gateways).Draw(t, "from")
-				if w := b.Works[name]; w != nil && w.Stage == Draining && rapid.Bool().Draw(t, "one with a pending ack") {
+				o.Gateway = rapid.SampledFrom(gateways).Draw(t, "from")
+				if w := b.Windows[name]; w != nil && w.Stage == Draining && rapid.Bool().Draw(t, "one with a pending ack") {
 					if pending := b.PendingAcks(w, b.Machine(name)); len(pending) > 0 {
-						o.From = pending[0]
+						o.Gateway = pending[0]
 					}
 				}
-			case Lost:
+			case SetLost:
 				o.Names = rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"e1amber", "e2amber", "e1birch", "hamber"}), 0, 2, rapid.ID[string]).Draw(t, "lost")
 			}
 			if kind == "member" {
@@ -175,36 +175,36 @@
 			if kind == Grant && len(out) > len(outBefore) && exceededLimit(b, out) != "" {
 				t.Fatalf("%d: granted beyond limit %s", n, exceededLimit(b, out))
 			}
-			for name, w := range b.Works {
+			for name, w := range b.Windows {
 				old, was := before[name]
-				from := In
+				from := InService
 				if was {
 					from = old.Stage
 				}
 				if w.Stage != from && !slices.ContainsFunc(Transitions, func(s Transition) bool { return s.From == from && s.To == w.Stage }) {
 					t.Fatalf("%d: %s moves %s from %v to %v", n, kind, name, from, w.Stage)
 				}
-				if w.Stage == Out && from == Draining {
+				if w.Stage == OutOfService && from == Draining {
 					if o.Token != old.Token || o.Token == 0 {
 						t.Fatalf("%d: out under token %d, want %d", n, o.Token, old.Token)
 					}
 					for _, g := range gateways {
 						x := b.Gateways[g]
-						if !old.Acks[g] && !slices.Contains(b.Machine(name).Gateways, g) && (x.Live || now < x.Since+l.Grace) && !slices.Contains(w.Without, g) {
+						if !old.Acks[g] && !slices.Contains(b.Machine(name).Gateways, g) && (x.Live || now < x.Since+l.Grace) && !slices.Contains(w.MissingAcks, g) {
 							t.Fatalf("%d: %s is out without an ack from %s, and does not record it", n, name, g)
 						}
 					}
-					if len(w.Without) > 0 && (l.MissingAck != ProceedWithoutAck || now < old.Since+l.Drain) {
-						t.Fatalf("%d: %s is out without acks from %v", n, name, w.Without)
+					if len(w.MissingAcks) > 0 && (l.MissingAck != ProceedWithoutAck || now < old.Since+l.DrainTimeout) {
+						t.Fatalf("%d: %s is out without acks from %v", n, name, w.MissingAcks)
 					}
 				}
-				if w.Token > b.LastToken || was && w.Stage == Granted && from == Asked && w.Token <= last {
+				if w.Token > b.LastToken || was && w.Stage == Granted && from == Queued && w.Token <= last {
 					t.Fatalf("%d: token %d after %d", n, w.Token, last)
 				}
 			}
 			last = b.LastToken
 			for name, old := range before {
-				if b.Works[name] == nil && kind == FinishWarming { // more than half of the club's live gateways must have reported it warm
+				if b.Windows[name] == nil && kind == FinishWarming { // more than half of the club's live gateways must have reported it warm
 					live, warm := 0, 0
 					for _, g := range gateways {
 						if strings.HasSuffix(g, b.Machine(name).Club) && b.Gateways[g].Live {
@@ -217,7 +217,7 @@
 						t.Fatalf("%d: %s is back in service with %d of %d gateways reporting it warm", n, name, warm, live)
 					}
 				}
-				if b.Works[name] == nil && !slices.ContainsFunc(Transitions, func(s Transition) bool { return s.From == old.Stage && s.To == In }) {
+				if b.Windows[name] == nil && !slices.ContainsFunc(Transitions, func(s Transition) bool { return s.From == old.Stage && s.To == InService }) {
 					t.Fatalf("%d: %s puts %s back in service from %v", n, kind, name, old.Stage)
 				}
 			}
@@ -231,53 +231,53 @@
 
 // Takes one machine through its whole lifecycle, with every command that is refused on the way.
 func TestMachineLifecycle(t *testing.T) {
-	l := Limits{Most: 1, Begin: 1000, Drain: 500, Warm: 300, Overdue: 2, Grace: 100}
+	l := Limits{MaxMachines: 1, BeginTimeout: 1000, DrainTimeout: 500, WarmTimeout: 300, Overdue: 2, Grace: 100}
 	b := newTestBook(t, l)
 	for i, c := range []struct {
 		kind  string
-		o     Order
+		o     CommandData
 		stage Stage
 		err   error
 	}{
-		{Ask, Order{At: 10, Request: &Request{ID: "a", Machine: "nowhere", Takes: 5}}, 0, ErrUnknownMachine},
-		{Ask, Order{At: 10, Request: &Request{ID: "a", Machine: "amber-1", Takes: 60, By: 50}}, 0, ErrDeadline},
-		{Ask, Order{At: 10, Request: &Request{ID: "a", Machine: "amber-1", Takes: 0}}, 0, ErrMalformed},
-		{Grant, Order{Machine: "amber-1"}, 0, ErrUnknownMachine},
-		{Ask, Order{At: 10, Request: &Request{ID: "a", Machine: "amber-1", Takes: 1000, NotBefore: 100}}, Asked, nil},
-		{Ask, Order{At: 11, Request: &Request{ID: "a", Machine: "amber-1", Takes: 1000, NotBefore: 100}}, Asked, nil},
-		{Ask, Order{At: 11, Request: &Request{ID: "b", Machine: "amber-1", Takes: 1000}}, 0, ErrConflict},
-		{Ask, Order{At: 11, Request: &Request{ID: "a", Machine: "amber-2", Takes: 1000}}, 0, ErrConflict},
-		{Grant, Order{At: 20, Machine: "amber-1"}, 0, ErrWrongStage}, // not before 100
-		{Grant, Order{At: 100, Machine: "amber-1"}, Granted, nil},
-		{Ask, Order{At: 100, Request: &Request{ID: "c", Machine: "birch-1", Takes: 50}}, Asked, nil},
-		{Grant, Order{At: 100, Machine: "birch-1"}, 0, Refused{}},
-		{Go, Order{At: 110, Machine: "amber-1", Token: 1}, 0, ErrWrongStage},
-		{Drain, Order{At: 110, Machine: "amber-1", Token: 7}, 0, ErrStaleGrant},
-		{Withdraw, Order{At: 120, Machine: "amber-1"}, Asked, nil},
-		{Drain, Order{At: 130, Machine: "amber-1", Token: 1}, 0, ErrStaleGrant}, // its grant was withdrawn
-		{Grant, Order{At: 140, Machine: "amber-1"}, Granted, nil},
-		{Tick, Order{At: 1140}, Asked, nil}, // the drain did not start in time
-		{Grant, Order{At: 1150, Machine: "amber-1"}, Granted, nil},
-		{Drain, Order{At: 1160, Machine: "amber-1", Token: 3}, Draining, nil},
-		{Go, Order{At: 1170, Machine: "amber-1", Token: 3}, 0, ErrWaits},
-		{Ack, Order{At: 1170, Machine: "amber-1", Token: 3, From: "g2amber"}, Draining, nil},
-		{Ack, Order{At: 1170, Machine: "amber-1", Token: 3, From: "g1birch"}, Draining, nil},
-		{Go, Order{At: 1170, Machine: "amber-1", Token: 3}, 0, ErrWaits},
-		{Ack, Order{At: 1180, Machine: "amber-1", Token: 3, From: "g2birch"}, Draining, nil},
-		{Go, Order{At: 1180, Machine: "amber-1", Token: 2}, 0, ErrStaleGrant},
-		{Go, Order{At: 1180, Machine: "amber-1", Token: 3}, Out, nil},
-		{Cancel, Order{At: 1190, ID: "a"}, 0, ErrWrongStage},
-		{Tick, Order{At: 3000}, Out, nil},
-		{Tick, Order{At: 3180}, Overdue, nil},
-		{Back, Order{At: 3200, Machine: "amber-1", Token: 3}, Warming, nil},
-		{Grant, Order{At: 3300, Machine: "birch-1"}, 0, Refused{}},
-		{Tick, Order{At: 3400}, Warming, nil},
-		{Tick, Order{At: 3500}, In, nil},
-		{Grant, Order{At: 3500, Machine: "birch-1"}, Granted, nil},
-		{Cancel, Order{At: 3600, ID: "c"}, In, nil},
-		{Cancel, Order{At: 3600, ID: "c"}, In, nil},
-		{Cancel, Order{At: 3600, ID: "x"}, 0, ErrUnknownMachine},
-		{Ask, Order{At: 3700, Request: &Request{ID: "c", Machine: "birch-1", Takes: 50}}, In, nil}, // a repeated request that has finished
+		{Submit, CommandData{At: 10, Request: &Request{ID: "a", Machine: "nowhere", Duration: 5}}, 0, ErrUnknownMachine},
+		{Submit, CommandData{At: 10, Request: &Request{ID: "a", Machine: "amber-1", Duration: 60, Deadline: 50}}, 0, ErrDeadline},
+		{Submit, CommandData{At: 10, Request: &Request{ID: "a", Machine: "amber-1", Duration: 0}}, 0, ErrMalformed},
+		{Grant, CommandData{Machine: "amber-1"}, 0, ErrUnknownMachine},
+		{Submit, CommandData{At: 10, Request: &Request{ID: "a", Machine: "amber-1", Duration: 1000, NotBefore: 100}}, Queued, nil},
+		{Submit, CommandData{At: 11, Request: &Request{ID: "a", Machine: "amber-1", Duration: 1000, NotBefore: 100}}, Queued, nil},
+		{Submit, CommandData{At: 11, Request: &Request{ID: "b", Machine: "amber-1", Duration: 1000}}, 0, ErrConflict},
+		{Submit, CommandData{At: 11, Request: &Request{ID: "a", Machine: "amber-2", Duration: 1000}}, 0, ErrConflict},
+		{Grant, CommandData{At: 20, Machine: "amber-1"}, 0, ErrWrongStage}, // not before 100
+		{Grant, CommandData{At: 100, Machine: "amber-1"}, Granted, nil},
+		{Submit, CommandData{At: 100, Request: &Request{ID: "c", Machine: "birch-1", Duration: 50}}, Queued, nil},
+		{Grant, CommandData{At: 100, Machine: "birch-1"}, 0, Refused{}},
+		{Leave, CommandData{At: 110, Machine: "amber-1", Token: 1}, 0, ErrWrongStage},
+		{Drain, CommandData{At: 110, Machine: "amber-1", Token: 7}, 0, ErrStaleGrant},
+		{Withdraw, CommandData{At: 120, Machine: "amber-1"}, Queued, nil},
+		{Drain, CommandData{At: 130, Machine: "amber-1", Token: 1}, 0, ErrStaleGrant}, // its grant was withdrawn
+		{Grant, CommandData{At: 140, Machine: "amber-1"}, Granted, nil},
+		{Tick, CommandData{At: 1140}, Queued, nil}, // the drain did not start in time
+		{Grant, CommandData{At: 1150, Machine: "amber-1"}, Granted, nil},
+		{Drain, CommandData{At: 1160, Machine: "amber-1", Token: 3}, Draining, nil},
+		{Leave, CommandData{At: 1170, Machine: "amber-1", Token: 3}, 0, ErrPendingAcks},
+		{Ack, CommandData{At: 1170, Machine: "amber-1", Token: 3, Gateway: "g2amber"}, Draining, nil},
+		{Ack, CommandData{At: 1170, Machine: "amber-1", Token: 3, Gateway: "g1birch"}, Draining, nil},
+		{Leave, CommandData{At: 1170, Machine: "amber-1", Token: 3}, 0, ErrPendingAcks},
+		{Ack, CommandData{At: 1180, Machine: "amber-1", Token: 3, Gateway: "g2birch"}, Draining, nil},
+		{Leave, CommandData{At: 1180, Machine: "amber-1", Token: 2}, 0, ErrStaleGrant},
+		{Leave, CommandData{At: 1180, Machine: "amber-1", Token: 3}, OutOfService, nil},
+		{Cancel, CommandData{At: 1190, ID: "a"}, 0, ErrWrongStage},
+		{Tick, CommandData{At: 3000}, OutOfService, nil},
+		{Tick, CommandData{At: 3180}, Overdue, nil},
+		{Return, CommandData{At: 3200, Machine: "amber-1", Token: 3}, Warming, nil},
+		{Grant, CommandData{At: 3300, Machine: "birch-1"}, 0, Refused{}},
+		{Tick, CommandData{At: 3400}, Warming, nil},
+		{Tick, CommandData{At: 3500}, InService, nil},
+		{Grant, CommandData{At: 3500, Machine: "birch-1"}, Granted, nil},
+		{Cancel, CommandData{At: 3600, ID: "c"}, InService, nil},
+		{Cancel, CommandData{At: 3600, ID: "c"}, InService, nil},
+		{Cancel, CommandData{At: 3600, ID: "x"}, 0, ErrUnknownMachine},
+		{Submit, CommandData{At: 3700, Request: &Request{ID: "c", Machine: "birch-1", Duration: 50}}, InService, nil}, // a repeated request that has finished
 	} {
 		got := b.apply(t, c.kind, c.o)
 		err, _ := got.(error)
@@ -291,15 +291,15 @@
 		} else if name == "" {
 			name = "amber-1"
 		}
-		stage := In
-		if w := b.Works[name]; w != nil {
+		stage := InService
+		if w := b.Windows[name]; w != nil {
 			stage = w.Stage
 		}
 		if c.err == nil && stage != c.stage {
 			t.Fatalf("%d: %s: %s is %v, want %v", i, c.kind, name, stage, c.stage)
 		}
 	}
-	if len(b.Ended) != 2 || b.Ended[0].What != "done" || b.Ended[1].What != "cancelled" {
+	if len(b.Ended) != 2 || b.Ended[0].Outcome != "done" || b.Ended[1].Outcome != "cancelled" {
 		t.Errorf("ended: %+v", b.Ended)
 	}
 }
@@ -307,15 +307,15 @@
 // An agent starts the work once per grant, however often the agent itself restarts, and never under another grant.
 func TestKeeper(t *testing.T) {
 	for _, c := range []struct {
-		k    Keeper
-		w    *Work
-		want Deed
+		k    AgentState
+		w    *Window
+		want Action
 	}{
-		{Keeper{}, nil, Wait}, {Keeper{}, &Work{Stage: Asked}, Wait}, {Keeper{}, &Work{Stage: Granted, Token: 3}, DoDrain}, {Keeper{}, &Work{Stage: Draining, Token: 3}, DoGo},
-		{Keeper{}, &Work{Stage: Out, Token: 3}, DoWork}, {Keeper{Token: 3, Phase: Started}, &Work{Stage: Out, Token: 3}, DoReady}, {Keeper{Token: 3, Phase: Completed}, &Work{Stage: Overdue, Token: 3}, DoReady},
-		{Keeper{Token: 3, Phase: Failed}, &Work{Stage: Overdue, Token: 3}, Wait}, {Keeper{Token: 3, Phase: Failed}, &Work{Stage: Out, Token: 4}, DoWork},
-		{Keeper{Token: 3, Phase: Completed}, &Work{Stage: Out, Token: 4}, DoWork}, {Keeper{Token: 3, Phase: Completed}, &Work{Stage: Warming, Token: 3}, Wait},
-		{Keeper{Token: 3, Phase: Completed}, nil, Finished}, {Keeper{Token: 3}, nil, Wait}, {Keeper{Token: 3, Phase: Started}, &Work{Stage: Draining, Token: 4}, DoGo},
+		{AgentState{}, nil, ActionWait}, {AgentState{}, &Window{Stage: Queued}, ActionWait}, {AgentState{}, &Window{Stage: Granted, Token: 3}, ActionDrain}, {AgentState{}, &Window{Stage: Draining, Token: 3}, ActionLeave},
+		{AgentState{}, &Window{Stage: OutOfService, Token: 3}, ActionWork}, {AgentState{Token: 3, Phase: Started}, &Window{Stage: OutOfService, Token: 3}, ActionCheckReady}, {AgentState{Token: 3, Phase: Completed}, &Window{Stage: Overdue, Token: 3}, ActionCheckReady},
+		{AgentState{Token: 3, Phase: Failed}, &Window{Stage: Overdue, Token: 3}, ActionWait}, {AgentState{Token: 3, Phase: Failed}, &Window{Stage: OutOfService, Token: 4}, ActionWork},
+		{AgentState{Token: 3, Phase: Completed}, &Window{Stage: OutOfService, Token: 4}, ActionWork}, {AgentState{Token: 3, Phase: Completed}, &Window{Stage: Warming, Token: 3}, ActionWait},
+		{AgentState{Token: 3, Phase: Completed}, nil, ActionDone}, {AgentState{Token: 3}, nil, ActionWait}, {AgentState{Token: 3, Phase: Started}, &Window{Stage: Draining, Token: 4}, ActionLeave},
 	} {
 		if got := c.k.Next(c.w); got != c.want {
 			t.Errorf("%+v, %+v: %v, want %v", c.k, c.w, got, c.want)
@@ -327,12 +327,12 @@
 func TestOldSchedulerIsRefused(t *testing.T) {
 	b := newTestBook(t, Limits{})
 	for _, m := range []string{"amber-1", "birch-1"} {
-		b.apply(t, Ask, Order{At: 1, Request: &Request{ID: m, Machine: m, Takes: 100}})
+		b.apply(t, Submit, CommandData{At: 1, Request: &Request{ID: m, Machine: m, Duration: 100}})
 	}
-	if err, ok := b.apply(t, Grant, Order{At: 2, Machine: "amber-1", OwnerToken: 5}).(error); ok {
+	if err, ok := b.apply(t, Grant, CommandData{At: 2, Machine: "amber-1", OwnerToken: 5}).(error); ok {
 		t.Error(err)
 	}
-	if r := b.apply(t, Grant, Order{At: 2, Machine: "birch-1", OwnerToken: 4}); r != ErrStaleGrant {
+	if r := b.apply(t, Grant, CommandData{At: 2, Machine: "birch-1", OwnerToken: 4}); r != ErrStaleGrant {
 		t.Errorf("granted under an older owner token: %v", r)
 	}
 }
@@ -341,38 +341,38 @@
 // does not acknowledge holds up only that machine, for the configured drain time. An overdue machine keeps counting as out.
 func TestGoWaitsForAcks(t *testing.T) {
 	for _, policy := range []MissingAckPolicy{Requeue, ProceedWithoutAck} {
-		b := newTestBook(t, Limits{Most: 1, Drain: 500, Grace: 100, Overdue: 2, MissingAck: policy})
+		b := newTestBook(t, Limits{MaxMachines: 1, DrainTimeout: 500, Grace: 100, Overdue: 2, MissingAck: policy})
 		for _, m := range []string{"amber-2", "birch-2"} {
-			b.apply(t, Ask, Order{At: 1, Request: &Request{ID: m, Machine: m, Takes: 100}})
+			b.apply(t, Submit, CommandData{At: 1, Request: &Request{ID: m, Machine: m, Duration: 100}})
 		}
-		b.apply(t, Grant, Order{At: 2, Machine: "amber-2"})
-		b.apply(t, Drain, Order{At: 10, Machine: "amber-2", Token: 1})
+		b.apply(t, Grant, CommandData{At: 2, Machine: "amber-2"})
+		b.apply(t, Drain, CommandData{At: 10, Machine: "amber-2", Token: 1})
 		for _, g := range []string{"g1amber", "g2amber"} {
-			b.apply(t, Ack, Order{At: 10, Machine: "amber-2", Token: 1, From: g})
+			b.apply(t, Ack, CommandData{At: 10, Machine: "amber-2", Token: 1, Gateway: g})
 		}
-		b.Inventory.Limits.Most = 0 // losses count towards the limits, which another test covers
+		b.Inventory.Limits.MaxMachines = 0 // losses count towards the limits, which another test covers
 		b.SetGateway("g1birch", 5, false)
-		leave := func(at float64) any { return b.apply(t, Go, Order{At: at, Machine: "amber-2", Token: 1}) }
-		if r := leave(50); r != ErrWaits || len(b.PendingAcks(b.Works["amber-2"], b.Machine("amber-2"))) != 2 {
+		leave := func(at float64) any { return b.apply(t, Leave, CommandData{At: at, Machine: "amber-2", Token: 1}) }
+		if r := leave(50); r != ErrPendingAcks || len(b.PendingAcks(b.Windows["amber-2"], b.Machine("amber-2"))) != 2 {
 			t.Errorf("%v: left within the grace period of a lost gateway: %v", policy, r)
 		}
-		if r := leave(120); r != ErrWaits || len(b.PendingAcks(b.Works["amber-2"], b.Machine("amber-2"))) != 1 {
+		if r := leave(120); r != ErrPendingAcks || len(b.PendingAcks(b.Windows["amber-2"], b.Machine("amber-2"))) != 1 {
 			t.Errorf("%v: left without an ack from g2birch: %v", policy, r)
 		}
 		r := leave(510)
-		b.apply(t, Tick, Order{At: 511})
-		switch w := b.Works["amber-2"]; {
-		case policy == Requeue && (r != ErrWaits || w.Stage != Asked):
+		b.apply(t, Tick, CommandData{At: 511})
+		switch w := b.Windows["amber-2"]; {
+		case policy == Requeue && (r != ErrPendingAcks || w.Stage != Queued):
 			t.Errorf("not requeued: %v, %+v", r, w)
-		case policy == ProceedWithoutAck && (w.Stage != Out || fmt.Sprint(w.Without) != "[g2birch]"):
+		case policy == ProceedWithoutAck && (w.Stage != OutOfService || fmt.Sprint(w.MissingAcks) != "[g2birch]"):
 			t.Errorf("not out without the ack: %v, %+v", r, w)
 		}
 		if policy == ProceedWithoutAck {
-			b.Inventory.Limits.Most = 2 // one machine is out, and another has lost its gateway
-			if b.apply(t, Tick, Order{At: 800}); b.Works["amber-2"].Stage != Overdue {
-				t.Fatalf("%+v", b.Works["amber-2"])
+			b.Inventory.Limits.MaxMachines = 2 // one machine is out, and another has lost its gateway
+			if b.apply(t, Tick, CommandData{At: 800}); b.Windows["amber-2"].Stage != Overdue {
+				t.Fatalf("%+v", b.Windows["amber-2"])
 			}
-			if r, _ := b.apply(t, Grant, Order{At: 801, Machine: "birch-2"}).(error); r == nil {
+			if r, _ := b.apply(t, Grant, CommandData{At: 801, Machine: "birch-2"}).(error); r == nil {
 				t.Error("granted beyond the limit while a machine is overdue")
 			}
 		}
@@ -382,9 +382,9 @@
 // Each limit refuses what it names. Losses count towards the same limits and revoke grants of machines that are not out yet. A machine
 // whose voters the quorum needs may not leave.
 func TestLimits(t *testing.T) {
-	ask := func(b *Book, names ...string) {
+	ask := func(b *State, names ...string) {
 		for _, n := range names {
-			if err, ok := b.apply(t, Ask, Order{At: 1, Request: &Request{ID: n, Machine: n, Takes: 100}}).(error); ok {
+			if err, ok := b.apply(t, Submit, CommandData{At: 1, Request: &Request{ID: n, Machine: n, Duration: 100}}).(error); ok {
 				t.Fatalf("%s: %v", n, err)
 			}
 		}
@@ -396,47 +396,47 @@
 		why   string
 		peak  float64
 	}{
-		{Limits{Most: 1}, "amber-1", "birch-1", "most: 1 of 1", 0}, {Limits{PerClub: 1}, "amber-2", "amber-1", "per_club: 1 of 1 are out at amber", 0},
+		{Limits{MaxMachines: 1}, "amber-1", "birch-1", "most: 1 of 1", 0}, {Limits{PerClub: 1}, "amber-2", "amber-1", "per_club: 1 of 1 are out at amber", 0},
 		{Limits{PerZone: 1}, "amber-1", "birch-1", "per_zone: 1 of 1 are out in z1", 0}, {Limits{Boxes: 0.5}, "amber-2", "birch-2", "boxes: 2 of 6", 0},
 		{Limits{Gateways: 0.3}, "amber-1", "birch-1", "gateways: 1 of 4", 0}, {Limits{}, "amber-1", "amber-3", "gateways: the last ones of amber", 0},
 		{Limits{}, "amber-hub", "birch-hub", "hubs: the last ones", 0}, {Limits{Reserve: 0.5}, "amber-1", "amber-2", "reserve: what is left at amber carries 0", 5},
 	} {
 		b := newTestBook(t, c.l)
-		b.apply(t, SetPeak, Order{Club: "amber", Peak: c.peak})
+		b.apply(t, SetPeak, CommandData{Club: "amber", Peak: c.peak})
 		ask(b, c.first, c.then)
-		if r, ok := b.apply(t, Grant, Order{At: 2, Machine: c.first}).(error); ok {
+		if r, ok := b.apply(t, Grant, CommandData{At: 2, Machine: c.first}).(error); ok {
 			t.Fatalf("%s: %v", c.first, r)
 		}
-		if r, _ := b.apply(t, Grant, Order{At: 2, Machine: c.then}).(error); r == nil || !strings.Contains(r.Error(), c.why) {
+		if r, _ := b.apply(t, Grant, CommandData{At: 2, Machine: c.then}).(error); r == nil || !strings.Contains(r.Error(), c.why) {
 			t.Errorf("%+v: %s beside %s: %v, want %s", c.l, c.then, c.first, r, c.why)
 		}
 	}
-	b := newTestBook(t, Limits{Most: 2})
+	b := newTestBook(t, Limits{MaxMachines: 2})
 	ask(b, "amber-1", "birch-2")
-	b.apply(t, Grant, Order{At: 2, Machine: "amber-1"})
-	b.apply(t, Grant, Order{At: 2, Machine: "birch-2"})
-	b.apply(t, Drain, Order{At: 2, Machine: "amber-1", Token: 1})
+	b.apply(t, Grant, CommandData{At: 2, Machine: "amber-1"})
+	b.apply(t, Grant, CommandData{At: 2, Machine: "birch-2"})
+	b.apply(t, Drain, CommandData{At: 2, Machine: "amber-1", Token: 1})
 	b.SetGateway("g2birch", 3, false)
-	if b.Works["amber-1"].Stage != Draining || b.Works["birch-2"].Stage != Asked {
-		t.Errorf("after a loss: %v and %v", b.Works["amber-1"].Stage, b.Works["birch-2"].Stage)
+	if b.Windows["amber-1"].Stage != Draining || b.Windows["birch-2"].Stage != Queued {
+		t.Errorf("after a loss: %v and %v", b.Windows["amber-1"].Stage, b.Windows["birch-2"].Stage)
 	}
-	b.apply(t, Lost, Order{At: 3, Names: []string{"hbirch"}})
-	if b.Works["amber-1"].Stage != Asked || !strings.Contains(b.Works["amber-1"].Why, "a loss: most") {
-		t.Errorf("after two losses: %+v", b.Works["amber-1"])
+	b.apply(t, SetLost, CommandData{At: 3, Names: []string{"hbirch"}})
+	if b.Windows["amber-1"].Stage != Queued || !strings.Contains(b.Windows["amber-1"].Reason, "a loss: most") {
+		t.Errorf("after two losses: %+v", b.Windows["amber-1"])
 	}
 	b = newTestBook(t, Limits{})
-	b.apply(t, SetVoters, Order{Names: []string{"g1amber", "g1birch", "g2birch"}})
+	b.apply(t, SetVoters, CommandData{Names: []string{"g1amber", "g1birch", "g2birch"}})
 	ask(b, "amber-1")
-	b.apply(t, Grant, Order{At: 2, Machine: "amber-1"})
-	b.apply(t, Drain, Order{At: 2, Machine: "amber-1", Token: 1})
+	b.apply(t, Grant, CommandData{At: 2, Machine: "amber-1"})
+	b.apply(t, Drain, CommandData{At: 2, Machine: "amber-1", Token: 1})
 	for _, g := range []string{"g2amber", "g1birch", "g2birch"} {
-		b.apply(t, Ack, Order{At: 2, Machine: "amber-1", Token: 1, From: g})
+		b.apply(t, Ack, CommandData{At: 2, Machine: "amber-1", Token: 1, Gateway: g})
 	}
-	if r, _ := b.apply(t, Go, Order{At: 3, Machine: "amber-1", Token: 1}).(error); r == nil || !strings.Contains(r.Error(), "votes: 2 of 3") {
+	if r, _ := b.apply(t, Leave, CommandData{At: 3, Machine: "amber-1", Token: 1}).(error); r == nil || !strings.Contains(r.Error(), "votes: 2 of 3") {
 		t.Errorf("one of three voters left: %v", r)
 	}
-	b.apply(t, SetVoters, Order{Names: []string{"g2amber", "g1birch", "g2birch"}}) // another gateway took over its vote
-	if r, ok := b.apply(t, Go, Order{At: 3, Machine: "amber-1", Token: 1}).(error); ok {
+	b.apply(t, SetVoters, CommandData{Names: []string{"g2amber", "g1birch", "g2birch"}}) // another gateway took over its vote
+	if r, ok := b.apply(t, Leave, CommandData{At: 3, Machine: "amber-1", Token: 1}).(error); ok {
 		t.Errorf("refused although it no longer votes: %v", r)
 	}
 }
@@ -450,28 +450,28 @@
 	}{
 		{func(i *Inventory) { i.Machines[1].Name = "amber-1" }, `machine "amber-1": without a name, or there twice`},
 		{func(i *Inventory) { i.Machines[1].Boxes = []string{"e1amber"} }, `machine "amber-2": e1amber stands on "amber-1" as well`},
-		{func(i *Inventory) { i.Machines[0].Carries = -1 }, "carries: -1"}, {func(i *Inventory) { i.Limits.Most = 3 }, "says something else"},
+		{func(i *Inventory) { i.Machines[0].Capacity = -1 }, "carries: -1"}, {func(i *Inventory) { i.Limits.MaxMachines = 3 }, "says something else"},
 		{func(i *Inventory) { i.Version, i.Machines = 2, i.Machines[1:] }, "a machine that is not in is missing"}, {func(i *Inventory) { i.Version = 0 }, "says something else"},
 		{func(i *Inventory) { i.Version, i.Machines = 3, i.Machines[:7] }, ""}, {func(i *Inventory) {}, "says something else"},
 	} {
-		if b.Works["amber-1"] == nil {
-			b.apply(t, Ask, Order{Request: &Request{ID: "x", Machine: "amber-1", Takes: 5}})
-			b.apply(t, Grant, Order{Machine: "amber-1"})
+		if b.Windows["amber-1"] == nil {
+			b.apply(t, Submit, CommandData{Request: &Request{ID: "x", Machine: "amber-1", Duration: 5}})
+			b.apply(t, Grant, CommandData{Machine: "amber-1"})
 		}
 		i := testInventory(Limits{})
 		c.change(&i)
-		if r, _ := b.apply(t, Have, i).(error); (r == nil) != (c.want == "") || r != nil && !strings.Contains(r.Error(), c.want) {
+		if r, _ := b.apply(t, SetInventory, i).(error); (r == nil) != (c.want == "") || r != nil && !strings.Contains(r.Error(), c.want) {
 			t.Errorf("%v, want %q", r, c.want)
 		}
 	}
 }
 
 // largeFleet is a state with n machines in clubs of ten and a request for each of them.
-func largeFleet(n int) *Book {
+func largeFleet(n int) *State {
 	b, c := New(), chance.Source(5)
-	i := Inventory{Version: 1, Limits: Limits{Most: 12, PerClub: 1, Boxes: 0.2, Reserve: 0.1, Drain: 10_000, Warm: 60_000}}
+	i := Inventory{Version: 1, Limits: Limits{MaxMachines: 12, PerClub: 1, Boxes: 0.2, Reserve: 0.1, DrainTimeout: 10_000, WarmTimeout: 60_000}}
 	for x := range n {
-		m := Machine{Name: fmt.Sprintf("m%04d", x), Club: fmt.Sprint("club", x/10), Zone: fmt.Sprint("z", x%7), Carries: 5 + 10*c.Float64()}
+		m := Machine{Name: fmt.Sprintf("m%04d", x), Club: fmt.Sprint("club", x/10), Zone: fmt.Sprint("z", x%7), Capacity: 5 + 10*c.Float64()}
 		if x%3 == 0 {
 			m.Gateways = []string{fmt.Sprint("g", x)}
 		} else {
@@ -479,18 +479,18 @@
 		}
 		i.Machines = append(i.Machines, m)
 	}
-	b.Apply(1, Have, canon.Encode(i))
+	b.Apply(1, SetInventory, canon.Encode(i))
 	for x := range n / 10 {
 		for h := range 24 {
-			b.Apply(1, SetPeak, canon.Encode(Order{Club: fmt.Sprint("club", x), Hour: h, Peak: 40 + 20*c.Float64()}))
+			b.Apply(1, SetPeak, canon.Encode(CommandData{Club: fmt.Sprint("club", x), Hour: h, Peak: 40 + 20*c.Float64()}))
 		}
 	}
 	for x, m := range i.Machines {
-		r := Request{ID: m.Name, Machine: m.Name, Takes: 60_000 * (5 + 30*c.Float64())}
+		r := Request{ID: m.Name, Machine: m.Name, Duration: 60_000 * (5 + 30*c.Float64())}
 		if x%4 == 0 {
-			r.By = 24 * hourMillis * (0.02 + 0.15*c.Float64())
+			r.Deadline = 24 * hourMillis * (0.02 + 0.15*c.Float64())
 		}
-		b.Apply(uint64(x), Ask, canon.Encode(Order{At: 1, Request: &r}))
+		b.Apply(uint64(x), Submit, canon.Encode(CommandData{At: 1, Request: &r}))
 	}
 	return b
 }
@@ -520,8 +520,8 @@
 		if all > 12 || clubs[b.Machine(s.Machine).Club] > 1 && !s.Never {
 			t.Errorf("when %s leaves, %d are out, %d of its club", s.Machine, all, clubs[b.Machine(s.Machine).Club])
 		}
-		if s.Late {
-			if late++; s.Limit == "" {
+		if s.MissesDeadline {
+			if late++; s.BlockedBy == "" {
 				t.Errorf("%+v is late without a reason", s)
 			}
 		}
@@ -530,15 +530,15 @@
 		t.Errorf("%d of 50 deadlines are missed", late)
 	}
 	// A request whose deadline can be met precedes one that misses it, which precedes one without a deadline.
-	b = newTestBook(t, Limits{Most: 1, Drain: 10, Warm: 10})
-	for i, r := range []Request{{ID: "none", Machine: "amber-2", Takes: 100}, {ID: "late", Machine: "birch-2", Takes: 200, By: 205}, {ID: "soon", Machine: "amber-1", Takes: 100, By: 300}} {
-		if err, ok := b.Apply(uint64(i+1), Ask, canon.Encode(Order{At: 1, Request: &r})).(error); ok {
+	b = newTestBook(t, Limits{MaxMachines: 1, DrainTimeout: 10, WarmTimeout: 10})
+	for i, r := range []Request{{ID: "none", Machine: "amber-2", Duration: 100}, {ID: "late", Machine: "birch-2", Duration: 200, Deadline: 205}, {ID: "soon", Machine: "amber-1", Duration: 100, Deadline: 300}} {
+		if err, ok := b.Apply(uint64(i+1), Submit, canon.Encode(CommandData{At: 1, Request: &r})).(error); ok {
 			t.Fatal(err)
 		}
 	}
 	order := ""
 	for _, s := range b.Plan() {
-		order += fmt.Sprint(s.ID, " ", s.Late, "; ")
+		order += fmt.Sprint(s.ID, " ", s.MissesDeadline, "; ")
 	}
 	if order != "soon false; late true; none false; " {
 		t.Errorf("planned as %s", order)
@@ -547,11 +547,11 @@
 
 // A machine that should be back and is not still counts as out in the plan, so the plan starts nothing now that the log would refuse.
 func TestPlanWaitsForLateMachines(t *testing.T) {
-	b := newTestBook(t, Limits{Most: 1, Drain: 10, Warm: 10})
+	b := newTestBook(t, Limits{MaxMachines: 1, DrainTimeout: 10, WarmTimeout: 10})
 	for _, m := range []string{"amber-1", "birch-1"} {
-		b.apply(t, Ask, Order{At: 1, Request: &Request{ID: m, Machine: m, Takes: 100}})
+		b.apply(t, Submit, CommandData{At: 1, Request: &Request{ID: m, Machine: m, Duration: 100}})
 	}
-	b.apply(t, Grant, Order{At: 2, Machine: "amber-1"})
+	b.apply(t, Grant, CommandData{At: 2, Machine: "amber-1"})
 	b.Now = 50_000
 	for _, s := range b.Plan() {
 		if s.Start <= b.Now {
@@ -578,14 +578,14 @@
 	c := chance.Source(11)
 	worst, sum, n := 0.0, 0.0, 0
 	for range 60 {
-		b := newTestBook(t, Limits{Most: 2, PerClub: 1, PerZone: 1, Warm: 10})
-		var works []*Work
+		b := newTestBook(t, Limits{MaxMachines: 2, PerClub: 1, PerZone: 1, WarmTimeout: 10})
+		var works []*Window
 		for i, m := range b.Inventory.Machines[:6] {
-			r := Request{ID: m.Name, Machine: m.Name, Takes: 20 + float64(int(100*c.Float64()))}
-			if err, ok := b.Apply(uint64(i+1), Ask, canon.Encode(Order{At: 1, Request: &r})).(error); ok {
+			r := Request{ID: m.Name, Machine: m.Name, Duration: 20 + float64(int(100*c.Float64()))}
+			if err, ok := b.Apply(uint64(i+1), Submit, canon.Encode(CommandData{At: 1, Request: &r})).(error); ok {
 				t.Fatal(err)
 			}
-			works = append(works, b.Works[m.Name])
+			works = append(works, b.Windows[m.Name])
 		}
 		end := 0.0
 		for _, s := range b.Plan() {
@@ -616,7 +616,7 @@
 }
 
 // greedyEnd returns the time at which all machines are back, if each leaves as soon as the limits allow, in the given order.
-func greedyEnd(b *Book, works []*Work) float64 {
+func greedyEnd(b *State, works []*Window) float64 {
 	type absence struct {
 		m   *Machine
 		end float64
@@ -625,14 +625,14 @@
 	var out []absence
 	wait, now, end := slices.Clone(works), b.Now, 0.0
 	for len(wait) > 0 {
-		wait = slices.DeleteFunc(wait, func(w *Work) bool {
+		wait = slices.DeleteFunc(wait, func(w *Window) bool {
 			m := b.Machine(w.Request.Machine)
 			if counts.blockedBy(m, now, now) != "" {
 				return false
 			}
 			counts.add(m, counts.place(m), 1)
-			out = append(out, absence{m, now + w.Request.Takes + b.Inventory.Limits.Warm})
-			end = max(end, now+w.Request.Takes+b.Inventory.Limits.Warm)
+			out = append(out, absence{m, now + w.Request.Duration + b.Inventory.Limits.WarmTimeout})
+			end = max(end, now+w.Request.Duration+b.Inventory.Limits.WarmTimeout)
 			return true
 		})
 		next := 1e18
--- a/internal/maintenance/measure_test.go
+++ b/internal/maintenance/measure_test.go
@@ -12,15 +12,15 @@
 	l := Limits{WarmShare: 0.8}
 	for _, c := range []struct {
 		name, machine string
-		boxes         map[string]Held
+		boxes         map[string]PullCounts
 		want          bool
 	}{
-		{"like its peers", "amber-1", map[string]Held{"e1amber": {40, 30}, "e2amber": {40, 30}, "e3amber": {40, 32}}, true},
-		{"just enough", "amber-1", map[string]Held{"e1amber": {100, 64}, "e2amber": {100, 80}}, true},
-		{"not yet", "amber-1", map[string]Held{"e1amber": {100, 63}, "e2amber": {100, 80}}, false},
-		{"too few pulls", "amber-1", map[string]Held{"e1amber": {19, 19}, "e2amber": {100, 80}}, false},
-		{"too few pulls of its peers", "amber-1", map[string]Held{"e1amber": {100, 90}, "e2amber": {9, 9}, "e1birch": {100, 80}}, false},
-		{"one of two is cold", "amber-2", map[string]Held{"e1amber": {100, 80}, "e2amber": {100, 90}, "e3amber": {100, 20}}, false},
+		{"like its peers", "amber-1", map[string]PullCounts{"e1amber": {40, 30}, "e2amber": {40, 30}, "e3amber": {40, 32}}, true},
+		{"just enough", "amber-1", map[string]PullCounts{"e1amber": {100, 64}, "e2amber": {100, 80}}, true},
+		{"not yet", "amber-1", map[string]PullCounts{"e1amber": {100, 63}, "e2amber": {100, 80}}, false},
+		{"too few pulls", "amber-1", map[string]PullCounts{"e1amber": {19, 19}, "e2amber": {100, 80}}, false},
+		{"too few pulls of its peers", "amber-1", map[string]PullCounts{"e1amber": {100, 90}, "e2amber": {9, 9}, "e1birch": {100, 80}}, false},
+		{"one of two is cold", "amber-2", map[string]PullCounts{"e1amber": {100, 80}, "e2amber": {100, 90}, "e3amber": {100, 20}}, false},
 		{"a machine with a hub", "amber-hub", nil, false},
 		{"only a gateway", "amber-3", nil, true},
 	} {
@@ -31,7 +31,7 @@
 	}
 	b := newTestBook(t, l)
 	b.Lost["e2amber"] = true // a peer is lost
-	if b.IsWarm(b.Machine("amber-1"), Load{Boxes: map[string]Held{"e1amber": {40, 30}, "e2amber": {40, 30}, "e3amber": {40, 30}}}) {
+	if b.IsWarm(b.Machine("amber-1"), Load{Boxes: map[string]PullCounts{"e1amber": {40, 30}, "e2amber": {40, 30}, "e3amber": {40, 30}}}) {
 		t.Error("compared with a lost edge cache")
 	}
 	b.Inventory.Limits.WarmShare = 0
@@ -43,11 +43,11 @@
 // A returned machine is back in service once more than half of its club's live gateways report it warm under its current grant, but not
 // while part of it is lost.
 func TestWarmByMajority(t *testing.T) {
-	b := newTestBook(t, Limits{Most: 1, Begin: 1000, Drain: 500, Warm: 60_000, Overdue: 2, Grace: 100, MissingAck: ProceedWithoutAck})
+	b := newTestBook(t, Limits{MaxMachines: 1, BeginTimeout: 1000, DrainTimeout: 500, WarmTimeout: 60_000, Overdue: 2, Grace: 100, MissingAck: ProceedWithoutAck})
 	send := func(at float64, kind, from string, token uint64) any {
-		return b.apply(t, kind, Order{At: at, Machine: "amber-2", From: from, Token: token})
+		return b.apply(t, kind, CommandData{At: at, Machine: "amber-2", Gateway: from, Token: token})
 	}
-	b.apply(t, Ask, Order{At: 10, Request: &Request{ID: "a", Machine: "amber-2", Takes: 1000}})
+	b.apply(t, Submit, CommandData{At: 10, Request: &Request{ID: "a", Machine: "amber-2", Duration: 1000}})
 	for i, kind := range []string{Grant, Drain} {
 		send(float64(20+i), kind, "", 1)
 	}
@@ -57,8 +57,8 @@
 	if r := send(35, ReportWarm, "g1amber", 1); r != ErrWrongStage {
 		t.Errorf("reported warm before it left: %v", r)
 	}
-	send(40, Go, "", 1)
-	send(50, Back, "", 1)
+	send(40, Leave, "", 1)
+	send(50, Return, "", 1)
 	for i, c := range []struct {
 		kind, from string
 		token      uint64
@@ -77,31 +77,31 @@
 			t.Fatalf("%d: %s by %s: %v, want %v", i, c.kind, c.from, r, c.want)
 		}
 	}
-	b.apply(t, Lost, Order{At: 70, Names: []string{"e3amber"}})
+	b.apply(t, SetLost, CommandData{At: 70, Names: []string{"e3amber"}})
 	if r := send(70, FinishWarming, "", 0); r != ErrNotWarm {
 		t.Errorf("back in service with a lost edge cache: %v", r)
 	}
-	b.apply(t, Lost, Order{At: 70})
-	if send(80, FinishWarming, "", 0); b.Works["amber-2"] != nil || len(b.Ended) != 1 {
-		t.Errorf("not back in service: %+v, %+v", b.Works["amber-2"], b.Ended)
+	b.apply(t, SetLost, CommandData{At: 70})
+	if send(80, FinishWarming, "", 0); b.Windows["amber-2"] != nil || len(b.Ended) != 1 {
+		t.Errorf("not back in service: %+v, %+v", b.Windows["amber-2"], b.Ended)
 	}
 }
 
 // A gateway that restarts while a machine drains must acknowledge again: the acknowledgement of its previous process does not count.
 func TestRestartedGatewayMustAckAgain(t *testing.T) {
-	b := newTestBook(t, Limits{Most: 1, Begin: 1000, Drain: 500, Warm: 300, Overdue: 2, Grace: 100})
-	b.apply(t, Ask, Order{At: 10, Request: &Request{ID: "a", Machine: "amber-1", Takes: 1000}})
-	b.apply(t, Grant, Order{At: 20, Machine: "amber-1"})
-	b.apply(t, Drain, Order{At: 30, Machine: "amber-1", Token: 1})
+	b := newTestBook(t, Limits{MaxMachines: 1, BeginTimeout: 1000, DrainTimeout: 500, WarmTimeout: 300, Overdue: 2, Grace: 100})
+	b.apply(t, Submit, CommandData{At: 10, Request: &Request{ID: "a", Machine: "amber-1", Duration: 1000}})
+	b.apply(t, Grant, CommandData{At: 20, Machine: "amber-1"})
+	b.apply(t, Drain, CommandData{At: 30, Machine: "amber-1", Token: 1})
 	for _, g := range []string{"g2amber", "g1birch", "g2birch"} {
-		b.apply(t, Ack, Order{At: 40, Machine: "amber-1", Token: 1, From: g})
+		b.apply(t, Ack, CommandData{At: 40, Machine: "amber-1", Token: 1, Gateway: g})
 	}
 	b.SetGateway("g1birch", 99, true)
-	if r := b.apply(t, Go, Order{At: 50, Machine: "amber-1", Token: 1}); r != ErrWaits {
+	if r := b.apply(t, Leave, CommandData{At: 50, Machine: "amber-1", Token: 1}); r != ErrPendingAcks {
 		t.Errorf("left without the new acknowledgement: %v", r)
 	}
-	b.apply(t, Ack, Order{At: 60, Machine: "amber-1", Token: 1, From: "g1birch"})
-	if w, _ := b.apply(t, Go, Order{At: 70, Machine: "amber-1", Token: 1}).(Work); w.Stage != Out {
+	b.apply(t, Ack, CommandData{At: 60, Machine: "amber-1", Token: 1, Gateway: "g1birch"})
+	if w, _ := b.apply(t, Leave, CommandData{At: 70, Machine: "amber-1", Token: 1}).(Window); w.Stage != OutOfService {
 		t.Errorf("did not leave: %+v", w)
 	}
 }
@@ -145,7 +145,7 @@
 	if got := b.MeasuredPeaks["g1amber"][10]; got != known {
 		t.Errorf("ten minutes of low load replaced %v: %v", known, got)
 	}
-	if r := b.apply(t, ReportPeak, Order{From: "nobody", Peak: 1}); r != ErrMalformed {
+	if r := b.apply(t, ReportPeak, CommandData{Gateway: "nobody", Peak: 1}); r != ErrMalformed {
 		t.Errorf("from an unknown gateway: %v", r)
 	}
 	// The machines of amber have capacities of 10 and 20; with a reserve of one half the first may leave where the peak is at most 13.3.
@@ -157,11 +157,11 @@
 	if reason := b.countOutages().blockedBy(b.Machine("amber-1"), b.Now, b.Now+1000); reason == "" {
 		t.Error("may leave at the peak")
 	}
-	b.apply(t, SetPeak, Order{Club: "amber", Hour: 5, Peak: 3})
+	b.apply(t, SetPeak, CommandData{Club: "amber", Hour: 5, Peak: 3})
 	if reason := b.countOutages().blockedBy(b.Machine("amber-1"), b.Now, b.Now+1000); reason != "" {
 		t.Errorf("refused although an operator set a lower peak: %s", reason)
 	}
-	b.apply(t, SetPeak, Order{Club: "amber", Hour: 5})
+	b.apply(t, SetPeak, CommandData{Club: "amber", Hour: 5})
 	if reason := b.countOutages().blockedBy(b.Machine("amber-1"), b.Now, b.Now+1000); reason == "" {
 		t.Error("may leave at the peak after the operator's value was removed")
 	}
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -8,21 +8,21 @@
 
 // Slot is a machine's planned maintenance window: when it is expected to leave and to be back in service.
 type Slot struct {
-	Machine string  `json:"machine"`
-	ID      string  `json:"id"`
-	Start   float64 `json:"start"`
-	End     float64 `json:"end"`
-	By      float64 `json:"by,omitempty"`
-	Late    bool    `json:"late,omitempty"`  // it misses its deadline
-	Limit   string  `json:"limit,omitempty"` // what kept it from leaving earlier: the last limit, or the first if it has no deadline
-	Never   bool    `json:"never,omitempty"` // under the current limits it never leaves
+	Machine        string  `json:"machine"`
+	ID             string  `json:"id"`
+	Start          float64 `json:"start"`
+	End            float64 `json:"end"`
+	Deadline       float64 `json:"by,omitempty"`
+	MissesDeadline bool    `json:"late,omitempty"`  // it misses its deadline
+	BlockedBy      string  `json:"limit,omitempty"` // what kept it from leaving earlier: the last limit, or the first if it has no deadline
+	Never          bool    `json:"never,omitempty"` // under the current limits it never leaves
 }
 
 // Plan computes the whole schedule from the replicated state alone, so every gateway computes the same one. It is greedy: among queued
 // machines, those whose deadline can be met come first, ordered by deadline; then those that miss it; then those without one. Ties go
 // to the machine with the smallest share of its club's capacity, then to the earliest request. Every machine that the limits allow
 // beside the current outages leaves at once.
-func (b *Book) Plan() []Slot {
+func (b *State) Plan() []Slot {
 	counts, l, now := b.countOutages(), b.Inventory.Limits, b.Now
 	type activeOutage struct {
 		m   *Machine
@@ -30,7 +30,7 @@
 		end float64
 	}
 	type queuedMachine struct {
-		w             *Work
+		w             *Window
 		m             *Machine
 		at            placement
 		capacityShare float64 // of its club's remaining capacity
@@ -47,34 +47,34 @@
 	expectedEnd := func(end float64) float64 { return max(end, b.Now+1000) }
 	var out []activeOutage
 	var queue []*queuedMachine
-	for name, w := range b.Works {
+	for name, w := range b.Windows {
 		m := machines[name]
 		if m == nil {
 			continue
 		}
 		at := counts.place(m)
 		switch {
-		case w.Stage == Asked:
-			queue = append(queue, &queuedMachine{w: w, m: m, at: at, capacityShare: m.Carries / max(1e-9, counts.capacity[at.club]), duration: l.Drain + w.Request.Takes + l.Warm, degraded: b.isDegraded(m)})
+		case w.Stage == Queued:
+			queue = append(queue, &queuedMachine{w: w, m: m, at: at, capacityShare: m.Capacity / max(1e-9, counts.capacity[at.club]), duration: l.DrainTimeout + w.Request.Duration + l.WarmTimeout, degraded: b.isDegraded(m)})
 		case w.Stage == Overdue || b.isDegraded(m): // its return time is unknown
 		case w.Stage == Warming:
-			out = append(out, activeOutage{m, at, expectedEnd(w.Since + l.Warm)})
-		case w.Stage == Out:
-			out = append(out, activeOutage{m, at, expectedEnd(w.Since + w.Request.Takes + l.Warm)})
+			out = append(out, activeOutage{m, at, expectedEnd(w.Since + l.WarmTimeout)})
+		case w.Stage == OutOfService:
+			out = append(out, activeOutage{m, at, expectedEnd(w.Since + w.Request.Duration + l.WarmTimeout)})
 		default:
-			out = append(out, activeOutage{m, at, expectedEnd(w.Since + l.Drain + w.Request.Takes + l.Warm)})
+			out = append(out, activeOutage{m, at, expectedEnd(w.Since + l.DrainTimeout + w.Request.Duration + l.WarmTimeout)})
 		}
 	}
 	slices.SortFunc(queue, func(x, y *queuedMachine) int {
-		deadlineX, deadlineY := cmp.Or(x.w.Request.By, math.Inf(1)), cmp.Or(y.w.Request.By, math.Inf(1))
+		deadlineX, deadlineY := cmp.Or(x.w.Request.Deadline, math.Inf(1)), cmp.Or(y.w.Request.Deadline, math.Inf(1))
 		return cmp.Or(cmp.Compare(deadlineX, deadlineY), cmp.Compare(x.capacityShare, y.capacityShare), cmp.Compare(x.w.RequestIndex, y.w.RequestIndex), cmp.Compare(x.m.Name, y.m.Name))
 	})
 	// A request whose deadline can be met precedes one that misses it, which precedes one without a deadline.
-	rank := func(w *Work) int {
+	rank := func(w *Window) int {
 		switch r := &w.Request; {
-		case r.By == 0:
+		case r.Deadline == 0:
 			return 2
-		case max(now, r.NotBefore)+l.Drain+r.Takes > r.By:
+		case max(now, r.NotBefore)+l.DrainTimeout+r.Duration > r.Deadline:
 			return 1
 		}
 		return 0
@@ -102,7 +102,7 @@
 					q.limit = counts.firstLimit(q.m, q.at, peak)
 				}
 				if q.limit != noLimit {
-					if q.blockedBy == "" || q.w.Request.By > 0 {
+					if q.blockedBy == "" || q.w.Request.Deadline > 0 {
 						q.blockedBy = counts.describe(q.limit, q.m, q.at, peak)
 					}
 					continue
@@ -114,7 +114,7 @@
 				counts.add(q.m, q.at, 1)
 				granted[q] = true
 				out = append(out, activeOutage{q.m, q.at, now + q.duration})
-				slots = append(slots, Slot{Machine: q.m.Name, ID: q.w.Request.ID, Start: now, End: now + q.duration, By: q.w.Request.By, Late: late, Limit: q.blockedBy})
+				slots = append(slots, Slot{Machine: q.m.Name, ID: q.w.Request.ID, Start: now, End: now + q.duration, Deadline: q.w.Request.Deadline, MissesDeadline: late, BlockedBy: q.blockedBy})
 			}
 		}
 		queue = slices.DeleteFunc(queue, func(q *queuedMachine) bool { return granted[q] })
@@ -126,7 +126,7 @@
 		}
 		if len(queue) > 0 && (math.IsInf(next, 1) || next > b.Now+400*24*hourMillis) {
 			for _, q := range queue {
-				slots = append(slots, Slot{Machine: q.m.Name, ID: q.w.Request.ID, By: q.w.Request.By, Late: q.w.Request.By > 0, Limit: q.blockedBy, Never: true})
+				slots = append(slots, Slot{Machine: q.m.Name, ID: q.w.Request.ID, Deadline: q.w.Request.Deadline, MissesDeadline: q.w.Request.Deadline > 0, BlockedBy: q.blockedBy, Never: true})
 			}
 			break
 		}
--- a/internal/maintenance/report.go
+++ b/internal/maintenance/report.go
@@ -6,14 +6,14 @@
 )
 
 // Degraded tells whether part of a machine is lost, or drained in the node list.
-func (b *Book) Degraded(name string) bool {
+func (b *State) Degraded(name string) bool {
 	m := b.Machine(name)
 	return m != nil && b.isDegraded(m)
 }
 
 // InventoryMismatches lists members that are on no machine of the inventory, and gateways of the inventory that never announced
 // themselves.
-func (b *Book) InventoryMismatches() (mismatches []string) {
+func (b *State) InventoryMismatches() (mismatches []string) {
 	known := map[string]bool{}
 	for _, m := range b.Inventory.Machines {
 		for _, g := range m.Gateways {
@@ -31,10 +31,10 @@
 }
 
 // LimitUsage returns, for each configured limit, how much of it is used and its size.
-func (b *Book) LimitUsage() map[string][2]float64 {
+func (b *State) LimitUsage() map[string][2]float64 {
 	counts, l, usage := b.countOutages(), b.Inventory.Limits, map[string][2]float64{}
-	if l.Most > 0 {
-		usage["most"] = [2]float64{float64(counts.machinesOut), float64(l.Most)}
+	if l.MaxMachines > 0 {
+		usage["most"] = [2]float64{float64(counts.machinesOut), float64(l.MaxMachines)}
 	}
 	for key, i := range counts.index {
 		switch {
@@ -59,9 +59,9 @@
 }
 
 // LeavingGateways returns the gateways on machines that are about to leave or are out for maintenance.
-func (b *Book) LeavingGateways() (gateways []string) {
-	for _, name := range slices.Sorted(maps.Keys(b.Works)) {
-		if m := b.Machine(name); m != nil && b.Works[name].Stage >= Granted && b.Works[name].Stage != Warming {
+func (b *State) LeavingGateways() (gateways []string) {
+	for _, name := range slices.Sorted(maps.Keys(b.Windows)) {
+		if m := b.Machine(name); m != nil && b.Windows[name].Stage >= Granted && b.Windows[name].Stage != Warming {
 			gateways = append(gateways, m.Gateways...)
 		}
 	}
--- a/internal/maintenance/simulation_test.go
+++ b/internal/maintenance/simulation_test.go
@@ -15,7 +15,7 @@
 // the state machine decides everything else.
 type simulation struct {
 	t              *testing.T
-	b              *Book
+	b              *State
 	random         chance.Source
 	now            float64
 	returnAt       map[string]float64            // by machine that is out
@@ -26,7 +26,7 @@
 }
 
 // apply applies a command at the current time.
-func (sim *simulation) apply(kind string, o Order) any {
+func (sim *simulation) apply(kind string, o CommandData) any {
 	o.At = sim.now
 	return sim.b.Apply(uint64(sim.now), kind, canon.Encode(o))
 }
@@ -41,23 +41,23 @@
 			if until, lost := sim.lostUntil[m.Name]; lost && sim.now >= until {
 				delete(sim.lostUntil, m.Name)
 				sim.lose(m, false)
-			} else if !lost && sim.b.Works[m.Name] == nil && sim.random.Float64() < 0.01/3600 {
+			} else if !lost && sim.b.Windows[m.Name] == nil && sim.random.Float64() < 0.01/3600 {
 				sim.lostUntil[m.Name] = sim.now + 60_000*(2+6*sim.random.Float64())
 				sim.lose(m, true)
 			}
 		}
 		if int(sim.now/1000)%5 == 0 {
-			sim.apply(Tick, Order{})
+			sim.apply(Tick, CommandData{})
 		}
 		for _, m := range sim.b.Inventory.Machines {
-			w := sim.b.Works[m.Name]
+			w := sim.b.Windows[m.Name]
 			if w == nil {
 				continue
 			}
 			open++
 			switch w.Stage {
 			case Granted:
-				sim.apply(Drain, Order{Machine: m.Name, Token: w.Token})
+				sim.apply(Drain, CommandData{Machine: m.Name, Token: w.Token})
 				sim.ackAt[m.Name] = map[string]float64{}
 				for _, g := range sim.b.Inventory.Machines {
 					for _, name := range g.Gateways {
@@ -67,15 +67,15 @@
 			case Draining:
 				for _, name := range sim.b.PendingAcks(w, sim.b.Machine(m.Name)) {
 					if sim.now >= sim.ackAt[m.Name][name] && sim.b.Gateways[name].Live {
-						sim.apply(Ack, Order{Machine: m.Name, Token: w.Token, From: name})
+						sim.apply(Ack, CommandData{Machine: m.Name, Token: w.Token, Gateway: name})
 					}
 				}
-				if r, ok := sim.apply(Go, Order{Machine: m.Name, Token: w.Token}).(Work); ok && r.Stage == Out {
-					sim.returnAt[m.Name] = sim.now + w.Request.Takes
+				if r, ok := sim.apply(Leave, CommandData{Machine: m.Name, Token: w.Token}).(Window); ok && r.Stage == OutOfService {
+					sim.returnAt[m.Name] = sim.now + w.Request.Duration
 				}
-			case Out, Overdue:
+			case OutOfService, Overdue:
 				if sim.now >= sim.returnAt[m.Name] {
-					sim.apply(Back, Order{Machine: m.Name, Token: w.Token})
+					sim.apply(Return, CommandData{Machine: m.Name, Token: w.Token})
 				}
 			}
 		}
@@ -85,7 +85,7 @@
 		if state := fmt.Sprint(len(sim.lostUntil), stagesOf(sim.b)); state != lastState {
 			lastState = state
 			for _, name := range policy(sim) {
-				sim.apply(Grant, Order{Machine: name})
+				sim.apply(Grant, CommandData{Machine: name})
 			}
 		}
 		out, irrevocable := countOut(sim.b)
@@ -114,13 +114,13 @@
 		names = append(names, m.Boxes...)
 	}
 	slices.Sort(names)
-	sim.apply(Lost, Order{Names: names})
+	sim.apply(SetLost, CommandData{Names: names})
 }
 
 // stagesOf returns the stages of all machines with an open request.
-func stagesOf(b *Book) (all []string) {
+func stagesOf(b *State) (all []string) {
 	for _, m := range b.Inventory.Machines {
-		if w := b.Works[m.Name]; w != nil {
+		if w := b.Windows[m.Name]; w != nil {
 			all = append(all, w.Stage.String())
 		}
 	}
@@ -130,17 +130,17 @@
 // newSimulation returns a simulation, and the least time that the limits allow for its requests.
 func newSimulation(t *testing.T, seed uint64) (*simulation, float64) {
 	sim := &simulation{t: t, b: New(), random: chance.Source(seed), now: 1000, returnAt: map[string]float64{}, ackAt: map[string]map[string]float64{}, lostUntil: map[string]float64{}}
-	i := Inventory{Version: 1, Limits: Limits{Most: 6, PerClub: 1, PerZone: 3, Reserve: 0.1, Begin: 60_000, Drain: 30_000, Warm: 60_000, Overdue: 2, Grace: 1000}}
+	i := Inventory{Version: 1, Limits: Limits{MaxMachines: 6, PerClub: 1, PerZone: 3, Reserve: 0.1, BeginTimeout: 60_000, DrainTimeout: 30_000, WarmTimeout: 60_000, Overdue: 2, Grace: 1000}}
 	for x := range 500 {
 		m := Machine{Name: fmt.Sprintf("m%03d", x), Club: fmt.Sprint("club-", x%30), Zone: fmt.Sprint("z", x%5)}
 		if x < 300 {
 			m.Gateways = []string{fmt.Sprintf("g%03d", x)}
 		} else {
-			m.Boxes, m.Carries = []string{fmt.Sprintf("e%03d", x)}, 8+4*sim.random.Float64()
+			m.Boxes, m.Capacity = []string{fmt.Sprintf("e%03d", x)}, 8+4*sim.random.Float64()
 		}
 		i.Machines = append(i.Machines, m)
 	}
-	if r := sim.b.Apply(1, Have, canon.Encode(i)); r != nil {
+	if r := sim.b.Apply(1, SetInventory, canon.Encode(i)); r != nil {
 		t.Fatal(r)
 	}
 	for x := range 300 {
@@ -149,17 +149,17 @@
 	clubs, sum := map[string]float64{}, 0.0
 	for range 60 {
 		m := i.Machines[int(500*sim.random.Float64())]
-		r := Request{ID: m.Name, Machine: m.Name, Takes: 60_000 * (10 + 20*sim.random.Float64())}
-		if err, ok := sim.apply(Ask, Order{Request: &r}).(error); ok {
+		r := Request{ID: m.Name, Machine: m.Name, Duration: 60_000 * (10 + 20*sim.random.Float64())}
+		if err, ok := sim.apply(Submit, CommandData{Request: &r}).(error); ok {
 			t.Fatal(err)
 		}
 		if clubs[m.Club+m.Name] == 0 {
-			clubs[m.Club+m.Name] = r.Takes
-			clubs[m.Club] += r.Takes + i.Limits.Warm
-			sum += r.Takes + i.Limits.Warm
+			clubs[m.Club+m.Name] = r.Duration
+			clubs[m.Club] += r.Duration + i.Limits.WarmTimeout
+			sum += r.Duration + i.Limits.WarmTimeout
 		}
 	}
-	bound := sum / float64(i.Limits.Most)
+	bound := sum / float64(i.Limits.MaxMachines)
 	for _, x := range clubs {
 		bound = max(bound, x)
 	}
@@ -183,7 +183,7 @@
 		}},
 		{"one at a time", func(sim *simulation) (all []string) {
 			for _, m := range sim.b.Inventory.Machines {
-				if w := sim.b.Works[m.Name]; w != nil && w.Stage != Asked {
+				if w := sim.b.Windows[m.Name]; w != nil && w.Stage != Queued {
 					return nil
 				} else if w != nil && all == nil {
 					all = []string{m.Name}
@@ -193,7 +193,7 @@
 		}},
 		{"random", func(sim *simulation) (all []string) {
 			for _, m := range sim.b.Inventory.Machines {
-				if w := sim.b.Works[m.Name]; w != nil && w.Stage == Asked {
+				if w := sim.b.Windows[m.Name]; w != nil && w.Stage == Queued {
 					all = append(all, m.Name)
 				}
 			}
@@ -213,7 +213,7 @@
 		}
 		done := 0
 		for _, e := range sim.b.Ended {
-			if e.What == "done" {
+			if e.Outcome == "done" {
 				done++
 			}
 		}
--- a/internal/maintenance/types.go
+++ b/internal/maintenance/types.go
@@ -18,24 +18,24 @@
 	Gateways []string `cbor:"4,keyasint,omitempty" json:"gateways,omitempty"`
 	Boxes    []string `cbor:"5,keyasint,omitempty" json:"boxes,omitempty"`
 	Hubs     []string `cbor:"6,keyasint,omitempty" json:"hubs,omitempty"`
-	Carries  float64  `cbor:"7,keyasint" json:"carries"` // its capacity, in the unit of the club's peak load
+	Capacity float64  `cbor:"7,keyasint" json:"carries"` // its capacity, in the unit of the club's peak load
 }
 
 // Limits bound concurrent outages. Machines in maintenance, lost, draining or warming up all count as out.
 type Limits struct {
-	Most       int              `cbor:"1,keyasint" json:"most"`      // machines in total; 0 means no limit, here and in the fields below
-	PerClub    int              `cbor:"2,keyasint" json:"per_club"`  // machines per club
-	PerZone    int              `cbor:"3,keyasint" json:"per_zone"`  // machines per zone
-	Gateways   float64          `cbor:"4,keyasint" json:"gateways"`  // share of all gateways
-	Boxes      float64          `cbor:"5,keyasint" json:"boxes"`     // share of all edge caches
-	Hubs       float64          `cbor:"6,keyasint" json:"hubs"`      // share of all hubs
-	Reserve    float64          `cbor:"7,keyasint" json:"reserve"`   // spare capacity a club must keep beyond its peak load, as a share of that peak
-	Begin      float64          `cbor:"8,keyasint" json:"begin_ms"`  // a granted machine that does not start to drain within this time loses its grant
-	Drain      float64          `cbor:"9,keyasint" json:"drain_ms"`  // time within which all live gateways have to acknowledge the drain
-	MissingAck MissingAckPolicy `cbor:"10,keyasint" json:"silent"`   // what happens when an acknowledgement is missing after that
-	Warm       float64          `cbor:"11,keyasint" json:"warm_ms"`  // a returned machine counts as warm after this time at the latest
-	Overdue    float64          `cbor:"12,keyasint" json:"overdue"`  // multiple of the requested duration after which a machine is overdue
-	Grace      float64          `cbor:"13,keyasint" json:"grace_ms"` // time after the loss of a gateway until none of its requests can be in flight
+	MaxMachines  int              `cbor:"1,keyasint" json:"most"`      // machines in total; 0 means no limit, here and in the fields below
+	PerClub      int              `cbor:"2,keyasint" json:"per_club"`  // machines per club
+	PerZone      int              `cbor:"3,keyasint" json:"per_zone"`  // machines per zone
+	Gateways     float64          `cbor:"4,keyasint" json:"gateways"`  // share of all gateways
+	Boxes        float64          `cbor:"5,keyasint" json:"boxes"`     // share of all edge caches
+	Hubs         float64          `cbor:"6,keyasint" json:"hubs"`      // share of all hubs
+	Reserve      float64          `cbor:"7,keyasint" json:"reserve"`   // spare capacity a club must keep beyond its peak load, as a share of that peak
+	BeginTimeout float64          `cbor:"8,keyasint" json:"begin_ms"`  // a granted machine that does not start to drain within this time loses its grant
+	DrainTimeout float64          `cbor:"9,keyasint" json:"drain_ms"`  // time within which all live gateways have to acknowledge the drain
+	MissingAck   MissingAckPolicy `cbor:"10,keyasint" json:"silent"`   // what happens when an acknowledgement is missing after that
+	WarmTimeout  float64          `cbor:"11,keyasint" json:"warm_ms"`  // a returned machine counts as warm after this time at the latest
+	Overdue      float64          `cbor:"12,keyasint" json:"overdue"`  // multiple of the requested duration after which a machine is overdue
+	Grace        float64          `cbor:"13,keyasint" json:"grace_ms"` // time after the loss of a gateway until none of its requests can be in flight
 	// Share of its club's hit ratio that a returned edge cache has to reach to count as warm; 0: only the time limit decides.
 	WarmShare float64 `cbor:"14,keyasint" json:"warm_share"`
 }
@@ -61,10 +61,10 @@
 type Request struct {
 	ID        string  `cbor:"1,keyasint" json:"id"`
 	Machine   string  `cbor:"2,keyasint" json:"machine"`
-	Takes     float64 `cbor:"3,keyasint" json:"takes_ms"`
+	Duration  float64 `cbor:"3,keyasint" json:"takes_ms"`
 	NotBefore float64 `cbor:"4,keyasint,omitempty" json:"not_before,omitempty"`
-	By        float64 `cbor:"5,keyasint,omitempty" json:"by,omitempty"` // 0: no deadline
-	Why       string  `cbor:"6,keyasint,omitempty" json:"why,omitempty"`
+	Deadline  float64 `cbor:"5,keyasint,omitempty" json:"by,omitempty"` // 0: no deadline
+	Reason    string  `cbor:"6,keyasint,omitempty" json:"why,omitempty"`
 }
 
 // Stage is a machine's state in its maintenance window.
@@ -72,13 +72,13 @@
 
 // The stages, in the order of a maintenance window.
 const (
-	In       Stage = iota
-	Asked          // requested, and queued for a grant
-	Granted        // allowed to start draining
-	Draining       // gateways stop using it and acknowledge once they have
-	Out            // left for maintenance
-	Overdue        // out for longer than requested; it still counts towards the limits
-	Warming        // returned, and not yet warm
+	InService    Stage = iota
+	Queued             // requested, and queued for a grant
+	Granted            // allowed to start draining
+	Draining           // gateways stop using it and acknowledge once they have
+	OutOfService       // left for maintenance
+	Overdue            // out for longer than requested; it still counts towards the limits
+	Warming            // returned, and not yet warm
 	stageCount
 )
 
@@ -111,52 +111,52 @@
 
 // Transitions lists all permitted transitions. A stage changes in no other way.
 var Transitions = []Transition{
-	{In, Asked, Operator, Ask},
-	{Asked, In, Operator, Cancel},
-	{Granted, In, Operator, Cancel},
-	{Draining, In, Operator, Cancel},
-	{Asked, Granted, Scheduler, Grant},
-	{Granted, Asked, Operator, Withdraw},
-	{Draining, Asked, Operator, Withdraw},
-	{Granted, Asked, Loss, Lost},
-	{Draining, Asked, Loss, Lost},
-	{Granted, Asked, Timeout, Tick},
-	{Draining, Asked, Timeout, Tick},
+	{InService, Queued, Operator, Submit},
+	{Queued, InService, Operator, Cancel},
+	{Granted, InService, Operator, Cancel},
+	{Draining, InService, Operator, Cancel},
+	{Queued, Granted, Scheduler, Grant},
+	{Granted, Queued, Operator, Withdraw},
+	{Draining, Queued, Operator, Withdraw},
+	{Granted, Queued, Loss, SetLost},
+	{Draining, Queued, Loss, SetLost},
+	{Granted, Queued, Timeout, Tick},
+	{Draining, Queued, Timeout, Tick},
 	{Granted, Draining, Agent, Drain},
-	{Draining, Out, Agent, Go},
-	{Out, Overdue, Timeout, Tick},
-	{Out, Warming, Agent, Back},
-	{Overdue, Warming, Agent, Back},
-	{Warming, In, Scheduler, FinishWarming},
-	{Warming, In, Timeout, Tick},
+	{Draining, OutOfService, Agent, Leave},
+	{OutOfService, Overdue, Timeout, Tick},
+	{OutOfService, Warming, Agent, Return},
+	{Overdue, Warming, Agent, Return},
+	{Warming, InService, Scheduler, FinishWarming},
+	{Warming, InService, Timeout, Tick},
 }
 
 // Kinds of commands, and the fields of Order that each one uses.
 const (
-	Have          = "inventory" // Inventory
-	Ask           = "ask"       // Request, in an Order
+	SetInventory  = "inventory" // Inventory
+	Submit        = "ask"       // Request, in an Order
 	Cancel        = "cancel"    // Order: id
 	Withdraw      = "withdraw"  // Order: machine. Its grant is revoked and it is queued again
 	Grant         = "grant"     // Order: machine
 	Drain         = "drain"     // Order: machine, token: the agent starts to drain the machine
 	Ack           = "ack"       // Order: machine, token, from: that gateway sends nothing new to the machine and has nothing in flight there
-	Go            = "go"        // Order: machine, token: the machine may leave only once this is committed
-	Back          = "back"      // Order: machine, token: the machine is back with everything on it
+	Leave         = "go"        // Order: machine, token: the machine may leave only once this is committed
+	Return        = "back"      // Order: machine, token: the machine is back with everything on it
 	ReportWarm    = "warm"      // Order: machine, token, from: by that gateway's measurement the machine's caches are warm
 	FinishWarming = "warmed"    // Order: machine: back in service, as most gateways of its club report it warm
-	Lost          = "lost"      // Order: names: the complete list of edge caches and hubs that are missing from or drained in the node list
+	SetLost       = "lost"      // Order: names: the complete list of edge caches and hubs that are missing from or drained in the node list
 	SetVoters     = "votes"     // Order: names: the voters of the quorum
 	SetPeak       = "peak"      // Order: club, hour, peak: set by an operator, overrides the measured peak; 0 removes it
 	ReportPeak    = "measured"  // Order: from, hour, peak: measured by that gateway
 	Tick          = "tick"      // Order: at
 )
 
-// Order is the content of all commands but Have.
-type Order struct {
+// CommandData is the content of all commands but Have.
+type CommandData struct {
 	At         float64  `cbor:"1,keyasint"` // when it was proposed
 	Machine    string   `cbor:"2,keyasint,omitempty"`
 	Token      uint64   `cbor:"3,keyasint,omitempty"`
-	From       string   `cbor:"4,keyasint,omitempty"`
+	Gateway    string   `cbor:"4,keyasint,omitempty"`
 	ID         string   `cbor:"5,keyasint,omitempty"`
 	Request    *Request `cbor:"6,keyasint,omitempty"`
 	Names      []string `cbor:"7,keyasint,omitempty"`
@@ -173,7 +173,7 @@
 	ErrConflict       = errors.New("that version, or that id, says something else")
 	ErrWrongStage     = errors.New("not at this stage")
 	ErrStaleGrant     = errors.New("that grant does not stand")
-	ErrWaits          = errors.New("some gateway is not done with it")
+	ErrPendingAcks    = errors.New("some gateway is not done with it")
 	ErrNotWarm        = errors.New("its club does not find it warm yet")
 	ErrTooMany        = errors.New("too many of them")
 	ErrMachineMissing = errors.New("a machine that is not in is missing from it")
--- a/internal/rehearsal/sockets/maintenance_faults_test.go
+++ b/internal/rehearsal/sockets/maintenance_faults_test.go
@@ -92,8 +92,8 @@
 				why := ""
 				mc.waitFor("a machine with the reason "+reason, func() bool {
 					if m := mc.machine(name); m.Work != nil {
-						if why = m.Work.Why; silent == "back" {
-							why = m.Work.Before
+						if why = m.Work.Reason; silent == "back" {
+							why = m.Work.LastRevocation
 						}
 					}
 					return strings.Contains(why, reason)
@@ -114,7 +114,7 @@
 		name, other := "m-"+mc.boxes[0], "m-"+mc.boxes[1]
 		mc.inject(script.Event{Do: "part", Name: mc.names[0], For: 2500})
 		submit := func(machine string, from int) bool {
-			err, ok := mc.submitOrder(maintenance.Ask, maintenance.Order{Request: &maintenance.Request{ID: "r-" + machine, Machine: machine, Takes: windowMillis}}, from)
+			err, ok := mc.submitOrder(maintenance.Submit, maintenance.CommandData{Request: &maintenance.Request{ID: "r-" + machine, Machine: machine, Duration: windowMillis}}, from)
 			return err == nil && ok
 		}
 		for _, from := range []int{1, 2, 1} {
@@ -122,7 +122,7 @@
 		}
 		mc.waitFor("another request", func() bool { return submit(other, 1) })
 		mc.waitFor("the other request is cancelled", func() bool {
-			err, ok := mc.submitOrder(maintenance.Cancel, maintenance.Order{ID: "r-" + other}, 2)
+			err, ok := mc.submitOrder(maintenance.Cancel, maintenance.CommandData{ID: "r-" + other}, 2)
 			return err == nil && ok
 		})
 		mc.waitForReports("all converged after the cut is healed", mc.converged)
--- a/internal/rehearsal/sockets/maintenance_test.go
+++ b/internal/rehearsal/sockets/maintenance_test.go
@@ -150,7 +150,7 @@
 }
 
 // submitOrder submits a maintenance command. The second result reports whether a gateway answered.
-func (mc *machineCluster) submitOrder(kind string, o maintenance.Order, from int) (error, bool) {
+func (mc *machineCluster) submitOrder(kind string, o maintenance.CommandData, from int) (error, bool) {
 	o.At = float64(time.Now().UnixMilli())
 	return mc.call(drive.Query{Command: &quorum.Command{StateMachine: machines.Book, Kind: kind, Data: canon.Encode(o)}}, nil, from)
 }
@@ -159,7 +159,7 @@
 func (mc *machineCluster) requestMaintenance(names ...string) {
 	for i, name := range names {
 		mc.waitFor("the request for "+name+" is committed", func() bool {
-			err, answered := mc.submitOrder(maintenance.Ask, maintenance.Order{Request: &maintenance.Request{ID: "r-" + name, Machine: name, Takes: windowMillis}}, i)
+			err, answered := mc.submitOrder(maintenance.Submit, maintenance.CommandData{Request: &maintenance.Request{ID: "r-" + name, Machine: name, Duration: windowMillis}}, i)
 			return err == nil && answered
 		})
 		mc.running.Add(1)
@@ -173,7 +173,7 @@
 // runAgent emulates the agent of a machine: it starts to drain when granted, takes the machine out once the log permits it, and
 // reports it back after the window.
 func (mc *machineCluster) runAgent(name string, n int) {
-	wentOut, stageSince, lastStage := false, 0.0, maintenance.In
+	wentOut, stageSince, lastStage := false, 0.0, maintenance.InService
 	for end := time.Now().Add(100 * time.Second); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 		var m machines.Machine
 		if err, ok := mc.call(drive.Query{Subject: "machine", Name: name, Fresh: true}, &m, n); !ok || err != nil {
@@ -193,12 +193,12 @@
 			}
 			stageSince, lastStage = now, m.Work.Stage
 		}
-		o := maintenance.Order{Machine: name, Token: m.Work.Token}
+		o := maintenance.CommandData{Machine: name, Token: m.Work.Token}
 		switch m.Work.Stage {
 		case maintenance.Granted:
 			mc.submitOrder(maintenance.Drain, o, n)
 		case maintenance.Draining:
-			if err, ok := mc.submitOrder(maintenance.Go, o, n); err == nil && ok {
+			if err, ok := mc.submitOrder(maintenance.Leave, o, n); err == nil && ok {
 				mc.recordTime(1, mc.stage.now()-stageSince)
 				wentOut = true
 				mc.takeOut(name)
@@ -206,7 +206,7 @@
 					return
 				}
 			}
-		case maintenance.Out, maintenance.Overdue:
+		case maintenance.OutOfService, maintenance.Overdue:
 			mc.mu.Lock()
 			since, out := mc.outSince[name]
 			mc.mu.Unlock()
@@ -217,7 +217,7 @@
 			} else if out {
 				continue
 			}
-			mc.submitOrder(maintenance.Back, o, n)
+			mc.submitOrder(maintenance.Return, o, n)
 		}
 	}
 	mc.mu.Lock()
@@ -374,8 +374,8 @@
 		mc.waitFor(first+" is overdue", func() bool { return stage(first) == "overdue" })
 		mc.inject(script.Event{Do: "part", Name: mc.names[0], For: 4000})
 		mc.inject(script.Event{Do: "part", Name: mc.names[1], For: 4000, OneWay: true})
-		o := maintenance.Order{At: float64(time.Now().UnixMilli()), Request: &maintenance.Request{ID: "r-" + rest[0], Machine: rest[0], Takes: windowMillis}}
-		r, err := mc.stage.Call(0, drive.Query{Command: &quorum.Command{StateMachine: machines.Book, Kind: maintenance.Ask, Data: canon.Encode(o)}}, 1500*time.Millisecond)
+		o := maintenance.CommandData{At: float64(time.Now().UnixMilli()), Request: &maintenance.Request{ID: "r-" + rest[0], Machine: rest[0], Duration: windowMillis}}
+		r, err := mc.stage.Call(0, drive.Query{Command: &quorum.Command{StateMachine: machines.Book, Kind: maintenance.Submit, Data: canon.Encode(o)}}, 1500*time.Millisecond)
 		if err == nil && r.Error == "" {
 			t.Errorf("a gateway without a majority took a request: %+v", r)
 		}
@@ -401,7 +401,7 @@
 		var m machines.Machine
 		mc.call(drive.Query{Subject: "machine", Name: first}, &m, 0)
 		mc.waitFor(first+" is back", func() bool {
-			mc.submitOrder(maintenance.Back, maintenance.Order{Machine: first, Token: m.Work.Token}, 0)
+			mc.submitOrder(maintenance.Return, maintenance.CommandData{Machine: first, Token: m.Work.Token}, 0)
 			return stage(first) == "in"
 		})
 	})
@@ -413,7 +413,7 @@
 	runMaintenance(t, "  most = 1\n  drain = \"6s\"\n", func(mc *machineCluster) {
 		name, dir := "m-"+mc.boxes[0], t.TempDir()
 		mc.waitFor("the request is committed", func() bool {
-			err, answered := mc.submitOrder(maintenance.Ask, maintenance.Order{Request: &maintenance.Request{ID: "r", Machine: name, Takes: 60_000}}, 0)
+			err, answered := mc.submitOrder(maintenance.Submit, maintenance.CommandData{Request: &maintenance.Request{ID: "r", Machine: name, Duration: 60_000}}, 0)
 			return err == nil && answered
 		})
 		run := func() ([]byte, error) {
--- a/internal/rehearsal/virtual/work_order_test.go
+++ b/internal/rehearsal/virtual/work_order_test.go
@@ -28,42 +28,42 @@
 
 // planNight returns when each cache goes out by the rules of package maintenance, and when the last is done. order returns the
 // waiting caches in the order to try; the state machine refuses those that must not go.
-func planNight(boxes, clubs []string, limits maintenance.Limits, lost string, order func(*maintenance.Book) []string) (outAt map[string]float64, doneAt float64) {
+func planNight(boxes, clubs []string, limits maintenance.Limits, lost string, order func(*maintenance.State) []string) (outAt map[string]float64, doneAt float64) {
 	book := maintenance.New()
 	inventory := maintenance.Inventory{Version: 1, Limits: limits}
 	for i, name := range boxes {
-		inventory.Machines = append(inventory.Machines, maintenance.Machine{Name: name, Club: clubs[i], Boxes: []string{name}, Carries: 1})
+		inventory.Machines = append(inventory.Machines, maintenance.Machine{Name: name, Club: clubs[i], Boxes: []string{name}, Capacity: 1})
 	}
 	apply := func(kind string, content any) any { return book.Apply(1, kind, canon.Encode(content)) }
-	apply(maintenance.Have, inventory)
+	apply(maintenance.SetInventory, inventory)
 	for _, name := range boxes {
-		apply(maintenance.Ask, maintenance.Order{At: nightStart, Request: &maintenance.Request{ID: name, Machine: name, Takes: workTime}})
+		apply(maintenance.Submit, maintenance.CommandData{At: nightStart, Request: &maintenance.Request{ID: name, Machine: name, Duration: workTime}})
 	}
 	outAt = map[string]float64{}
-	for now := nightStart; len(book.Works) > 0 && now < 1e6; now += 100 {
+	for now := nightStart; len(book.Windows) > 0 && now < 1e6; now += 100 {
 		doneAt = now
 		if lost != "" && (now == lossAt || now == lossAt+lossDuration) {
 			names := []string{}
 			if now == lossAt {
 				names = append(names, lost)
 			}
-			apply(maintenance.Lost, maintenance.Order{At: now, Names: names})
+			apply(maintenance.SetLost, maintenance.CommandData{At: now, Names: names})
 		}
-		apply(maintenance.Tick, maintenance.Order{At: now})
+		apply(maintenance.Tick, maintenance.CommandData{At: now})
 		for _, name := range order(book) {
-			apply(maintenance.Grant, maintenance.Order{At: now, Machine: name})
+			apply(maintenance.Grant, maintenance.CommandData{At: now, Machine: name})
 		}
-		for name, w := range book.Works {
-			o := maintenance.Order{At: now, Machine: name, Token: w.Token}
+		for name, w := range book.Windows {
+			o := maintenance.CommandData{At: now, Machine: name, Token: w.Token}
 			switch {
 			case w.Stage == maintenance.Granted:
 				apply(maintenance.Drain, o)
 			case w.Stage == maintenance.Draining && now >= w.Since+drainTime:
-				if apply(maintenance.Go, o); book.Works[name].Stage == maintenance.Out {
+				if apply(maintenance.Leave, o); book.Windows[name].Stage == maintenance.OutOfService {
 					outAt[name] = now
 				}
-			case w.Stage == maintenance.Out && now >= w.Since+workTime:
-				apply(maintenance.Back, o)
+			case w.Stage == maintenance.OutOfService && now >= w.Since+workTime:
+				apply(maintenance.Return, o)
 			}
 		}
 	}
@@ -76,18 +76,18 @@
 	if os.Getenv("POPPYMILL_TEST_MEASURE") == "" {
 		t.Skip("a measurement")
 	}
-	limits := maintenance.Limits{Most: 2, PerClub: 1, Drain: 10_000, Warm: warmTime, Overdue: 10, Grace: 100}
+	limits := maintenance.Limits{MaxMachines: 2, PerClub: 1, DrainTimeout: 10_000, WarmTimeout: warmTime, Overdue: 10, Grace: 100}
 	short := limits
-	short.Warm = 0
-	waiting := func(b *maintenance.Book) (all []string) {
-		for _, name := range slices.Sorted(maps.Keys(b.Works)) {
-			if b.Works[name].Stage == maintenance.Asked {
+	short.WarmTimeout = 0
+	waiting := func(b *maintenance.State) (all []string) {
+		for _, name := range slices.Sorted(maps.Keys(b.Windows)) {
+			if b.Windows[name].Stage == maintenance.Queued {
 				all = append(all, name)
 			}
 		}
 		return all
 	}
-	planned := func(b *maintenance.Book) (all []string) {
+	planned := func(b *maintenance.State) (all []string) {
 		for _, s := range b.Plan() {
 			if !s.Never && s.Start <= b.Now {
 				all = append(all, s.Machine)
@@ -129,18 +129,18 @@
 					outAt, doneAt = planNight(boxes, clubs, short, lost, planned)
 				case "one after another":
 					one := limits
-					one.Most = 1
+					one.MaxMachines = 1
 					if lost != "" {
-						one.Most = 2 // its limit does not account for losses
+						one.MaxMachines = 2 // its limit does not account for losses
 					}
-					outAt, doneAt = planNight(boxes, clubs, one, lost, func(b *maintenance.Book) []string {
-						if w := waiting(b); len(w) == len(b.Works) && len(w) > 0 {
+					outAt, doneAt = planNight(boxes, clubs, one, lost, func(b *maintenance.State) []string {
+						if w := waiting(b); len(w) == len(b.Windows) && len(w) > 0 {
 							return w[:1]
 						}
 						return nil
 					})
 				case "random within the limits":
-					outAt, doneAt = planNight(boxes, clubs, limits, lost, func(b *maintenance.Book) []string {
+					outAt, doneAt = planNight(boxes, clubs, limits, lost, func(b *maintenance.State) []string {
 						w := waiting(b)
 						slices.SortFunc(w, func(x, y string) int { return cmp.Compare(random.Float64(), 0.5) })
 						return w
