--- a/cmd/poppymill/agent.go
+++ b/cmd/poppymill/agent.go
@@ -160,7 +160,7 @@
 // machine or a limit is reached, is not an error: the agent asks again.
 func (a *agent) submit(ctx context.Context, kind string, token uint64) error {
 	var m machines.Machine
-	err := a.query(ctx, drive.Query{Subject: "machine", Name: a.name, Command: &quorum.Command{StateMachine: machines.Book, Kind: kind,
+	err := a.query(ctx, drive.Query{Subject: "machine", Name: a.name, Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: kind,
 		Data: canon.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), Machine: a.name, Token: token})}}, &m)
 	if err != nil && (strings.Contains(err.Error(), maintenance.ErrPendingAcks.Error()) || strings.Contains(err.Error(), "limit: ")) {
 		a.log.WithField("why", err).Debug("the machine may not go out yet")
--- a/cmd/poppymill/machines.go
+++ b/cmd/poppymill/machines.go
@@ -120,7 +120,7 @@
 	fmt.Fprintln(w, "MACHINE\tCLUB\tZONE\tIS\tTOKEN\tSINCE\tREQUEST\tBY\tWHY")
 	for _, m := range list {
 		state := m.Stage
-		if m.Hurt {
+		if m.Degraded {
 			state += ", hurt"
 		}
 		if m.Work == nil {
@@ -128,8 +128,8 @@
 			continue
 		}
 		reason := m.Work.Reason
-		if len(m.Waits) > 0 {
-			reason = "waits for " + strings.Join(m.Waits, ", ")
+		if len(m.PendingAcks) > 0 {
+			reason = "waits for " + strings.Join(m.PendingAcks, ", ")
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\n", m.Name, m.Club, m.Zone, state, m.Work.Token, formatTime(m.Work.Since), m.Work.Request.ID, formatTime(m.Work.Request.Deadline), reason)
 	}
@@ -208,7 +208,7 @@
 		}
 		request := maintenance.Request{ID: id, Machine: name, Duration: float64(cmd.Duration("for").Milliseconds()), Deadline: by, NotBefore: notBefore, Reason: cmd.String("why")}
 		var m machines.Machine
-		_, err := sendMachinesQuery(ctx, cmd, drive.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.Book, Kind: maintenance.Submit,
+		_, err := sendMachinesQuery(ctx, cmd, drive.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: maintenance.Submit,
 			Data: canon.Encode(maintenance.CommandData{At: float64(now.UnixMilli()), Request: &request})}}, &m)
 		if err != nil {
 			failed++
@@ -224,7 +224,7 @@
 }
 
 func machinesCancel(ctx context.Context, cmd *cli.Command) error {
-	_, err := queryMachines(ctx, cmd, 2, drive.Query{Command: &quorum.Command{StateMachine: machines.Book, Kind: maintenance.Cancel,
+	_, err := queryMachines(ctx, cmd, 2, drive.Query{Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: maintenance.Cancel,
 		Data: canon.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), ID: cmd.Args().Get(1)})}}, nil)
 	return err
 }
@@ -234,7 +234,7 @@
 	return func(ctx context.Context, cmd *cli.Command) error {
 		var m machines.Machine
 		name := cmd.Args().Get(1)
-		_, err := queryMachines(ctx, cmd, 2, drive.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.Book, Kind: kind,
+		_, err := queryMachines(ctx, cmd, 2, drive.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: kind,
 			Data: canon.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), Machine: name, Token: cmd.Uint64("token")})}}, &m)
 		if err != nil {
 			return err
@@ -294,7 +294,7 @@
 		if err != nil {
 			return err
 		}
-		unsettled := slices.DeleteFunc(reply.Machines, func(m machines.Machine) bool { return m.Work == nil && !m.Hurt })
+		unsettled := slices.DeleteFunc(reply.Machines, func(m machines.Machine) bool { return m.Work == nil && !m.Degraded })
 		var b strings.Builder
 		w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 		printMachines(w, unsettled)
--- a/cmd/poppymill/quorum.go
+++ b/cmd/poppymill/quorum.go
@@ -128,7 +128,7 @@
 		return usageError(errors.New("quorum recover: takes the FOLDER of one store"))
 	}
 	books := jobs.EmptyStateMachines()
-	maps.Copy(books, machines.Books())
+	maps.Copy(books, machines.EmptyStateMachines())
 	maps.Copy(books, purgesdrive.Books())
 	r, err := drive.Recover(cmd.Args().First(), books, cmd.Bool("yes"))
 	if err != nil {
--- a/internal/gateway/drain_nodes.go
+++ b/internal/gateway/drain_nodes.go
@@ -102,7 +102,7 @@
 	knownUntil *knownUntil
 }
 
-// Leave passes the nodes to drain to the core; it waits while the core's inbox is full.
-func (c coreProxy) Leave(nodes []string, number int, done func(int)) {
+// StopUsing passes the nodes to drain to the core; it waits while the core's inbox is full.
+func (c coreProxy) StopUsing(nodes []string, number int, done func(int)) {
 	c.poster.post(DrainNodes{Nodes: nodes, Number: number, At: c.poster.now(), Done: done})
 }
--- a/internal/gateway/quorum_member.go
+++ b/internal/gateway/quorum_member.go
@@ -55,7 +55,7 @@
 	core.Purges(zone, o.Purges.Held(), o.Purges.On, proxy.knownUntil.at, p.now)
 	if m.council, err = drive.Open(b, c.Name, zone, maxPeerConns(c), drive.Subsystems{jobRunner, machinePart, purgePart},
 		log); err == nil && o.Machines.On {
-		core.OnNodesChanged(func(there map[string]bool) { m.council.Post(machines.Nodes{There: there}) })
+		core.OnNodesChanged(func(there map[string]bool) { m.council.Post(machines.ListedNodes{Present: there}) })
 	}
 	if err == nil && (o.Machines.On || o.Purges.On) {
 		core.Measure(func(load maintenance.Load, fills float64) {
--- a/internal/maintenance/drive/coordinator.go
+++ b/internal/maintenance/drive/coordinator.go
@@ -21,10 +21,10 @@
 	agreement "poppymill/internal/quorum/drive"
 )
 
-// Book is the name of the state machine in the log. Schedule is the name of the job whose owner grants machines.
+// StateMachineName is the name of the state machine in the log. Schedule is the name of the job whose owner grants machines.
 const (
-	Book     = "machines"
-	Schedule = "machines"
+	StateMachineName = "machines"
+	Schedule         = "machines"
 )
 
 // Intervals, in ms: between checks of a gateway's duties, and between the leader's Tick commands.
@@ -36,17 +36,17 @@
 // Core is the gateway's core, which runs in its own loop. Leave makes it send no new requests to the nodes; done is called once, with
 // the same number, when no request to them is in flight any more.
 type Core interface {
-	Leave(nodes []string, number int, done func(number int))
+	StopUsing(nodes []string, number int, done func(number int))
 }
 
-// Nodes is the event that reports the edge caches and hubs present in this gateway's node list. All others are lost or drained.
-type Nodes struct{ There map[string]bool }
+// ListedNodes is the event that reports the edge caches and hubs present in this gateway's node list. All others are lost or drained.
+type ListedNodes struct{ Present map[string]bool }
 
 // drainedNodes is the event by which the core reports that no request is in flight to the nodes of that call of Leave.
 type drainedNodes struct{ number int }
 
-// Yard is one gateway's part in maintenance windows. It runs in the loop of the quorum's driver.
-type Yard struct {
+// Coordinator is one gateway's part in maintenance windows. It runs in the loop of the quorum's driver.
+type Coordinator struct {
 	block         Block
 	state         *maintenance.State
 	crew          *owned.Runner
@@ -86,27 +86,27 @@
 // Leap raises the token counter above every token that can have been issued, after log entries may have been lost.
 func (s stateMachine) Leap() { s.State.LastToken += 1 << 32 }
 
-// Books returns an empty state machine under its name in the log, to read a gateway's store with.
-func Books() map[string]quorum.StateMachine {
-	return map[string]quorum.StateMachine{Book: stateMachine{maintenance.New()}}
+// EmptyStateMachines returns an empty state machine under its name in the log, to read a gateway's store with.
+func EmptyStateMachines() map[string]quorum.StateMachine {
+	return map[string]quorum.StateMachine{StateMachineName: stateMachine{maintenance.New()}}
 }
 
 // Open creates a gateway's part. Without the block it only follows the log, and still drains machines that are about to leave.
-func Open(b Block, crew *owned.Runner, core Core, log logrus.FieldLogger) *Yard {
-	return &Yard{block: b, state: maintenance.New(), crew: crew, core: core, log: log, inFlight: map[string]float64{},
+func Open(b Block, crew *owned.Runner, core Core, log logrus.FieldLogger) *Coordinator {
+	return &Coordinator{block: b, state: maintenance.New(), crew: crew, core: core, log: log, inFlight: map[string]float64{},
 		loggedStages: map[string]string{}, unixMillis: func() float64 { return float64(time.Now().UnixMilli()) }}
 }
 
 // StateMachines returns its state machine under its name in the log.
-func (y *Yard) StateMachines() map[string]quorum.StateMachine {
-	return map[string]quorum.StateMachine{Book: stateMachine{y.state}}
+func (y *Coordinator) StateMachines() map[string]quorum.StateMachine {
+	return map[string]quorum.StateMachine{StateMachineName: stateMachine{y.state}}
 }
 
 // Start sets the council that commands are proposed to.
-func (y *Yard) Start(c *agreement.Replica) { y.council = c }
+func (y *Coordinator) Start(c *agreement.Replica) { y.council = c }
 
 // NextDeadline returns the time of the next check.
-func (y *Yard) NextDeadline() float64 {
+func (y *Coordinator) NextDeadline() float64 {
 	if len(y.state.Windows) == 0 && (!y.block.On || y.status.Incarnation == 0) {
 		return math.Inf(1)
 	}
@@ -114,13 +114,13 @@
 }
 
 // Idle reports that there is no outstanding work to wait for.
-func (y *Yard) Idle() bool { return true }
+func (y *Coordinator) Idle() bool { return true }
 
 // Close has nothing to release.
-func (y *Yard) Close() error { return nil }
+func (y *Coordinator) Close() error { return nil }
 
 // Handle processes an event of the council or of the core.
-func (y *Yard) Handle(now float64, e any) {
+func (y *Coordinator) Handle(now float64, e any) {
 	y.now = now
 	switch e := e.(type) {
 	case agreement.LogAdvanced:
@@ -134,8 +134,8 @@
 				y.propose(maintenance.ReportPeak, "", o)
 			}
 		}
-	case Nodes:
-		y.listed, y.changed = e.There, true
+	case ListedNodes:
+		y.listed, y.changed = e.Present, true
 	case drainedNodes:
 		if e.number > y.drainedNumber {
 			y.drainedNumber, y.changed = e.number, true
@@ -151,7 +151,7 @@
 }
 
 // runDuties performs what this gateway has to do in its current roles.
-func (y *Yard) runDuties() {
+func (y *Coordinator) runDuties() {
 	y.acknowledge()
 	if y.status.Leads && y.block.On {
 		y.runLeaderDuties()
@@ -162,13 +162,13 @@
 }
 
 // propose proposes a command, unless the same one was proposed less than a second ago and is still undecided, or was just rejected.
-func (y *Yard) propose(kind, key string, content any) {
+func (y *Coordinator) propose(kind, key string, content any) {
 	key = kind + " " + key
 	if y.now < y.inFlight[key] {
 		return
 	}
 	y.inFlight[key] = y.now + 1000
-	y.council.Propose(quorum.Command{StateMachine: Book, Kind: kind, Data: canon.Encode(content)}, func(o quorum.Outcome) {
+	y.council.Propose(quorum.Command{StateMachine: StateMachineName, Kind: kind, Data: canon.Encode(content)}, func(o quorum.Outcome) {
 		delete(y.inFlight, key)
 		if o.Err != nil && !errors.Is(o.Err, quorum.ErrGivenUp) && !errors.Is(o.Err, quorum.ErrBusy) {
 			y.inFlight[key] = y.now + checkEvery // rejected when applied: the next check decides whether to propose it again
@@ -180,7 +180,7 @@
 }
 
 // leaveNodes makes the core send no new requests to machines that are draining or out.
-func (y *Yard) leaveNodes() {
+func (y *Coordinator) leaveNodes() {
 	var nodes []string
 	for _, name := range slices.Sorted(maps.Keys(y.state.Windows)) {
 		if w, m := y.state.Windows[name], y.state.Machine(name); m != nil && (w.Stage == maintenance.Draining || w.Stage == maintenance.OutOfService || w.Stage == maintenance.Overdue) {
@@ -190,12 +190,12 @@
 	if !slices.Equal(nodes, y.leftNodes) {
 		y.leftNodes = nodes
 		y.leaveNumber++
-		y.core.Leave(nodes, y.leaveNumber, func(number int) { y.council.Post(drainedNodes{number}) })
+		y.core.StopUsing(nodes, y.leaveNumber, func(number int) { y.council.Post(drainedNodes{number}) })
 	}
 }
 
 // acknowledge proposes that this gateway has drained a draining machine, and that it finds a returned machine warm.
-func (y *Yard) acknowledge() {
+func (y *Coordinator) acknowledge() {
 	for _, name := range slices.Sorted(maps.Keys(y.state.Windows)) {
 		w, m := y.state.Windows[name], y.state.Machine(name)
 		if m != nil && w.Stage == maintenance.Warming && !w.Warm[y.status.Name] && y.state.IsWarm(m, y.load) {
@@ -208,7 +208,7 @@
 }
 
 // runLeaderDuties proposes what only the leader proposes: the inventory, the voters, lost nodes, ticks and the job that owns the schedule.
-func (y *Yard) runLeaderDuties() {
+func (y *Coordinator) runLeaderDuties() {
 	if y.block.Inventory.Version > y.state.Inventory.Version {
 		y.propose(maintenance.SetInventory, "", y.block.Inventory)
 	}
@@ -240,7 +240,7 @@
 }
 
 // grantPlanned finishes the warm-up of machines reported warm, and grants the machines that the plan starts now.
-func (y *Yard) grantPlanned(token uint64) {
+func (y *Coordinator) grantPlanned(token uint64) {
 	if len(y.state.Windows) == 0 {
 		return
 	}
@@ -264,7 +264,7 @@
 }
 
 // logStages logs each machine that entered another stage.
-func (y *Yard) logStages() {
+func (y *Coordinator) logStages() {
 	for _, name := range slices.Sorted(maps.Keys(y.state.Windows)) {
 		w := y.state.Windows[name]
 		if current := fmt.Sprint(w.Stage, w.Token); y.loggedStages[name] != current {
@@ -281,7 +281,7 @@
 }
 
 // CheckCommand checks whether operators, or a machine's agent, may propose a command.
-func (y *Yard) CheckCommand(c quorum.Command) error {
+func (y *Coordinator) CheckCommand(c quorum.Command) error {
 	switch c.Kind {
 	case maintenance.Submit, maintenance.Cancel, maintenance.Withdraw, maintenance.Drain, maintenance.Leave, maintenance.Return, maintenance.SetPeak:
 		var o maintenance.CommandData
@@ -299,25 +299,25 @@
 // Machine is the answer to a question about one machine.
 type Machine struct {
 	maintenance.Machine
-	Stage string              `json:"stage"`
-	Hurt  bool                `json:"hurt"` // part of it is lost or drained
-	Work  *maintenance.Window `json:"work,omitempty"`
-	Waits []string            `json:"waits,omitempty"` // gateways that have not acknowledged the drain
+	Stage       string              `json:"stage"`
+	Degraded    bool                `json:"hurt"` // part of it is lost or drained
+	Work        *maintenance.Window `json:"work,omitempty"`
+	PendingAcks []string            `json:"waits,omitempty"` // gateways that have not acknowledged the drain
 }
 
 // describeMachine returns the answer for one machine.
-func (y *Yard) describeMachine(m maintenance.Machine) Machine {
-	answer := Machine{Machine: m, Stage: maintenance.InService.String(), Hurt: y.state.Degraded(m.Name), Work: y.state.Windows[m.Name]}
+func (y *Coordinator) describeMachine(m maintenance.Machine) Machine {
+	answer := Machine{Machine: m, Stage: maintenance.InService.String(), Degraded: y.state.Degraded(m.Name), Work: y.state.Windows[m.Name]}
 	if answer.Work != nil {
 		if answer.Stage = answer.Work.Stage.String(); answer.Work.Stage == maintenance.Draining {
-			answer.Waits = y.state.PendingAcks(answer.Work, &m)
+			answer.PendingAcks = y.state.PendingAcks(answer.Work, &m)
 		}
 	}
 	return answer
 }
 
 // Query answers an operator's question.
-func (y *Yard) Query(about, name string) (any, error) {
+func (y *Coordinator) Query(about, name string) (any, error) {
 	switch about {
 	case "machines":
 		all := []Machine{}
--- a/internal/rehearsal/sockets/maintenance_faults_test.go
+++ b/internal/rehearsal/sockets/maintenance_faults_test.go
@@ -20,7 +20,7 @@
 		return -1
 	}
 	for _, m := range f.Machines {
-		if m.Hurt {
+		if m.Degraded {
 			n++
 		}
 	}
--- a/internal/rehearsal/sockets/maintenance_test.go
+++ b/internal/rehearsal/sockets/maintenance_test.go
@@ -152,7 +152,7 @@
 // submitOrder submits a maintenance command. The second result reports whether a gateway answered.
 func (mc *machineCluster) submitOrder(kind string, o maintenance.CommandData, from int) (error, bool) {
 	o.At = float64(time.Now().UnixMilli())
-	return mc.call(drive.Query{Command: &quorum.Command{StateMachine: machines.Book, Kind: kind, Data: canon.Encode(o)}}, nil, from)
+	return mc.call(drive.Query{Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: kind, Data: canon.Encode(o)}}, nil, from)
 }
 
 // requestMaintenance requests a maintenance window for each machine and starts the machines' agents.
@@ -261,7 +261,7 @@
 		f, open := mc.fleet(), ""
 		for _, m := range f.Machines {
 			if slices.Contains(names, m.Name) && m.Work != nil {
-				open += fmt.Sprintf(" %s stage %s hurt %t %+v waits %v;", m.Name, m.Stage, m.Hurt, *m.Work, m.Waits)
+				open += fmt.Sprintf(" %s stage %s hurt %t %+v waits %v;", m.Name, m.Stage, m.Degraded, *m.Work, m.PendingAcks)
 			}
 		}
 		if len(f.Machines) > 0 && open == "" {
@@ -345,7 +345,7 @@
 			w.Happen(script.Event{Do: "kill", On: "edge", Name: mc.boxes[5], For: 2500})
 		})
 		mc.waitFor("the log shows the loss", func() bool {
-			return slices.ContainsFunc(mc.fleet().Machines, func(m machines.Machine) bool { return m.Hurt && m.Work == nil })
+			return slices.ContainsFunc(mc.fleet().Machines, func(m machines.Machine) bool { return m.Degraded && m.Work == nil })
 		})
 		mc.mu.Lock()
 		mc.lost = 0
@@ -375,7 +375,7 @@
 		mc.inject(script.Event{Do: "part", Name: mc.names[0], For: 4000})
 		mc.inject(script.Event{Do: "part", Name: mc.names[1], For: 4000, OneWay: true})
 		o := maintenance.CommandData{At: float64(time.Now().UnixMilli()), Request: &maintenance.Request{ID: "r-" + rest[0], Machine: rest[0], Duration: windowMillis}}
-		r, err := mc.stage.Call(0, drive.Query{Command: &quorum.Command{StateMachine: machines.Book, Kind: maintenance.Submit, Data: canon.Encode(o)}}, 1500*time.Millisecond)
+		r, err := mc.stage.Call(0, drive.Query{Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: maintenance.Submit, Data: canon.Encode(o)}}, 1500*time.Millisecond)
 		if err == nil && r.Error == "" {
 			t.Errorf("a gateway without a majority took a request: %+v", r)
 		}
