--- a/cmd/poppymill/link.go
+++ b/cmd/poppymill/link.go
@@ -66,9 +66,9 @@
 	var token string
 	if cmd.String("form") == "compact" {
 		if part >= 0 {
-			token, err = ring.Compact(links.URI(base, typ, object, int64(part)), "", expires)
+			token, err = ring.SignCompact(links.URI(base, typ, object, int64(part)), "", expires)
 		} else {
-			token, err = ring.Compact("", base+"/"+typ+"/"+object+"/", expires)
+			token, err = ring.SignCompact("", base+"/"+typ+"/"+object+"/", expires)
 		}
 	} else {
 		id := make([]byte, 12)
@@ -79,7 +79,7 @@
 			c.URI = links.Hash(links.URI(base, typ, object, int64(part)))
 		}
 		if renew := cmd.Duration("renew"); renew > 0 {
-			c.Renew, c.Transport = renew.Seconds(), 1
+			c.RenewSeconds, c.Transport = renew.Seconds(), 1
 		}
 		if cmd.Bool("write") {
 			c.Write, c.Critical = true, links.CriticalWrite
@@ -107,9 +107,9 @@
 		return usageError(err)
 	}
 	s := links.Defaults()
-	s.Base, s.Form, s.Audience, s.Stored = strings.TrimSuffix(cmd.String("base"), "/"), cmd.String("form"), cmd.StringSlice("audience"), true
+	s.Base, s.Form, s.Audience, s.HasStore = strings.TrimSuffix(cmd.String("base"), "/"), cmd.String("form"), cmd.StringSlice("audience"), true
 	now := float64(time.Now().UnixMilli())
-	request := links.Ask{At: now, Source: cmd.String("address"), Token: cmd.Args().First(), ID: "verify", Type: cmd.String("type"),
+	request := links.Request{At: now, Source: cmd.String("address"), Token: cmd.Args().First(), ID: "verify", Type: cmd.String("type"),
 		Object: objectID(cmd.Args().Get(1)), Part: int64(cmd.Int("part")), Write: cmd.Bool("write")}
 	if err := links.New(s, ring, []byte("of this one look"), now).Explain(request); err != nil {
 		fmt.Println(err)
@@ -179,7 +179,7 @@
 	if err != nil {
 		return usageError(err)
 	}
-	for _, k := range ring.Names() {
+	for _, k := range ring.Describe() {
 		fmt.Println(k)
 	}
 	return nil
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -177,8 +177,8 @@
 	case Rekeyed:
 		if g.links != nil {
 			g.links.block = e.Block
-			g.links.admission.Change(e.Block.Settings)
-			g.links.admission.Keys(e.Ring)
+			g.links.admission.SetSettings(e.Block.Settings)
+			g.links.admission.SetKeys(e.Ring)
 		}
 	case FairnessChanged:
 		if g.fair != nil {
--- a/internal/gateway/link_driver.go
+++ b/internal/gateway/link_driver.go
@@ -36,7 +36,7 @@
 	admission := links.New(b.Settings, ring, secret, clock.now())
 	var store SpendStore
 	if b.Store != "" {
-		if d.store, err = drive.OpenStore(b.Store, clock.now(), func(s links.Spend) { admission.Restore(s, clock.now()) }); err != nil {
+		if d.store, err = drive.OpenStore(b.Store, clock.now(), func(s links.SpentToken) { admission.Restore(s, clock.now()) }); err != nil {
 			return nil, err
 		}
 		store = d.store
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -14,7 +14,7 @@
 type (
 	// Rekeyed reports newly loaded keys, and the links block that names them.
 	Rekeyed struct {
-		Ring  *links.Ring
+		Ring  *links.KeySet
 		Block drive.Block
 	}
 	// SpendWritten reports whether the token that a download spends was written to disk.
@@ -28,14 +28,14 @@
 // SpendStore records spent tokens. Its methods do not block.
 type SpendStore interface {
 	// Write stores a spent token; done is called once, from another goroutine.
-	Write(s links.Spend, done func(error))
+	Write(s links.SpentToken, done func(error))
 	// Back removes a spent token whose download never ran.
-	Back(s links.Spend)
+	Back(s links.SpentToken)
 }
 
 // signedLinks is the core's state for signed links; nil if disabled.
 type signedLinks struct {
-	admission *links.Door
+	admission *links.Authorizer
 	block     drive.Block
 	store     SpendStore // nil: spent tokens are kept in memory only
 	post      func(any)
@@ -44,23 +44,23 @@
 
 // Guard makes the core accept only downloads with a valid signed link. Post passes an event to the core from any
 // goroutine.
-func (g *Core) Guard(admission *links.Door, block drive.Block, store SpendStore, post func(any), now func() float64) {
+func (g *Core) Guard(admission *links.Authorizer, block drive.Block, store SpendStore, post func(any), now func() float64) {
 	g.links = &signedLinks{admission: admission, block: block, store: store, post: post, now: now}
 }
 
 // SetWallClock passes on the time of the wall clock, in Unix ms.
 func (g *Core) SetWallClock(now, wall float64) {
 	if g.links != nil {
-		g.links.admission.Wall(now, wall)
+		g.links.admission.SetWallClock(now, wall)
 	}
 }
 
 // downloadLink is the state of the signed link of a download.
 type downloadLink struct {
-	spend      *links.Spend  // the spent token that must be stored before the first pull; nil if none
-	writeTimer *timer        // runs while the store writes spend
-	successor  *clients.Link // renewed link, sent with any answer; nil if none
-	client     string        // the client that the link was issued to
+	spend      *links.SpentToken // the spent token that must be stored before the first pull; nil if none
+	writeTimer *timer            // runs while the store writes spend
+	successor  *clients.Link     // renewed link, sent with any answer; nil if none
+	client     string            // the client that the link was issued to
 }
 
 // spendWriteTimeout is how long a download waits at most for its spent token to be written to disk, in ms.
@@ -69,10 +69,10 @@
 // admitLink checks the signed link of a download. A refused download is answered at once, without the reason.
 func (g *Core) admitLink(e Asked, d *download) bool {
 	signed := g.links
-	verdict := signed.admission.Admit(links.Ask{At: e.At, Source: e.Params["REMOTE_ADDR"],
+	verdict := signed.admission.Admit(links.Request{At: e.At, Source: e.Params["REMOTE_ADDR"],
 		Token: signed.block.Token(e.Params), ID: d.id, Type: d.typ, Object: d.object, Part: d.part, Write: d.atMostOnce})
 	if verdict.Reason == links.Admitted {
-		d.link = &downloadLink{spend: verdict.Spend, client: verdict.Client}
+		d.link = &downloadLink{spend: verdict.SpentToken, client: verdict.Client}
 		if verdict.Token != "" {
 			d.link.successor = &clients.Link{Token: verdict.Token, Path: verdict.Path}
 			if signed.block.From != "header" {
@@ -86,7 +86,7 @@
 	e.Body.Release()
 	answer := clients.Answer{Status: 403}
 	switch verdict.Reason {
-	case links.Busy, links.NoMemory, links.NotThisOne: // nothing was sent; a retry later or elsewhere may succeed
+	case links.RateLimited, links.ReplayTableFull, links.OtherGateway: // nothing was sent; a retry later or elsewhere may succeed
 		answer = clients.Answer{Status: 503, RetryAfter: g.config.MaxRetryAfter}
 	}
 	e.Client.Answer(e.ID, answer)
@@ -133,7 +133,7 @@
 	if signed == nil {
 		return
 	}
-	if spend, ok := signed.admission.Ended(d.id, harmless); ok && signed.store != nil {
+	if spend, ok := signed.admission.DownloadEnded(d.id, harmless); ok && signed.store != nil {
 		signed.store.Back(spend)
 	}
 }
@@ -156,13 +156,13 @@
 		}
 	}
 	c := g.links.admission.Counters
-	return strings.Join(append(all, fmt.Sprintf("signatures %d", c.Checked), fmt.Sprintf("remembered %d", c.Remembered),
-		fmt.Sprintf("successors %d", c.Lived)), ", ")
+	return strings.Join(append(all, fmt.Sprintf("signatures %d", c.Checked), fmt.Sprintf("remembered %d", c.CacheHits),
+		fmt.Sprintf("successors %d", c.Renewed)), ", ")
 }
 
 // appendCacheToken appends a token signed by this gateway to the fields of a pull, if the caches require one.
 func (s *signedLinks) appendCacheToken(text string, d *download, p *pull, now float64) string {
-	token := s.admission.ForBox(links.Sent{At: now, ID: d.id, Pull: p.index, Node: p.node, Source: p.source,
+	token := s.admission.SignPull(links.Pull{At: now, ID: d.id, Number: p.index, Node: p.node, Source: p.source,
 		Type: d.typ, Object: d.object, Part: d.part, Write: d.atMostOnce})
 	if token == "" {
 		return text
--- a/internal/gateway/links_test.go
+++ b/internal/gateway/links_test.go
@@ -25,7 +25,7 @@
 	b := &drive.Block{}
 	b.Fields() // sets the defaults
 	dir := t.TempDir()
-	b.Keys, b.Store, b.Settings.Base, b.Settings.Stored =
+	b.Keys, b.Store, b.Settings.Base, b.Settings.HasStore =
 		filepath.Join(dir, "keys.hcl"), filepath.Join(dir, "spent.db"), linkBase, true
 	f := &keyfile.File{}
 	for id, state := range map[string]links.State{"now": links.Signing, "next": links.Upcoming} {
@@ -59,7 +59,7 @@
 // issue signs a token with the signing key of a key file.
 func issue(t *testing.T, f *keyfile.File, c links.Claims) string {
 	t.Helper()
-	r, err := links.NewRing(f.Keys, nil)
+	r, err := links.NewKeySet(f.Keys, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 
 	// A token that ends within its renewal time is answered with a successor; a token with more time left is not.
 	renewable := c
-	renewable.Expires, renewable.Renew, renewable.Transport = now+100, 60, 1
+	renewable.Expires, renewable.RenewSeconds, renewable.Transport = now+100, 60, 1
 	later := issue(t, f, renewable)
 	if r := s.getWithToken(later, "pages", object, "2"); r.Status != 200 || r.Fields["Set-Cookie"] != "" {
 		t.Errorf("token that ends later: status %d, %v", r.Status, r.Fields)
@@ -164,7 +164,7 @@
 	}
 	// After a restart the store still knows the spent token.
 	spent := 0
-	store, err := drive.OpenStore(b.Store, now*1000, func(links.Spend) { spent++ })
+	store, err := drive.OpenStore(b.Store, now*1000, func(links.SpentToken) { spent++ })
 	if err != nil || spent != 1 {
 		t.Errorf("%d spent tokens after a restart, %v", spent, err)
 	}
@@ -182,14 +182,14 @@
 	takenBack int
 }
 
-func (s *slowStore) Write(_ links.Spend, done func(error)) { s.done = append(s.done, done) }
-func (s *slowStore) Back(links.Spend)                      { s.takenBack++ }
+func (s *slowStore) Write(_ links.SpentToken, done func(error)) { s.done = append(s.done, done) }
+func (s *slowStore) Back(links.SpentToken)                      { s.takenBack++ }
 
 // A write must not be sent before its spent token is on disk, or it could run again after a crash. If the disk is slow
 // or fails, the write is throttled, and the token can be used again.
 func TestSpendWrittenBeforeSending(t *testing.T) {
 	secret := []byte(strings.Repeat("s", 32))
-	ring, err := links.NewRing([]links.Key{{ID: "k", Issuer: "club", Algorithm: "HS256", State: links.Signing,
+	ring, err := links.NewKeySet([]links.Key{{ID: "k", Issuer: "club", Algorithm: "HS256", State: links.Signing,
 		Private: secret, Public: secret}}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -215,7 +215,7 @@
 	} {
 		h, store := newHarness(t), &slowStore{}
 		settings := links.Defaults()
-		settings.Base, settings.Stored = linkBase, true
+		settings.Base, settings.HasStore = linkBase, true
 		block := drive.Block{On: true, From: "header", Name: "X-Link", Settings: settings}
 		var events []any
 		h.core.Guard(links.New(settings, ring, secret, h.now), block, store, func(e any) { events = append(events, e) },
--- a/internal/links/authorizer.go
+++ b/internal/links/authorizer.go
@@ -16,58 +16,58 @@
 
 // Counters count what a Door has done since its start.
 type Counters struct {
-	Reasons                    [ReasonCount]int
-	Checked, Remembered, Lived int // signatures checked; tokens found in the cache; successors issued
+	Reasons                     [ReasonCount]int
+	Checked, CacheHits, Renewed int // signatures checked; tokens found in the cache; successors issued
 }
 
-// Door authorizes downloads. It is not safe for concurrent use.
-type Door struct {
+// Authorizer authorizes downloads. It is not safe for concurrent use.
+type Authorizer struct {
 	Counters
 	settings  Settings
-	ring      *Ring
+	ring      *KeySet
 	secret    []byte
 	startedAt float64
 	shift     float64 // ms by which the wall clock is ahead of the gateway's monotonic clock; never decreases
 	replays   *replayTable
 	verified  *tokenCache
 	limiter   checkLimiter
-	spending  map[string]Spend // by download id: the token that a running download has spent
+	spending  map[string]SpentToken // by download id: the token that a running download has spent
 }
 
 // New returns a Door. The secret keys the hashes of its tables and must differ at each start.
-func New(s Settings, r *Ring, secret []byte, at float64) *Door {
-	return &Door{settings: s, ring: r, secret: secret, startedAt: at, replays: newReplayTable(s.Memory), verified: newTokenCache(s.Memory),
-		limiter: checkLimiter{perSource: s.Checks, total: s.AllChecks}, spending: map[string]Spend{}}
+func New(s Settings, r *KeySet, secret []byte, at float64) *Authorizer {
+	return &Authorizer{settings: s, ring: r, secret: secret, startedAt: at, replays: newReplayTable(s.Memory), verified: newTokenCache(s.Memory),
+		limiter: checkLimiter{perSource: s.ChecksPerSource, total: s.ChecksTotal}, spending: map[string]SpentToken{}}
 }
 
-// Keys replaces the key ring. Downloads that were admitted continue; later ones are checked against the new ring.
-func (d *Door) Keys(r *Ring) { d.ring = r }
+// SetKeys replaces the key ring. Downloads that were admitted continue; later ones are checked against the new ring.
+func (d *Authorizer) SetKeys(r *KeySet) { d.ring = r }
 
-// Change replaces the settings. The tables keep their size until the next start.
-func (d *Door) Change(s Settings) {
+// SetSettings replaces the settings. The tables keep their size until the next start.
+func (d *Authorizer) SetSettings(s Settings) {
 	s.Memory = d.settings.Memory
 	d.settings = s
-	d.limiter.perSource, d.limiter.total = s.Checks, s.AllChecks
+	d.limiter.perSource, d.limiter.total = s.ChecksPerSource, s.ChecksTotal
 }
 
-// Wall reports a reading of the wall clock. A jump forward is followed at once. A jump back is ignored until the next
+// SetWallClock reports a reading of the wall clock. A jump forward is followed at once. A jump back is ignored until the next
 // start, as following it would make expired tokens valid again.
-func (d *Door) Wall(at, wall float64) { d.shift = max(d.shift, wall-at) }
+func (d *Authorizer) SetWallClock(at, wall float64) { d.shift = max(d.shift, wall-at) }
 
 // Restore enters a token that was spent before this start into the replay table.
-func (d *Door) Restore(s Spend, now float64) {
+func (d *Authorizer) Restore(s SpentToken, now float64) {
 	if s.Expires > now {
 		d.replays.use(s.Key, now, s.Expires, 1)
 	}
 }
 
-// Ended reports that a download has its final answer. If none of its pulls can have run (harmless), the token that it spent
+// DownloadEnded reports that a download has its final answer. If none of its pulls can have run (harmless), the token that it spent
 // is usable again, and the spend to be deleted from the store is returned.
-func (d *Door) Ended(id string, harmless bool) (released Spend, ok bool) {
+func (d *Authorizer) DownloadEnded(id string, harmless bool) (released SpentToken, ok bool) {
 	s, spent := d.spending[id]
 	delete(d.spending, id)
 	if !spent || !harmless {
-		return Spend{}, false
+		return SpentToken{}, false
 	}
 	d.replays.release(s.Key)
 	return s, true
@@ -75,7 +75,7 @@
 
 // Admit decides on a download. The cheapest checks come first: no signature is checked if the token's form, issuer, key or
 // times rule it out, and none is checked twice while the token is cached.
-func (d *Door) Admit(a Ask) Verdict {
+func (d *Authorizer) Admit(a Request) Verdict {
 	v, err := d.admit(a)
 	if err != nil {
 		v = Verdict{Reason: err.Reason, Claim: err.Claim}
@@ -85,7 +85,7 @@
 }
 
 // Explain decides like Admit, and returns an error that names the first claim that failed and why. It is for operators.
-func (d *Door) Explain(a Ask) error {
+func (d *Authorizer) Explain(a Request) error {
 	if _, err := d.admit(a); err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 	return text, nil
 }
 
-func (d *Door) admit(a Ask) (Verdict, *TokenError) {
+func (d *Authorizer) admit(a Request) (Verdict, *TokenError) {
 	now := a.At + d.shift
 	uri := d.requestURI(a)
 	if a.Token == "" {
@@ -140,7 +140,7 @@
 	var err *TokenError
 	if k != nil {
 		if k, err = d.recheck(k, now); err == nil {
-			d.Remembered++
+			d.CacheHits++
 		}
 	} else if d.settings.Form == "compact" {
 		k, err = d.verifyCompact(a, key, now)
@@ -163,7 +163,7 @@
 }
 
 // requestURI is the URI that a download's link must match.
-func (d *Door) requestURI(a Ask) string {
+func (d *Authorizer) requestURI(a Request) string {
 	return URI(d.settings.Base, a.Type, a.Object, a.Part)
 }
 
@@ -174,7 +174,7 @@
 }
 
 // recheck checks what may have changed for a cached token: the state of its key, and the time.
-func (d *Door) recheck(k *cachedToken, now float64) (*cachedToken, *TokenError) {
+func (d *Authorizer) recheck(k *cachedToken, now float64) (*cachedToken, *TokenError) {
 	key := d.ring.keys[k.kid]
 	if key == nil {
 		return nil, tokenErrorf(UnknownKey, "kid", "%.64q", k.kid)
@@ -186,7 +186,7 @@
 }
 
 // checkTimes checks exp, nbf and iat, with tolerance for clock skew (RFC 7519, sections 4.1.4 to 4.1.6).
-func (d *Door) checkTimes(c *Claims, now float64) *TokenError {
+func (d *Authorizer) checkTimes(c *Claims, now float64) *TokenError {
 	s := d.settings
 	switch {
 	case c.Expires == 0:
@@ -197,14 +197,14 @@
 		return tokenErrorf(NotYetValid, "nbf", "in %.0f ms", 1000*c.NotBefore-now)
 	case 1000*c.Issued-s.Skew > now:
 		return tokenErrorf(NotYetValid, "iat", "in %.0f ms", 1000*c.Issued-now)
-	case 1000*c.Expires > now+s.Longest+s.Skew:
-		return tokenErrorf(LifetimeTooLong, "exp", "in %.0f ms, %.0f at most", 1000*c.Expires-now, s.Longest)
+	case 1000*c.Expires > now+s.MaxLifetime+s.Skew:
+		return tokenErrorf(LifetimeTooLong, "exp", "in %.0f ms, %.0f at most", 1000*c.Expires-now, s.MaxLifetime)
 	}
 	return nil
 }
 
 // verifyPackage parses and checks a URI Signing Package. The signature comes after all checks that are cheaper.
-func (d *Door) verifyPackage(a Ask, cacheKey [16]byte, uri string, now float64) (*cachedToken, *TokenError) {
+func (d *Authorizer) verifyPackage(a Request, cacheKey [16]byte, uri string, now float64) (*cachedToken, *TokenError) {
 	parts := strings.Split(a.Token, ".")
 	if len(parts) != 3 {
 		return nil, tokenErrorf(Malformed, "", "%d parts, want 3", len(parts))
@@ -272,7 +272,7 @@
 }
 
 // checkClaims checks the claims that can be checked before the signature.
-func (d *Door) checkClaims(c *Claims, names []string, key *Key, now float64) *TokenError {
+func (d *Authorizer) checkClaims(c *Claims, names []string, key *Key, now float64) *TokenError {
 	if c.Issuer != key.Issuer {
 		return tokenErrorf(WrongIssuer, "iss", "%.64q, but key %s belongs to issuer %q", c.Issuer, key, key.Issuer)
 	}
@@ -303,10 +303,10 @@
 }
 
 // verifyLimited checks a signature, unless the rate limit for signature checks is reached.
-func (d *Door) verifyLimited(a Ask, now float64, verify func() error) *TokenError {
+func (d *Authorizer) verifyLimited(a Request, now float64, verify func() error) *TokenError {
 	source := d.limiter.source(digest(d.secret, "source", a.Source))
 	if !d.limiter.allow(source, now) {
-		return tokenErrorf(Busy, "", "rate limit for signature checks reached")
+		return tokenErrorf(RateLimited, "", "rate limit for signature checks reached")
 	}
 	d.Checked++
 	if err := verify(); err != nil {
@@ -317,7 +317,7 @@
 }
 
 // checkRequest checks a token against one request: URI, write flag and client. It runs again for each use of the token.
-func (d *Door) checkRequest(a Ask, k *cachedToken, uri string) *TokenError {
+func (d *Authorizer) checkRequest(a Request, k *cachedToken, uri string) *TokenError {
 	switch c := &k.claims; {
 	case !k.matchURI(uri):
 		return tokenErrorf(WrongURI, "cdniuc", "does not match %s", uri)
@@ -330,35 +330,35 @@
 }
 
 // spend counts one use of a token in the replay table. A read is counted only if Settings.Reuse limits it.
-func (d *Door) spend(a Ask, c *Claims, now float64, v *Verdict) *TokenError {
+func (d *Authorizer) spend(a Request, c *Claims, now float64, v *Verdict) *TokenError {
 	s := d.settings
-	if !a.Write && s.Reuse == 0 {
+	if !a.Write && s.MaxReads == 0 {
 		return nil
 	}
 	if c.ID == "" {
 		return tokenErrorf(Malformed, "jti", "missing")
 	}
-	maxUses := uint16(min(s.Reuse, math.MaxUint16))
+	maxUses := uint16(min(s.MaxReads, math.MaxUint16))
 	// All tokens of a chain share one key, so that a successor cannot repeat a write that its chain has run.
 	key := digest(nil, "spent", c.Issuer, cmp.Or(c.Chain, c.ID))
 	expires := 1000*c.Expires + s.Skew
 	if a.Write {
 		maxUses = 1
-		expires = max(expires, 1000*c.Issued+s.Chain+s.Skew)
-		if !s.Stored && (c.Issued == 0 || 1000*c.Issued < d.startedAt+d.shift) {
+		expires = max(expires, 1000*c.Issued+s.MaxChainAge+s.Skew)
+		if !s.HasStore && (c.Issued == 0 || 1000*c.Issued < d.startedAt+d.shift) {
 			return tokenErrorf(IssuedBeforeStart, "iat", "tokens issued before the start cannot be checked for replay")
 		}
 		if owner := spender(s.Spenders, key); owner != "" && owner != s.Name {
-			return tokenErrorf(NotThisOne, "jti", "only gateway %s may spend it", owner)
+			return tokenErrorf(OtherGateway, "jti", "only gateway %s may spend it", owner)
 		}
 	}
 	if reason, ok := d.replays.use(key, now, expires, maxUses); !ok && (a.Write || reason == Replayed) {
 		return tokenErrorf(reason, "jti", "%.64q", c.ID)
 	}
 	if a.Write {
-		d.spending[a.ID] = Spend{Key: key, Expires: expires}
-		if s.Stored {
-			v.Spend = &Spend{Key: key, Expires: expires}
+		d.spending[a.ID] = SpentToken{Key: key, Expires: expires}
+		if s.HasStore {
+			v.SpentToken = &SpentToken{Key: key, Expires: expires}
 		}
 	}
 	return nil
@@ -380,9 +380,9 @@
 // renew issues the successor of a token that is close to its expiry (RFC 9246, section 3). The successor's expiry counts
 // from that of the old token, not from now, so that concurrent requests with one token get the same successor. It never
 // exceeds the chain's limit and grants nothing that the old token did not.
-func (d *Door) renew(k *cachedToken, now float64, v *Verdict) {
+func (d *Authorizer) renew(k *cachedToken, now float64, v *Verdict) {
 	c, s := k.claims, d.settings
-	if c.Renew == 0 || c.Transport == 0 || c.Issued == 0 || 1000*c.Expires-now > s.RenewIn || d.ring.signing == nil {
+	if c.RenewSeconds == 0 || c.Transport == 0 || c.Issued == 0 || 1000*c.Expires-now > s.RenewWithin || d.ring.signing == nil {
 		return
 	}
 	if d.ring.signing.Issuer != c.Issuer { // a successor is signed only with a key of the same issuer
@@ -390,7 +390,7 @@
 	}
 	if !k.hasSuccessor || k.successorKey != d.ring.signing.ID {
 		next := c
-		next.Expires = math.Floor(min(c.Expires+c.Renew, c.Issued+s.Chain/1000))
+		next.Expires = math.Floor(min(c.Expires+c.RenewSeconds, c.Issued+s.MaxChainAge/1000))
 		if next.Expires <= c.Expires {
 			return
 		}
@@ -408,32 +408,32 @@
 			return
 		}
 		k.successor, k.successorKey, k.hasSuccessor = token, d.ring.signing.ID, true
-		d.Lived++
+		d.Renewed++
 	}
-	v.Token, v.Store = k.successor, c.Transport
-	v.Path = cookiePath(d.settings.Base, k.claims.Depth)
+	v.Token, v.Transport = k.successor, c.Transport
+	v.Path = cookiePath(d.settings.Base, k.claims.CookieDepth)
 }
 
-// Sent is a pull that is about to be sent to a cache node.
-type Sent struct {
+// Pull is a pull that is about to be sent to a cache node.
+type Pull struct {
 	At           float64
 	ID           string // of the download
-	Pull         int
+	Number       int
 	Node, Source string
 	Type, Object string
 	Part         int64
 	Write        bool
 }
 
-// ForBox issues a link for one pull. It is valid for that cache node and the node's source, for that part, and for a short
+// SignPull issues a link for one pull. It is valid for that cache node and the node's source, for that part, and for a short
 // time. It is empty if cache nodes need no links, or if there is no signing key.
-func (d *Door) ForBox(s Sent) string {
-	if d.settings.Boxes == 0 || d.ring.signing == nil {
+func (d *Authorizer) SignPull(s Pull) string {
+	if d.settings.NodeLinkLifetime == 0 || d.ring.signing == nil {
 		return ""
 	}
 	now := (s.At + d.shift) / 1000
-	c := Claims{Subject: d.settings.Name, Audience: []string{s.Node}, Issued: now, Expires: now + d.settings.Boxes/1000,
-		ID: s.ID + "." + strconv.Itoa(s.Pull), URI: Hash(URI(d.settings.Base, s.Type, s.Object, s.Part)), Write: s.Write}
+	c := Claims{Subject: d.settings.Name, Audience: []string{s.Node}, Issued: now, Expires: now + d.settings.NodeLinkLifetime/1000,
+		ID: s.ID + "." + strconv.Itoa(s.Number), URI: Hash(URI(d.settings.Base, s.Type, s.Object, s.Part)), Write: s.Write}
 	if s.Source != "" && s.Source != s.Node {
 		c.Audience = append(c.Audience, s.Source)
 	}
--- a/internal/links/claims.go
+++ b/internal/links/claims.go
@@ -15,22 +15,22 @@
 
 // Claims are the claims of a URI Signing Package (RFC 9246, section 2.1). Seconds are NumericDates of RFC 7519.
 type Claims struct {
-	Issuer    string   // iss
-	Subject   string   // sub
-	Audience  []string // aud
-	Expires   float64  // exp, s; 0: absent
-	NotBefore float64  // nbf, s
-	Issued    float64  // iat, s
-	ID        string   // jti
-	Version   float64  // cdniv; absent or 1
-	Critical  string   // cdnicrit
-	Client    string   // cdniip: a JWE with an address or a prefix
-	URI       string   // cdniuc: hash:... or regex:...
-	Renew     float64  // cdniets, s by which a successor's expiry is later
-	Transport int      // cdnistt: 0 none, 1 cookie
-	Depth     int      // cdnistd: number of path segments of the cookie
-	Write     bool     // pm_write: the token admits one write that its URI container matches, and no read
-	Chain     string   // pm_chain: jti of the first token of its renewal chain
+	Issuer       string   // iss
+	Subject      string   // sub
+	Audience     []string // aud
+	Expires      float64  // exp, s; 0: absent
+	NotBefore    float64  // nbf, s
+	Issued       float64  // iat, s
+	ID           string   // jti
+	Version      float64  // cdniv; absent or 1
+	Critical     string   // cdnicrit
+	Client       string   // cdniip: a JWE with an address or a prefix
+	URI          string   // cdniuc: hash:... or regex:...
+	RenewSeconds float64  // cdniets, s by which a successor's expiry is later
+	Transport    int      // cdnistt: 0 none, 1 cookie
+	CookieDepth  int      // cdnistd: number of path segments of the cookie
+	Write        bool     // pm_write: the token admits one write that its URI container matches, and no read
+	Chain        string   // pm_chain: jti of the first token of its renewal chain
 }
 
 // Private claims. They are listed in cdnicrit, so that a verifier that does not know them refuses the token.
@@ -188,7 +188,7 @@
 	fields := map[string]func(any) error{
 		"iss": stringField(&c.Issuer), "sub": stringField(&c.Subject), "jti": stringField(&c.ID), "exp": numberField(&c.Expires, 1, maxNumericDate),
 		"nbf": numberField(&c.NotBefore, 0, maxNumericDate), "iat": numberField(&c.Issued, 1, maxNumericDate), "cdniv": numberField(&c.Version, 0, 1000),
-		"cdnicrit": stringField(&c.Critical), "cdniip": stringField(&c.Client), "cdniuc": stringField(&c.URI), "cdniets": numberField(&c.Renew, 0, maxNumericDate),
+		"cdnicrit": stringField(&c.Critical), "cdniip": stringField(&c.Client), "cdniuc": stringField(&c.URI), "cdniets": numberField(&c.RenewSeconds, 0, maxNumericDate),
 		"cdnistt": numberField(&transport, 0, 255), "cdnistd": numberField(&depth, 0, 255), claimChain: stringField(&c.Chain),
 		claimWrite: func(v any) error {
 			on, ok := v.(bool)
@@ -219,7 +219,7 @@
 		}
 		return nil // RFC 7519, section 4: unknown claims are ignored; cdnicrit is checked later
 	})
-	c.Transport, c.Depth = int(transport), int(depth)
+	c.Transport, c.CookieDepth = int(transport), int(depth)
 	return c, names, err
 }
 
@@ -246,9 +246,9 @@
 	put("cdnicrit", c.Critical, c.Critical != "")
 	put("cdniip", c.Client, c.Client != "")
 	put("cdniuc", c.URI, c.URI != "")
-	put("cdniets", c.Renew, c.Renew > 0)
+	put("cdniets", c.RenewSeconds, c.RenewSeconds > 0)
 	put("cdnistt", c.Transport, c.Transport > 0)
-	put("cdnistd", c.Depth, c.Depth > 0)
+	put("cdnistd", c.CookieDepth, c.CookieDepth > 0)
 	put(claimWrite, true, c.Write)
 	put(claimChain, c.Chain, c.Chain != "")
 	text, err := json.Marshal(m) // Marshal sorts the names
--- a/internal/links/compact.go
+++ b/internal/links/compact.go
@@ -12,7 +12,7 @@
 // and with nothing else, so that a token has no second valid spelling. The signature is HMAC-SHA-256, base64url, over the
 // URI with the query up to the signature, or over the query alone if a prefix (base64url) replaces the URI. The form names
 // no client and has no id that could be spent, so it admits reads only.
-func (d *Door) verifyCompact(a Ask, cacheKey [16]byte, now float64) (*cachedToken, *TokenError) {
+func (d *Authorizer) verifyCompact(a Request, cacheKey [16]byte, now float64) (*cachedToken, *TokenError) {
 	if a.Write {
 		return nil, tokenErrorf(WrongMethod, "", "the compact form does not admit writes")
 	}
@@ -99,8 +99,8 @@
 	return fields, before, nil
 }
 
-// Compact issues a token in the query form: for one URI, or for all URIs with a prefix.
-func (r *Ring) Compact(uri, prefix string, expires float64) (string, error) {
+// SignCompact issues a token in the query form: for one URI, or for all URIs with a prefix.
+func (r *KeySet) SignCompact(uri, prefix string, expires float64) (string, error) {
 	k := r.signing
 	if k == nil || k.Algorithm != "HS256" {
 		return "", errors.New("no key of HS256 signs")
--- a/internal/links/drive/drive.go
+++ b/internal/links/drive/drive.go
@@ -37,14 +37,14 @@
 		operator.Attr("form", operator.OneOf(&s.Form, "uri-signing", "compact")),
 		operator.Attr("from", operator.OneOf(&b.From, "query", "header", "cookie")), operator.Attr("name", operator.Text(&b.Name)),
 		operator.Attr("audience", operator.Texts(&s.Audience)), operator.Attr("skew", operator.Span(&s.Skew, 0, time.Minute)),
-		operator.Attr("longest", operator.Span(&s.Longest, time.Second, 30*24*time.Hour)),
-		operator.Attr("chain", operator.Span(&s.Chain, time.Second, 30*24*time.Hour)),
-		operator.Attr("renew_within", operator.Span(&s.RenewIn, 0, 24*time.Hour)), operator.Attr("reuse", operator.Whole(&s.Reuse, 0, 60_000)),
-		operator.Attr("memory", operator.Size(&memory, 1<<12, 1<<32)), operator.Attr("checks", operator.Number(&s.Checks, 1, 1e6)),
-		operator.Attr("all_checks", operator.Number(&s.AllChecks, 1, 1e6)), operator.Attr("spenders", operator.Texts(&s.Spenders)),
-		operator.Attr("store", operator.Text(&b.Store)), operator.Attr("boxes", operator.Span(&s.Boxes, time.Second, time.Hour)),
+		operator.Attr("longest", operator.Span(&s.MaxLifetime, time.Second, 30*24*time.Hour)),
+		operator.Attr("chain", operator.Span(&s.MaxChainAge, time.Second, 30*24*time.Hour)),
+		operator.Attr("renew_within", operator.Span(&s.RenewWithin, 0, 24*time.Hour)), operator.Attr("reuse", operator.Whole(&s.MaxReads, 0, 60_000)),
+		operator.Attr("memory", operator.Size(&memory, 1<<12, 1<<32)), operator.Attr("checks", operator.Number(&s.ChecksPerSource, 1, 1e6)),
+		operator.Attr("all_checks", operator.Number(&s.ChecksTotal, 1, 1e6)), operator.Attr("spenders", operator.Texts(&s.Spenders)),
+		operator.Attr("store", operator.Text(&b.Store)), operator.Attr("boxes", operator.Span(&s.NodeLinkLifetime, time.Second, time.Hour)),
 		operator.Check(func() error {
-			s.Memory, s.Stored = int(memory), b.Store != ""
+			s.Memory, s.HasStore = int(memory), b.Store != ""
 			if strings.HasSuffix(s.Base, "/") {
 				return errors.New("base: ends in a slash")
 			}
@@ -57,7 +57,7 @@
 }
 
 // Ring reads the block's key file.
-func (b *Block) Ring() (*links.Ring, error) {
+func (b *Block) Ring() (*links.KeySet, error) {
 	_, ring, err := keyfile.Read(b.Keys)
 	return ring, err
 }
--- a/internal/links/drive/drive_test.go
+++ b/internal/links/drive/drive_test.go
@@ -24,14 +24,14 @@
 	os.Exit(m.Run())
 }
 
-func testSpend(n int) links.Spend {
-	return links.Spend{Key: [16]byte{byte(n), byte(n >> 8), 1}, Expires: 2e12}
+func testSpend(n int) links.SpentToken {
+	return links.SpentToken{Key: [16]byte{byte(n), byte(n >> 8), 1}, Expires: 2e12}
 }
 
 // runKilledWriter writes spends one by one and prints each that is confirmed. It kills its own process with SIGKILL the
 // third time that it reaches a step.
 func runKilledWriter(path, step string) {
-	s, err := OpenStore(path, 1e12, func(links.Spend) {})
+	s, err := OpenStore(path, 1e12, func(links.SpentToken) {})
 	if err != nil {
 		fmt.Println("error", err)
 		return
@@ -76,8 +76,8 @@
 			written++
 		}
 		cmd.Wait()
-		stored := map[links.Spend]bool{}
-		s, err := OpenStore(path, 1e12, func(x links.Spend) { stored[x] = true })
+		stored := map[links.SpentToken]bool{}
+		s, err := OpenStore(path, 1e12, func(x links.SpentToken) { stored[x] = true })
 		if err != nil {
 			t.Fatalf("killed when %s: %v", step, err)
 		}
@@ -96,9 +96,9 @@
 // Entries that were removed or have expired are absent after a restart. A file that is not a store is refused.
 func TestStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spent.db")
-	open := func(now float64) (*Store, map[links.Spend]bool) {
-		stored := map[links.Spend]bool{}
-		s, err := OpenStore(path, now, func(x links.Spend) { stored[x] = true })
+	open := func(now float64) (*Store, map[links.SpentToken]bool) {
+		stored := map[links.SpentToken]bool{}
+		s, err := OpenStore(path, now, func(x links.SpentToken) { stored[x] = true })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -184,7 +184,7 @@
 	changes, ended := make(chan bool, 9), make(chan error)
 	go func() { ended <- Watch(ctx, path, func() { changes <- true }) }()
 	time.Sleep(50 * time.Millisecond) // the watch has to be running before the first change, and must then miss none
-	var ring *links.Ring
+	var ring *links.KeySet
 	for range 3 {
 		if err := f.Rotate(); err != nil {
 			t.Fatal(err)
@@ -207,8 +207,8 @@
 			t.Fatal(err)
 		}
 	}
-	if ring.Signs() != "k2" || f.Rotate() == nil {
-		t.Errorf("signing key: %s", ring.Signs())
+	if ring.SigningKeyID() != "k2" || f.Rotate() == nil {
+		t.Errorf("signing key: %s", ring.SigningKeyID())
 	}
 	cancel()
 	if err := <-ended; err != nil {
--- a/internal/links/drive/store.go
+++ b/internal/links/drive/store.go
@@ -24,7 +24,7 @@
 
 // change is a queued write: spend is stored or, with remove, deleted.
 type change struct {
-	spend  links.Spend
+	spend  links.SpentToken
 	remove bool
 	done   func(error)
 }
@@ -44,7 +44,7 @@
 )
 
 // OpenStore opens or creates a store, and calls restore for each entry that has not expired.
-func OpenStore(path string, now float64, restore func(links.Spend)) (*Store, error) {
+func OpenStore(path string, now float64, restore func(links.SpentToken)) (*Store, error) {
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second})
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", path, err)
@@ -70,7 +70,7 @@
 			if len(k) != 16 || len(v) != 8 {
 				return fmt.Errorf("entry has a key of %d bytes and a value of %d bytes", len(k), len(v))
 			}
-			spend := links.Spend{Key: [16]byte(k), Expires: math.Float64frombits(binary.BigEndian.Uint64(v))}
+			spend := links.SpentToken{Key: [16]byte(k), Expires: math.Float64frombits(binary.BigEndian.Uint64(v))}
 			if spend.Expires > now {
 				restore(spend)
 			}
@@ -85,12 +85,12 @@
 
 // Write queues a spend to be stored. It never blocks. done is called once, from another goroutine, when the spend is on the
 // disk or could not be written.
-func (s *Store) Write(spend links.Spend, done func(error)) {
+func (s *Store) Write(spend links.SpentToken, done func(error)) {
 	s.enqueue(change{spend: spend, done: done})
 }
 
 // Back queues the deletion of a spend whose download never ran. Losing the deletion is harmless: the token just stays spent.
-func (s *Store) Back(spend links.Spend) {
+func (s *Store) Back(spend links.SpentToken) {
 	s.enqueue(change{spend: spend, remove: true, done: func(error) {}})
 }
 
--- a/internal/links/keyfile/keyfile.go
+++ b/internal/links/keyfile/keyfile.go
@@ -26,7 +26,7 @@
 }
 
 // Read reads and validates a key file.
-func Read(path string) (*File, *links.Ring, error) {
+func Read(path string) (*File, *links.KeySet, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, nil, err
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	ring, err := links.NewRing(f.Keys, f.Secret)
+	ring, err := links.NewKeySet(f.Keys, f.Secret)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -153,7 +153,7 @@
 // Write replaces a key file atomically, and syncs it before the rename: after a crash either the old or the new file is there.
 // Invalid keys are not written.
 func Write(path string, f *File) error {
-	if _, err := links.NewRing(f.Keys, f.Secret); err != nil {
+	if _, err := links.NewKeySet(f.Keys, f.Secret); err != nil {
 		return err
 	}
 	var b strings.Builder
--- a/internal/links/keys.go
+++ b/internal/links/keys.go
@@ -55,22 +55,22 @@
 	minSecretBytes = 32 // minimum for HS256 (RFC 7518, section 3.2)
 )
 
-// Ring is a validated set of keys. It is replaced as a whole.
-type Ring struct {
+// KeySet is a validated set of keys. It is replaced as a whole.
+type KeySet struct {
 	keys          map[string]*Key
 	signing       *Key
 	addressSecret []byte // A256GCM key for cdniip; nil: cdniip can be neither issued nor read
 }
 
-// NewRing validates keys and makes a ring of them. The error names the key and what is wrong with it.
-func NewRing(keys []Key, addressSecret []byte) (*Ring, error) {
+// NewKeySet validates keys and makes a ring of them. The error names the key and what is wrong with it.
+func NewKeySet(keys []Key, addressSecret []byte) (*KeySet, error) {
 	if len(keys) == 0 || len(keys) > maxKeys {
 		return nil, fmt.Errorf("keys: %d, want 1 to %d", len(keys), maxKeys)
 	}
 	if len(addressSecret) != 0 && len(addressSecret) != 32 {
 		return nil, fmt.Errorf("address_secret: %d bytes, want 32", len(addressSecret))
 	}
-	r := &Ring{keys: map[string]*Key{}, addressSecret: addressSecret}
+	r := &KeySet{keys: map[string]*Key{}, addressSecret: addressSecret}
 	for _, k := range keys {
 		if err := k.check(); err != nil {
 			return nil, fmt.Errorf("key %q: %w", k.ID, err)
@@ -125,8 +125,8 @@
 // verifies reports whether signatures of the key are accepted.
 func (k *Key) verifies() bool { return k.State <= Verifying }
 
-// Names returns a description of each key, sorted by id.
-func (r *Ring) Names() (all []string) {
+// Describe returns a description of each key, sorted by id.
+func (r *KeySet) Describe() (all []string) {
 	for _, k := range r.keys {
 		all = append(all, k.String())
 	}
@@ -134,8 +134,8 @@
 	return all
 }
 
-// Signs returns the id of the signing key; empty if there is none.
-func (r *Ring) Signs() string {
+// SigningKeyID returns the id of the signing key; empty if there is none.
+func (r *KeySet) SigningKeyID() string {
 	if r.signing == nil {
 		return ""
 	}
@@ -153,7 +153,7 @@
 }
 
 // Sign issues a token with the signing key.
-func (r *Ring) Sign(c Claims) (string, error) {
+func (r *KeySet) Sign(c Claims) (string, error) {
 	k := r.signing
 	if k == nil {
 		return "", errors.New("no key signs")
@@ -175,7 +175,7 @@
 }
 
 // SealAddress encrypts an address or prefix for cdniip (RFC 9246, section 2.1.10: a JWE in compact form).
-func (r *Ring) SealAddress(prefix string) (string, error) {
+func (r *KeySet) SealAddress(prefix string) (string, error) {
 	if r.addressSecret == nil {
 		return "", errors.New("address_secret: none")
 	}
@@ -191,7 +191,7 @@
 }
 
 // decryptAddress decrypts the value of cdniip.
-func (r *Ring) decryptAddress(sealed string) (string, error) {
+func (r *KeySet) decryptAddress(sealed string) (string, error) {
 	if r.addressSecret == nil {
 		return "", errors.New("no address can be read here")
 	}
--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Ask is a download to be authorized.
-type Ask struct {
+// Request is a download to be authorized.
+type Request struct {
 	At     float64 // on the gateway's monotonic clock, as Unix ms
 	Source string  // address of the client, without port; empty if the front end does not pass it
 	Token  string  // as the front end passes it; empty if the request has none
@@ -27,17 +27,17 @@
 
 // Verdict is the decision on an Ask.
 type Verdict struct {
-	Reason Reason // Admitted, or the reason of the refusal
-	Claim  string // the first claim that failed, for operators; never sent to the client
-	Client string // sub of the token
-	Spend  *Spend // to be stored before anything is sent, if there is a store; nil: nothing to store
-	Token  string // the successor token to send with the response; empty: none
-	Store  int    // how the successor is carried (cdnistt): 1 is a cookie
-	Path   string // of the cookie, from cdnistd
+	Reason     Reason      // Admitted, or the reason of the refusal
+	Claim      string      // the first claim that failed, for operators; never sent to the client
+	Client     string      // sub of the token
+	SpentToken *SpentToken // to be stored before anything is sent, if there is a store; nil: nothing to store
+	Token      string      // the successor token to send with the response; empty: none
+	Transport  int         // how the successor is carried (cdnistt): 1 is a cookie
+	Path       string      // of the cookie, from cdnistd
 }
 
-// Spend records a token that a download has used up.
-type Spend struct {
+// SpentToken records a token that a download has used up.
+type SpentToken struct {
 	Key     [16]byte
 	Expires float64
 }
@@ -64,12 +64,12 @@
 	WrongURI
 	WrongMethod
 	WrongClient
-	Busy // the signature check was rate-limited: the one refusal for which a retry of the same request can succeed
+	RateLimited // the signature check was rate-limited: the one refusal for which a retry of the same request can succeed
 	BadSignature
 	Replayed
-	NoMemory          // the replay table is full, so a download that must not run twice is refused
+	ReplayTableFull   // the replay table is full, so a download that must not run twice is refused
 	IssuedBeforeStart // issued before this gateway started; it has no record of tokens spent before
-	NotThisOne        // only another gateway may spend the token
+	OtherGateway      // only another gateway may spend the token
 	numReasons
 )
 
@@ -84,21 +84,21 @@
 
 // Settings are the operator's settings. They hold all limits of the package.
 type Settings struct {
-	Base      string   // of every URI: the URI of a download is Base/TYPE/OBJECT/PART
-	Form      string   // "uri-signing" or "compact"
-	Audience  []string // names by which a token may address this gateway or its club; empty: aud must be absent
-	Skew      float64  // ms of clock skew that is tolerated
-	Longest   float64  // ms, maximum remaining lifetime of a token
-	Chain     float64  // ms from iat beyond which no successor is valid
-	RenewIn   float64  // ms before expiry from which a token gets a successor
-	Reuse     int      // downloads that a token without the write claim admits; 0: any number
-	Memory    int      // bytes for the replay table and for the cache of verified tokens, each
-	Checks    float64  // signature checks per second for one source
-	AllChecks float64  // per second for all sources without a recent good signature, and as many again for those with one
-	Name      string   // of this gateway
-	Spenders  []string // gateways that share write tokens: a hash of the token selects the one that may spend it
-	Boxes     float64  // ms lifetime of a link for a cache node; 0: pulls carry no link
-	Stored    bool     // spent tokens are stored, and read back after a restart
+	Base             string   // of every URI: the URI of a download is Base/TYPE/OBJECT/PART
+	Form             string   // "uri-signing" or "compact"
+	Audience         []string // names by which a token may address this gateway or its club; empty: aud must be absent
+	Skew             float64  // ms of clock skew that is tolerated
+	MaxLifetime      float64  // ms, maximum remaining lifetime of a token
+	MaxChainAge      float64  // ms from iat beyond which no successor is valid
+	RenewWithin      float64  // ms before expiry from which a token gets a successor
+	MaxReads         int      // downloads that a token without the write claim admits; 0: any number
+	Memory           int      // bytes for the replay table and for the cache of verified tokens, each
+	ChecksPerSource  float64  // signature checks per second for one source
+	ChecksTotal      float64  // per second for all sources without a recent good signature, and as many again for those with one
+	Name             string   // of this gateway
+	Spenders         []string // gateways that share write tokens: a hash of the token selects the one that may spend it
+	NodeLinkLifetime float64  // ms lifetime of a link for a cache node; 0: pulls carry no link
+	HasStore         bool     // spent tokens are stored, and read back after a restart
 }
 
 // Limits on the form of a token.
@@ -114,8 +114,8 @@
 
 // Defaults returns settings for a site of medium size.
 func Defaults() Settings {
-	return Settings{Form: "uri-signing", Skew: 2000, Longest: float64(24 * time.Hour / time.Millisecond),
-		Chain: float64(6 * time.Hour / time.Millisecond), RenewIn: 30_000, Memory: 4 << 20, Checks: 50, AllChecks: 2000}
+	return Settings{Form: "uri-signing", Skew: 2000, MaxLifetime: float64(24 * time.Hour / time.Millisecond),
+		MaxChainAge: float64(6 * time.Hour / time.Millisecond), RenewWithin: 30_000, Memory: 4 << 20, ChecksPerSource: 50, ChecksTotal: 2000}
 }
 
 // TokenError says why a token is refused and names the first claim or field that failed.
--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -46,9 +46,9 @@
 	return k
 }
 
-func testRing(t testing.TB, keys ...Key) *Ring {
+func testRing(t testing.TB, keys ...Key) *KeySet {
 	t.Helper()
-	r, err := NewRing(keys, addressSecret)
+	r, err := NewKeySet(keys, addressSecret)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,15 +78,15 @@
 	c.Write, c.Critical, c.URI, c.Issued = true, "pm_write", Hash(URI(testBase, "renewal", testObject, 0)), testTime/1000+1
 }
 
-func readAsk(token string) Ask {
-	return Ask{At: testTime, Source: "10.0.0.7", Token: token, ID: "d1", Type: "video", Object: testObject, Part: 3}
+func readAsk(token string) Request {
+	return Request{At: testTime, Source: "10.0.0.7", Token: token, ID: "d1", Type: "video", Object: testObject, Part: 3}
 }
 
-func writeAsk(token, id string) Ask {
-	return Ask{At: testTime + 2000, Source: "10.0.0.7", Token: token, ID: id, Type: "renewal", Object: testObject, Write: true}
+func writeAsk(token, id string) Request {
+	return Request{At: testTime + 2000, Source: "10.0.0.7", Token: token, ID: id, Type: "renewal", Object: testObject, Write: true}
 }
 
-func sign(t testing.TB, r *Ring, c Claims) string {
+func sign(t testing.TB, r *KeySet, c Claims) string {
 	t.Helper()
 	token, err := r.Sign(c)
 	if err != nil {
@@ -104,7 +104,7 @@
 		t.Fatal(err)
 	}
 	elsewhere, _ := r.SealAddress("192.0.2.0/24")
-	by := func(k Key) *Ring { k.State = Signing; return testRing(t, k) }
+	by := func(k Key) *KeySet { k.State = Signing; return testRing(t, k) }
 	rewrite := func(part int, change func(string) string) string {
 		parts := strings.Split(sign(t, r, validClaims()), ".")
 		raw, _ := b64.DecodeString(parts[part])
@@ -114,7 +114,7 @@
 	token := sign(t, r, validClaims())
 	for _, c := range []struct {
 		name  string
-		ask   Ask
+		ask   Request
 		want  Reason
 		claim string
 	}{
@@ -134,8 +134,8 @@
 		{"for ever", readAsk(sign(t, r, validClaims().with(func(c *Claims) { c.Expires = testTime/1000 + 1e8 }))), LifetimeTooLong, "exp"},
 		{"another issuer", readAsk(sign(t, r, validClaims().with(func(c *Claims) { c.Issuer = "other" }))), WrongIssuer, "iss"},
 		{"another audience", readAsk(sign(t, r, validClaims().with(func(c *Claims) { c.Audience = []string{"birch"} }))), WrongAudience, "aud"},
-		{"another object", Ask{At: testTime, Token: token, Type: "video", Object: "0000000000000000", Part: 3}, WrongURI, "cdniuc"},
-		{"another type", Ask{At: testTime, Token: token, Type: "pages", Object: testObject, Part: 3}, WrongURI, "cdniuc"},
+		{"another object", Request{At: testTime, Token: token, Type: "video", Object: "0000000000000000", Part: 3}, WrongURI, "cdniuc"},
+		{"another type", Request{At: testTime, Token: token, Type: "pages", Object: testObject, Part: 3}, WrongURI, "cdniuc"},
 		{"hash of another part", readAsk(sign(t, r, validClaims().with(func(c *Claims) { c.URI = Hash(URI(testBase, "video", testObject, 4)) }))), WrongURI, "cdniuc"},
 		{"a prefix of the URI alone", readAsk(sign(t, r, validClaims().with(func(c *Claims) { c.URI = "regex:" + testBase + "/video" }))), WrongURI, "cdniuc"},
 		{"an expression that is none", readAsk(sign(t, r, validClaims().with(func(c *Claims) { c.URI = "regex:((" }))), Malformed, "cdniuc"},
@@ -169,8 +169,8 @@
 				t.Errorf("%s, try %d: %v (%s), want %v (%s)", c.name, i+1, v.Reason, v.Claim, c.want, c.claim)
 			}
 		}
-		if c.want == Admitted && (d.Checked != 1 || d.Remembered != 1) {
-			t.Errorf("%s: %d signatures checked, %d remembered", c.name, d.Checked, d.Remembered)
+		if c.want == Admitted && (d.Checked != 1 || d.CacheHits != 1) {
+			t.Errorf("%s: %d signatures checked, %d remembered", c.name, d.Checked, d.CacheHits)
 		}
 	}
 }
@@ -180,17 +180,17 @@
 	r := testRing(t, testKey("now", "EdDSA", Signing))
 	token := sign(t, r, validClaims().with(asWrite))
 	d := New(testSettings(), r, []byte("secret"), testTime)
-	if v := d.Admit(writeAsk(token, "a")); v.Reason != Admitted || v.Spend != nil || v.Client != "member-1" {
+	if v := d.Admit(writeAsk(token, "a")); v.Reason != Admitted || v.SpentToken != nil || v.Client != "member-1" {
 		t.Fatalf("first: %+v", v)
 	}
 	if v := d.Admit(writeAsk(token, "b")); v.Reason != Replayed {
 		t.Errorf("at once: %v", v.Reason)
 	}
-	d.Ended("a", true)
+	d.DownloadEnded("a", true)
 	if v := d.Admit(writeAsk(token, "c")); v.Reason != Admitted {
 		t.Errorf("after one that never ran: %v", v.Reason)
 	}
-	d.Ended("c", false)
+	d.DownloadEnded("c", false)
 	late := writeAsk(token, "e")
 	late.At += 200_000
 	if v := d.Admit(late); v.Reason != Replayed {
@@ -207,14 +207,14 @@
 		t.Errorf("after a restart: %v", v.Reason)
 	}
 	s := testSettings()
-	s.Stored = true
+	s.HasStore = true
 	first := New(s, r, []byte("one"), testTime)
 	v := first.Admit(writeAsk(token, "h"))
-	if v.Reason != Admitted || v.Spend == nil {
+	if v.Reason != Admitted || v.SpentToken == nil {
 		t.Fatalf("with a store: %+v", v)
 	}
 	again := New(s, r, []byte("two"), testTime+1000)
-	again.Restore(*v.Spend, testTime+1000)
+	again.Restore(*v.SpentToken, testTime+1000)
 	if got := again.Admit(writeAsk(token, "i")); got.Reason != Replayed {
 		t.Errorf("after a restart with a store: %v", got.Reason)
 	}
@@ -226,7 +226,7 @@
 		switch v := New(s, r, []byte(name), testTime).Admit(writeAsk(token, "j")); v.Reason {
 		case Admitted:
 			one++
-		case NotThisOne:
+		case OtherGateway:
 		default:
 			t.Errorf("at %s: %v", name, v.Reason)
 		}
@@ -236,11 +236,11 @@
 	}
 	// A full replay table refuses writes and does not grow.
 	s = testSettings()
-	s.Memory, s.Checks = replaySlotBytes*groupSlots, 1000
+	s.Memory, s.ChecksPerSource = replaySlotBytes*groupSlots, 1000
 	full, refused := New(s, r, []byte("secret"), testTime), 0
 	for i := range 3 * groupSlots {
 		token := sign(t, r, validClaims().with(asWrite).with(func(c *Claims) { c.ID = fmt.Sprint("n", i) }))
-		if v := full.Admit(writeAsk(token, fmt.Sprint("k", i))); v.Reason == NoMemory {
+		if v := full.Admit(writeAsk(token, fmt.Sprint("k", i))); v.Reason == ReplayTableFull {
 			refused++
 		} else if v.Reason != Admitted {
 			t.Fatal(v.Reason)
@@ -255,11 +255,11 @@
 // nothing more, and can be requested repeatedly.
 func TestRenew(t *testing.T) {
 	r := testRing(t, testKey("now", "ES256", Signing))
-	near := validClaims().with(func(c *Claims) { c.Expires, c.Renew, c.Transport, c.Depth = testTime/1000+20, 60, 1, 1 })
+	near := validClaims().with(func(c *Claims) { c.Expires, c.RenewSeconds, c.Transport, c.CookieDepth = testTime/1000+20, 60, 1, 1 })
 	token := sign(t, r, near)
 	d := New(testSettings(), r, []byte("secret"), testTime)
 	a, b := d.Admit(readAsk(token)), d.Admit(readAsk(token))
-	if a.Token == "" || a.Token != b.Token || a.Store != 1 || a.Path != "/v" {
+	if a.Token == "" || a.Token != b.Token || a.Transport != 1 || a.Path != "/v" {
 		t.Fatalf("%+v and %+v", a, b)
 	}
 	v := d.Admit(readAsk(a.Token))
@@ -272,13 +272,13 @@
 		t.Errorf("%+v, %v", next, err)
 	}
 	s := testSettings()
-	s.Chain = 100_000 // 60 s have passed since iat
+	s.MaxChainAge = 100_000 // 60 s have passed since iat
 	bounded := New(s, r, []byte("secret"), testTime)
 	raw, _ = b64.DecodeString(strings.Split(bounded.Admit(readAsk(token)).Token, ".")[1])
 	if next, _, _ = parseClaims(raw); next.Expires != near.Issued+100 {
 		t.Errorf("ends %v s after its chain began", next.Expires-near.Issued)
 	}
-	s.Chain = 70_000
+	s.MaxChainAge = 70_000
 	if v := New(s, r, []byte("secret"), testTime).Admit(readAsk(token)); v.Reason != Admitted || v.Token != "" {
 		t.Errorf("at the chain's bound: %+v", v)
 	}
@@ -298,15 +298,15 @@
 	d := New(testSettings(), testRing(t, old, upcoming), []byte("secret"), testTime)
 	byOld, byNew := sign(t, testRing(t, old), validClaims()), sign(t, testRing(t, state(upcoming, Signing)), validClaims())
 	for _, c := range []struct {
-		ring        *Ring
+		ring        *KeySet
 		first, then Reason
 	}{
 		{testRing(t, old, upcoming), Admitted, Admitted}, {testRing(t, state(old, Verifying), state(upcoming, Signing)), Admitted, Admitted},
 		{testRing(t, state(old, Withdrawn), state(upcoming, Signing)), KeyInactive, Admitted}, {testRing(t, state(upcoming, Signing)), UnknownKey, Admitted},
 	} {
-		d.Keys(c.ring)
+		d.SetKeys(c.ring)
 		if a, b := d.Admit(readAsk(byOld)).Reason, d.Admit(readAsk(byNew)).Reason; a != c.first || b != c.then {
-			t.Errorf("%v: %v and %v, want %v and %v", c.ring.Names(), a, b, c.first, c.then)
+			t.Errorf("%v: %v and %v, want %v and %v", c.ring.Describe(), a, b, c.first, c.then)
 		}
 	}
 	for want, keys := range map[string][]Key{"duplicate id": {old, old}, "is already the signing key": {old, testKey("x", "ES256", Signing)},
@@ -314,7 +314,7 @@
 		"there is no private key": {{ID: "p", Issuer: "c", Algorithm: "ES256", State: Signing, Public: &ecKey.PublicKey}},
 		"not one of ES256":        {{ID: "n", Issuer: "c", Algorithm: "none"}}, "issuer: empty": {{ID: "i", Algorithm: "EdDSA", Public: edKey.Public()}},
 		"the private and public key do not match": {{ID: "m", Issuer: "c", Algorithm: "ES256", Private: edKey, Public: &ecKey.PublicKey}}} {
-		if _, err := NewRing(keys, nil); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := NewKeySet(keys, nil); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v: %v, want %q", keys, err, want)
 		}
 	}
@@ -335,7 +335,7 @@
 			parts[2] = b64.EncodeToString(fmt.Appendf(nil, "%064d", ms*20+i))
 			a := readAsk(strings.Join(parts, "."))
 			a.At, a.Source = testTime+float64(ms), fmt.Sprintf("198.51.%d.%d", i%8, ms%250)
-			if v := d.Admit(a); v.Reason != BadSignature && v.Reason != Busy {
+			if v := d.Admit(a); v.Reason != BadSignature && v.Reason != RateLimited {
 				t.Fatal(v.Reason)
 			}
 		}
@@ -362,11 +362,11 @@
 	s := testSettings()
 	s.Form = "compact"
 	uri := URI(testBase, "video", testObject, 3)
-	one, err := r.Compact(uri, "", testTime/1000+60)
+	one, err := r.SignCompact(uri, "", testTime/1000+60)
 	if err != nil {
 		t.Fatal(err)
 	}
-	all, _ := r.Compact("", testBase+"/video/"+testObject+"/", testTime/1000+60)
+	all, _ := r.SignCompact("", testBase+"/video/"+testObject+"/", testTime/1000+60)
 	for _, c := range []struct {
 		name, token string
 		part        int64
@@ -396,8 +396,8 @@
 // and no write of one chain is admitted twice.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r, _ := NewRing([]Key{testKey("now", "HS256", Signing)}, nil)
-		off, _ := NewRing([]Key{testKey("now", "HS256", Withdrawn)}, nil)
+		r, _ := NewKeySet([]Key{testKey("now", "HS256", Signing)}, nil)
+		off, _ := NewKeySet([]Key{testKey("now", "HS256", Withdrawn)}, nil)
 		d := New(testSettings(), r, []byte("secret"), testTime)
 		now, shift, valid := testTime+1000, 0.0, true
 		ran := map[string]int{}
@@ -412,11 +412,11 @@
 				now += float64(rapid.IntRange(0, 200_000).Draw(t, "ms"))
 			case 1: // the wall clock jumps; only jumps forward are followed
 				jump := float64(rapid.IntRange(-300_000, 300_000).Draw(t, "jump"))
-				d.Wall(now, now+jump)
+				d.SetWallClock(now, now+jump)
 				shift = max(shift, jump)
 			case 2:
 				valid = !valid
-				d.Keys(map[bool]*Ring{true: r, false: off}[valid])
+				d.SetKeys(map[bool]*KeySet{true: r, false: off}[valid])
 			case 3:
 				c := validClaims().with(func(c *Claims) {
 					c.ID = fmt.Sprint("t", i)
@@ -455,9 +455,9 @@
 				}
 				if may && c.Write {
 					if rapid.Bool().Draw(t, "harmless") {
-						d.Ended(a.ID, true)
+						d.DownloadEnded(a.ID, true)
 					} else {
-						d.Ended(a.ID, false)
+						d.DownloadEnded(a.ID, false)
 						ran[chain]++
 					}
 				}
@@ -468,11 +468,11 @@
 
 // No input causes a panic, and only the valid tokens themselves are admitted.
 func FuzzToken(f *testing.F) {
-	r, _ := NewRing([]Key{testKey("now", "HS256", Signing)}, addressSecret)
+	r, _ := NewKeySet([]Key{testKey("now", "HS256", Signing)}, addressSecret)
 	s := testSettings()
 	s.Memory = 1 << 16
 	token, _ := r.Sign(validClaims())
-	compact, _ := r.Compact(URI(testBase, "video", testObject, 3), "", testTime/1000+60)
+	compact, _ := r.SignCompact(URI(testBase, "video", testObject, 3), "", testTime/1000+60)
 	for _, seed := range []string{token, compact, token + ".", strings.ToUpper(token), "..", "e30.e30.e30", "Expires=1&KeyName=now&Signature=eA", token[:40] + "\x00" + token[40:]} {
 		f.Add(seed)
 	}
@@ -491,7 +491,7 @@
 		r := testRing(b, testKey("now", alg, Signing))
 		token := sign(b, r, validClaims())
 		s := testSettings()
-		s.Checks, s.AllChecks = 1e12, 1e12
+		s.ChecksPerSource, s.ChecksTotal = 1e12, 1e12
 		b.Run(alg+"/first", func(b *testing.B) {
 			d := New(s, r, []byte("secret"), testTime)
 			b.ReportAllocs()
@@ -526,7 +526,7 @@
 // Claims survive encoding and parsing unchanged.
 func TestClaimsRoundTrip(t *testing.T) {
 	c := validClaims().with(asWrite).with(func(c *Claims) {
-		c.Version, c.Renew, c.Transport, c.Depth, c.NotBefore, c.Client, c.Chain = 1, 30, 1, 2, 5, "x", "y"
+		c.Version, c.RenewSeconds, c.Transport, c.CookieDepth, c.NotBefore, c.Client, c.Chain = 1, 30, 1, 2, 5, "x", "y"
 	})
 	got, _, err := parseClaims(c.encode())
 	a, _ := json.Marshal(c)
@@ -554,10 +554,10 @@
 	}
 	c, _, err := parseClaims([]byte(`{"cdniets":30,"cdnistt":1,"cdnistd":2,"exp":1474243500,"iss":"uCDN Inc",` +
 		`"cdniuc":"regex:http://cdni\\.example/foo/bar/[0-9]{3}\\.png"}`))
-	if err != nil || c.Renew != 30 || c.Transport != 1 || c.Depth != 2 || c.Expires != 1474243500 || c.Issuer != "uCDN Inc" {
+	if err != nil || c.RenewSeconds != 30 || c.Transport != 1 || c.CookieDepth != 2 || c.Expires != 1474243500 || c.Issuer != "uCDN Inc" {
 		t.Errorf("%+v, %v", c, err)
 	}
-	if got := cookiePath("http://cdni.example/foo/bar", c.Depth); got != "/foo/bar" {
+	if got := cookiePath("http://cdni.example/foo/bar", c.CookieDepth); got != "/foo/bar" {
 		t.Error(got)
 	}
 }
@@ -569,7 +569,7 @@
 	s.use(first, testTime, testTime+1e6, 1)
 	slots, full := len(s.slots), 0
 	for i := range 1_000_000 {
-		if why, ok := s.use(digest(nil, fmt.Sprint(i)), testTime, testTime+1e6, 1); !ok && why == NoMemory {
+		if why, ok := s.use(digest(nil, fmt.Sprint(i)), testTime, testTime+1e6, 1); !ok && why == ReplayTableFull {
 			full++
 		}
 	}
--- a/internal/links/tables.go
+++ b/internal/links/tables.go
@@ -63,7 +63,7 @@
 		}
 	}
 	if free < 0 {
-		return NoMemory, false
+		return ReplayTableFull, false
 	}
 	t.slots[free] = replaySlot{key: key, expires: uint32(min(float64(^uint32(0)), expires/1000+1)), uses: 1}
 	return Admitted, true
--- a/internal/rehearsal/sockets/stage.go
+++ b/internal/rehearsal/sockets/stage.go
@@ -348,9 +348,9 @@
 	text := ""
 	if l.Base != "" {
 		text = fmt.Sprintf("links {\n  keys = %q\n  base = %q\n  audience = [%q, %q]\n  checks = %v\n  all_checks = %v\n  renew_within = \"%.0fms\"\n",
-			s.dir+"/keys.hcl", l.Base, l.Audience[0], name, l.Checks, l.AllChecks, l.RenewIn)
-		if l.Boxes > 0 {
-			text += fmt.Sprintf("  boxes = \"%.0fms\"\n", l.Boxes)
+			s.dir+"/keys.hcl", l.Base, l.Audience[0], name, l.ChecksPerSource, l.ChecksTotal, l.RenewWithin)
+		if l.NodeLinkLifetime > 0 {
+			text += fmt.Sprintf("  boxes = \"%.0fms\"\n", l.NodeLinkLifetime)
 		}
 		text += "}\n"
 	}
--- a/internal/rehearsal/virtual/virtual.go
+++ b/internal/rehearsal/virtual/virtual.go
@@ -287,7 +287,7 @@
 	if s := d.world.LinkSettings(); s.Base != "" {
 		s.Audience = append(s.Audience, c.Name)
 		g.block = drive.Block{On: true, From: "query", Name: "URISigningPackage", Settings: s}
-		ring, err := links.NewRing(d.world.LinkKeys(), nil)
+		ring, err := links.NewKeySet(d.world.LinkKeys(), nil)
 		if err != nil {
 			return err
 		}
@@ -323,7 +323,7 @@
 func (d *driver) updateKeys(g *gatewayProcess, a world.Keys) {
 	core := g.core
 	d.agenda.Add(d.now+d.world.LinkTakes(g.number), func() {
-		if ring, err := links.NewRing(a.Keys, nil); err == nil && g.core == core && core != nil {
+		if ring, err := links.NewKeySet(a.Keys, nil); err == nil && g.core == core && core != nil {
 			g.handle(gateway.Rekeyed{Ring: ring, Block: g.block})
 		}
 	})
--- a/internal/rehearsal/virtual/virtual_test.go
+++ b/internal/rehearsal/virtual/virtual_test.go
@@ -198,7 +198,7 @@
 			s.Audience = append(s.Audience, "gateway-a-a", "gateway-b-b", "gateway-c-a")
 			return true
 		}}},
-		{"signs nothing for boxes", auditor.Links, Faults{Links: func(s *links.Settings) bool { s.Boxes = 0; return true }}},
+		{"signs nothing for boxes", auditor.Links, Faults{Links: func(s *links.Settings) bool { s.NodeLinkLifetime = 0; return true }}},
 		{"ends by itself", auditor.Alive, Faults{Crash: func(g int, now float64) bool { return g == 1 && now > 3000 && now < 3200 }}},
 	} {
 		n = 0
--- a/internal/rehearsal/world/signed_links.go
+++ b/internal/rehearsal/world/signed_links.go
@@ -15,8 +15,8 @@
 // issuer signs the members' links and rotates its keys.
 type issuer struct {
 	keys     []links.Key
-	ring     *links.Ring
-	boxRing  *links.Ring // the boxes' keys, which change after the gateways' keys
+	ring     *links.KeySet
+	boxRing  *links.KeySet // the boxes' keys, which change after the gateways' keys
 	keysMade int
 }
 
@@ -31,8 +31,8 @@
 	}
 	s := links.Defaults()
 	s.Audience = []string{"club"}
-	s.Boxes = l.Boxes
-	s.Base, s.Checks, s.AllChecks, s.RenewIn = LinkBase, l.Checks, 20*l.Checks, l.Life/2
+	s.NodeLinkLifetime = l.Boxes
+	s.Base, s.ChecksPerSource, s.ChecksTotal, s.RenewWithin = LinkBase, l.Checks, 20*l.Checks, l.Life/2
 	return s
 }
 
@@ -47,7 +47,7 @@
 
 func (w *World) setKeys(keys ...links.Key) {
 	w.issuer.keys = keys
-	ring, err := links.NewRing(keys, nil)
+	ring, err := links.NewKeySet(keys, nil)
 	if err != nil {
 		panic(err) // keys made here are always valid
 	}
@@ -94,7 +94,7 @@
 			Audience: []string{"club"}, URI: "regex:" + LinkBase + "/" + op.typ.Name + "/" + op.object + "/[0-9]+"}
 		c.Expires = c.Issued + l.Life/1000
 		if l.Renew > 0 {
-			c.Renew, c.Transport = l.Renew/1000, 1
+			c.RenewSeconds, c.Transport = l.Renew/1000, 1
 		}
 		if op.typ.Write {
 			name, _, _ := w.Config(g.number)
@@ -117,9 +117,9 @@
 		return true
 	}
 	s := w.LinkSettings()
-	s.Audience, s.Stored = []string{b.id}, true
+	s.Audience, s.HasStore = []string{b.id}, true
 	s.Memory = 1 << 10
-	a := links.Ask{At: w.epoch + w.now, Token: token, ID: r.id, Type: r.typ.Name, Object: r.key.object, Part: int64(r.key.part), Write: r.typ.Write}
+	a := links.Request{At: w.epoch + w.now, Token: token, ID: r.id, Type: r.typ.Name, Object: r.key.object, Part: int64(r.key.part), Write: r.typ.Write}
 	return links.New(s, w.issuer.boxRing, []byte(b.id), 0).Admit(a).Reason == links.Admitted
 }
 
