--- a/internal/gateway/link_driver.go
+++ b/internal/gateway/link_driver.go
@@ -27,7 +27,7 @@
 	if !b.On {
 		return d, nil
 	}
-	ring, err := b.Ring()
+	ring, err := b.ReadKeys()
 	if err != nil {
 		return nil, err
 	}
@@ -81,7 +81,7 @@
 	if !b.On {
 		return nil
 	}
-	ring, err := b.Ring()
+	ring, err := b.ReadKeys()
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -29,8 +29,8 @@
 type SpendStore interface {
 	// Write stores a spent token; done is called once, from another goroutine.
 	Write(s links.SpentToken, done func(error))
-	// Back removes a spent token whose download never ran.
-	Back(s links.SpentToken)
+	// Remove removes a spent token whose download never ran.
+	Remove(s links.SpentToken)
 }
 
 // signedLinks is the core's state for signed links; nil if disabled.
@@ -134,7 +134,7 @@
 		return
 	}
 	if spend, ok := signed.admission.DownloadEnded(d.id, harmless); ok && signed.store != nil {
-		signed.store.Back(spend)
+		signed.store.Remove(spend)
 	}
 }
 
--- a/internal/gateway/links_test.go
+++ b/internal/gateway/links_test.go
@@ -183,7 +183,7 @@
 }
 
 func (s *slowStore) Write(_ links.SpentToken, done func(error)) { s.done = append(s.done, done) }
-func (s *slowStore) Back(links.SpentToken)                      { s.takenBack++ }
+func (s *slowStore) Remove(links.SpentToken)                    { s.takenBack++ }
 
 // A write must not be sent before its spent token is on disk, or it could run again after a crash. If the disk is slow
 // or fails, the write is throttled, and the token can be used again.
--- a/internal/links/drive/drive.go
+++ b/internal/links/drive/drive.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// Ring reads the block's key file.
-func (b *Block) Ring() (*links.KeySet, error) {
+// ReadKeys reads the block's key file.
+func (b *Block) ReadKeys() (*links.KeySet, error) {
 	_, ring, err := keyfile.Read(b.Keys)
 	return ring, err
 }
--- a/internal/links/drive/drive_test.go
+++ b/internal/links/drive/drive_test.go
@@ -112,7 +112,7 @@
 	for n := range 500 {
 		s.Write(testSpend(n), func(err error) { done <- err })
 	}
-	s.Back(testSpend(7))
+	s.Remove(testSpend(7))
 	for range 500 {
 		if err := <-done; err != nil {
 			t.Fatal(err)
--- a/internal/links/drive/store.go
+++ b/internal/links/drive/store.go
@@ -89,8 +89,8 @@
 	s.enqueue(change{spend: spend, done: done})
 }
 
-// Back queues the deletion of a spend whose download never ran. Losing the deletion is harmless: the token just stays spent.
-func (s *Store) Back(spend links.SpentToken) {
+// Remove queues the deletion of a spend whose download never ran. Losing the deletion is harmless: the token just stays spent.
+func (s *Store) Remove(spend links.SpentToken) {
 	s.enqueue(change{spend: spend, remove: true, done: func(error) {}})
 }
 
