--- a/cmd/poppymill/link.go
+++ b/cmd/poppymill/link.go
@@ -137,8 +137,8 @@
 	f, _, err := keyfile.Read(path)
 	if errors.Is(err, os.ErrNotExist) && cmd.Name == "new" {
 		f, err = &keyfile.File{}, nil
-		f.Secret = make([]byte, 32)
-		rand.Read(f.Secret)
+		f.AddressSecret = make([]byte, 32)
+		rand.Read(f.AddressSecret)
 	}
 	if err == nil {
 		err = apply(f)
@@ -158,7 +158,7 @@
 		if err != nil {
 			return err
 		}
-		k, err := keyfile.New(cmd.String("id"), cmd.String("issuer"), cmd.String("algorithm"), state)
+		k, err := keyfile.GenerateKey(cmd.String("id"), cmd.String("issuer"), cmd.String("algorithm"), state)
 		f.Keys = append(f.Keys, k)
 		return err
 	})
@@ -170,7 +170,7 @@
 
 func keysState(s links.State) cli.ActionFunc {
 	return func(_ context.Context, cmd *cli.Command) error {
-		return updateKeyFile(cmd, func(f *keyfile.File) error { return f.Set(cmd.String("id"), s) })
+		return updateKeyFile(cmd, func(f *keyfile.File) error { return f.SetState(cmd.String("id"), s) })
 	}
 }
 
--- a/internal/gateway/links_test.go
+++ b/internal/gateway/links_test.go
@@ -29,7 +29,7 @@
 		filepath.Join(dir, "keys.hcl"), filepath.Join(dir, "spent.db"), linkBase, true
 	f := &keyfile.File{}
 	for id, state := range map[string]links.State{"now": links.Signing, "next": links.Upcoming} {
-		k, err := keyfile.New(id, "club", "EdDSA", state)
+		k, err := keyfile.GenerateKey(id, "club", "EdDSA", state)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -148,7 +148,7 @@
 		b.Status != 200 {
 		t.Errorf("during a rotation: statuses %d and %d", a.Status, b.Status)
 	}
-	f.Set("now", links.Withdrawn)
+	f.SetState("now", links.Withdrawn)
 	if err := keyfile.Write(b.Keys, f); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/links/drive/drive_test.go
+++ b/internal/links/drive/drive_test.go
@@ -169,9 +169,9 @@
 // an error that shows no secret.
 func TestKeyFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys.hcl")
-	f := &keyfile.File{Secret: make([]byte, 32)}
+	f := &keyfile.File{AddressSecret: make([]byte, 32)}
 	for i, alg := range []string{"EdDSA", "ES256", "HS256"} {
-		k, err := keyfile.New(fmt.Sprint("k", i), "club", alg, links.Upcoming)
+		k, err := keyfile.GenerateKey(fmt.Sprint("k", i), "club", alg, links.Upcoming)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/links/keyfile/keyfile.go
+++ b/internal/links/keyfile/keyfile.go
@@ -21,8 +21,8 @@
 
 // File is the content of a key file.
 type File struct {
-	Keys   []links.Key
-	Secret []byte // encrypts client addresses in tokens (address_secret); nil: none
+	Keys          []links.Key
+	AddressSecret []byte // encrypts client addresses in tokens (address_secret); nil: none
 }
 
 // Read reads and validates a key file.
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	ring, err := links.NewKeySet(f.Keys, f.Secret)
+	ring, err := links.NewKeySet(f.Keys, f.AddressSecret)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -72,7 +72,7 @@
 				})}, nil
 		}))
 	if err == nil && secret != "" {
-		if f.Secret, err = base64.StdEncoding.DecodeString(secret); err != nil {
+		if f.AddressSecret, err = base64.StdEncoding.DecodeString(secret); err != nil {
 			err = fmt.Errorf("%s: address_secret: is no base64", path)
 		}
 	}
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// New generates a key for an algorithm.
-func New(id, issuer, algorithm string, state links.State) (k links.Key, err error) {
+// GenerateKey generates a key for an algorithm.
+func GenerateKey(id, issuer, algorithm string, state links.State) (k links.Key, err error) {
 	k = links.Key{ID: id, Issuer: issuer, Algorithm: algorithm, State: state}
 	switch algorithm {
 	case "ES256":
@@ -153,13 +153,13 @@
 // Write replaces a key file atomically, and syncs it before the rename: after a crash either the old or the new file is there.
 // Invalid keys are not written.
 func Write(path string, f *File) error {
-	if _, err := links.NewKeySet(f.Keys, f.Secret); err != nil {
+	if _, err := links.NewKeySet(f.Keys, f.AddressSecret); err != nil {
 		return err
 	}
 	var b strings.Builder
 	b.WriteString("# Keys of signed links. Whoever reads this can issue them.\nversion = 1\n")
-	if f.Secret != nil {
-		fmt.Fprintf(&b, "address_secret = %q\n", base64.StdEncoding.EncodeToString(f.Secret))
+	if f.AddressSecret != nil {
+		fmt.Fprintf(&b, "address_secret = %q\n", base64.StdEncoding.EncodeToString(f.AddressSecret))
 	}
 	for _, k := range f.Keys {
 		fmt.Fprintf(&b, "\nkey %q {\n  issuer    = %q\n  algorithm = %q\n  state     = %q\n", k.ID, k.Issuer, k.Algorithm, k.State)
@@ -237,8 +237,8 @@
 	return errors.New("keys: there is no upcoming key; add one first, and wait until all gateways have loaded it")
 }
 
-// Set sets the state of a key.
-func (f *File) Set(id string, s links.State) error {
+// SetState sets the state of a key.
+func (f *File) SetState(id string, s links.State) error {
 	for i := range f.Keys {
 		if f.Keys[i].ID == id {
 			f.Keys[i].State = s
