--- a/cmd/poppymill/serve.go
+++ b/cmd/poppymill/serve.go
@@ -67,7 +67,7 @@
 	signal.Ignore(syscall.SIGXFSZ) // exceeding the file size limit must fail the write, not end the process and all its downloads
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	return gateway.Serve(ctx, s, gateway.Reloads{Wanted: reloadSignals, Load: load}, log)
+	return gateway.Serve(ctx, s, gateway.Reloads{Signals: reloadSignals, Load: load}, log)
 }
 
 func check(_ context.Context, cmd *cli.Command) error {
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -59,14 +59,14 @@
 					return w
 				})
 			core := NewCore(c, pool, discardLogger(), now)
-			core.Handle(Told{News: list, At: now})
+			core.Handle(ChannelEvent{News: list, At: now})
 			var client discardClient
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				now += 300
 				id := fmt.Sprintf("%016x", i+1)
-				core.Handle(Asked{Client: client, ID: 1, At: now, Params: map[string]string{
+				core.Handle(RequestReceived{Client: client, ID: 1, At: now, Params: map[string]string{
 					"SCRIPT_NAME": "/invoke/video", "HTTP_X_JOB_ID": id, "HTTP_X_ALLOW_MS": "2000",
 					"HTTP_X_ITEM": fmt.Sprintf("%016x", i%5000), "HTTP_X_N": "0", "HTTP_X_SHARD": "7"}})
 				for pulls := 1 + (9-i%10)/9; pulls > 0; pulls-- {
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -23,10 +23,10 @@
 	minConnsPerSide     = 16       // minimum for clients, and for caches
 )
 
-// Share computes the budget. Clients hold at most a third of the descriptors; two fifths are allowed, as connections
+// NewBudget computes the budget. Clients hold at most a third of the descriptors; two fifths are allowed, as connections
 // that they have just closed still count here. A third of the memory is for connections, an eighth for open downloads
 // and a quarter for bodies; the rest is for the router's tables and garbage that is not collected yet.
-func Share(c *footprint.Config) Budget {
+func NewBudget(c *footprint.Config) Budget {
 	memory := c.MemoryMB<<20 - reservedMemory
 	conns := max(2*minConnsPerSide, min(c.Sockets-reservedDescriptors, memory/3/(buffer.Size+memoryPerConn)))
 	clients := max(minConnsPerSide, conns*2/5)
@@ -42,5 +42,5 @@
 func shareWithQuorum(c *footprint.Config) Budget {
 	rest := *c
 	rest.Sockets -= maxPeerConns(c) + reservedDescriptors/4
-	return Share(&rest)
+	return NewBudget(&rest)
 }
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -29,16 +29,16 @@
 
 // Events that the network side posts to a Core. At is the time at which the event happened, in Unix ms.
 type (
-	// Asked reports a request that was received completely.
-	Asked struct {
+	// RequestReceived reports a request that was received completely.
+	RequestReceived struct {
 		Client Client
 		ID     uint16
 		Params map[string]string
 		Body   *buffer.Body
 		At     float64
 	}
-	// Aborted reports a request that its client aborted.
-	Aborted struct {
+	// RequestAborted reports a request that its client aborted.
+	RequestAborted struct {
 		Client Client
 		ID     uint16
 		At     float64
@@ -48,8 +48,8 @@
 		Client Client
 		At     float64
 	}
-	// Told reports an event of the command channel.
-	Told struct {
+	// ChannelEvent reports an event of the command channel.
+	ChannelEvent struct {
 		News channel.Event
 		At   float64
 	}
@@ -132,7 +132,7 @@
 	g := &Core{config: c, log: log, warnings: &warnLimiter{log: log}, router: router.New(), pool: pool,
 		downloads: map[string]*download{},
 		clients:   map[Client]map[uint16]*download{}, probes: map[*caches.Pull]*timer{},
-		addresses: map[string]string{}, nodes: map[string]router.Entry{}, maxOpen: Share(c).Open, now: now}
+		addresses: map[string]string{}, nodes: map[string]router.Entry{}, maxOpen: NewBudget(c).Open, now: now}
 	g.emit(router.Started{Seed: c.Seed, Settings: c.RouterSettings})
 	for _, n := range c.Known {
 		g.handleChannelEvent(n)
@@ -147,34 +147,34 @@
 // Handle processes an event. Timers that were due before the event fire first.
 func (g *Core) Handle(e any) {
 	switch e := e.(type) {
-	case Asked:
-		g.Ring(e.At)
+	case RequestReceived:
+		g.Advance(e.At)
 		g.handleRequest(e)
-	case Aborted:
-		g.Ring(e.At)
+	case RequestAborted:
+		g.Advance(e.At)
 		// The request may have been answered meanwhile, and its id reused by another.
 		if d := g.clients[e.Client][e.ID]; d != nil {
 			g.cancel(d)
 			e.Client.Answer(e.ID, clients.Answer{NoResponse: true})
 		}
 	case ClientClosed:
-		g.Ring(e.At)
+		g.Advance(e.At)
 		for _, id := range slices.Sorted(maps.Keys(g.clients[e.Client])) {
 			g.cancel(g.clients[e.Client][id])
 		}
-	case Told:
-		g.Ring(e.At)
+	case ChannelEvent:
+		g.Advance(e.At)
 		g.handleChannelEvent(e.News)
-	case Ahead:
-		g.Ring(e.At)
+	case Prefetch:
+		g.Advance(e.At)
 		g.prefetch(e)
 	case DrainNodes:
-		g.Ring(e.At)
+		g.Advance(e.At)
 		g.drainNodes(e)
 	case ApplyMarks:
-		g.Ring(e.At)
+		g.Advance(e.At)
 		g.applyMarks(e)
-	case Rekeyed:
+	case KeysReloaded:
 		if g.links != nil {
 			g.links.block = e.Block
 			g.links.admission.SetSettings(e.Block.Settings)
@@ -186,22 +186,22 @@
 			g.fair.gate.Weights(e.Block.Settings.Weights)
 		}
 	case SpendWritten:
-		g.Ring(e.At)
+		g.Advance(e.At)
 		g.spendWritten(e)
 	case caches.Up:
 		g.pool.Handle(e)
 	case caches.Replied:
-		g.Ring(e.At)
+		g.Advance(e.At)
 		g.pool.Handle(e)
 	case caches.Down:
-		g.Ring(e.At)
+		g.Advance(e.At)
 		g.pool.Handle(e)
 	}
 	g.dispatch()
 }
 
-// Ring advances the clock to now and fires all timers that are due.
-func (g *Core) Ring(now float64) {
+// Advance advances the clock to now and fires all timers that are due.
+func (g *Core) Advance(now float64) {
 	g.now = max(g.now, now)
 	for len(g.timers) > 0 && g.timers[0].at <= g.now {
 		t := g.timers.pop()
@@ -228,9 +228,9 @@
 	}
 }
 
-// Watch runs the periodic checks: for connections that no longer respond, load reports and drained nodes.
-func (g *Core) Watch(now float64) {
-	g.Ring(now)
+// RunChecks runs the periodic checks: for connections that no longer respond, load reports and drained nodes.
+func (g *Core) RunChecks(now float64) {
+	g.Advance(now)
 	g.pool.CheckStalled(now)
 	g.dispatch()
 	g.meter.reportIfDue(now)
@@ -254,9 +254,9 @@
 	g.emit(router.ClientGone{ID: d.id})
 }
 
-// Drift describes the router's view of the nodes next to the pulls that are open on the sockets, and reports whether
+// RouterDrift describes the router's view of the nodes next to the pulls that are open on the sockets, and reports whether
 // the two differ. The limiters and budgets depend on the router's view.
-func (g *Core) Drift() (text string, drifts bool) {
+func (g *Core) RouterDrift() (text string, drifts bool) {
 	for _, b := range g.router.NodeViews() {
 		open := g.pool.InFlight(b.Node)
 		drifts = drifts || b.InFlight != open
@@ -281,12 +281,12 @@
 // limiterLogThreshold is the limit below which a limiter is logged: it was lowered because answers came late.
 const limiterLogThreshold = 1e6
 
-// Leave makes the health check fail, so that the front sends no further clients.
-func (g *Core) Leave() { g.shuttingDown = true }
+// StartShutdown makes the health check fail, so that the front sends no further clients.
+func (g *Core) StartShutdown() { g.shuttingDown = true }
 
-// End answers all open downloads; later requests are turned away.
-func (g *Core) End(now float64) {
-	g.Ring(now)
+// Shutdown answers all open downloads; later requests are turned away.
+func (g *Core) Shutdown(now float64) {
+	g.Advance(now)
 	g.stopped = true
 	for _, id := range slices.Sorted(maps.Keys(g.downloads)) {
 		if d := g.downloads[id]; !d.answered && len(d.pulls) == 0 {
@@ -434,7 +434,7 @@
 const healthPath = "/_health"
 
 // handleRequest validates a request and starts its download.
-func (g *Core) handleRequest(e Asked) {
+func (g *Core) handleRequest(e RequestReceived) {
 	path := e.Params["SCRIPT_NAME"]
 	if path == healthPath {
 		e.Body.Release()
--- a/internal/gateway/core_ordering_test.go
+++ b/internal/gateway/core_ordering_test.go
@@ -14,14 +14,14 @@
 func TestNothingSentAfterEnd(t *testing.T) {
 	for name, end := range map[string]func(h *harness){
 		"the client aborts it": func(h *harness) {
-			h.core.Handle(Aborted{Client: h.clients[0], ID: 1, At: h.now})
+			h.core.Handle(RequestAborted{Client: h.clients[0], ID: 1, At: h.now})
 		},
 		"the client closes": func(h *harness) {
 			h.requests["0000000000000001"].gone = true
 			h.core.Handle(ClientClosed{Client: h.clients[0], At: h.now})
 		},
-		"the process ends": func(h *harness) { h.core.End(h.now) },
-		"its expiry":       func(h *harness) { h.core.Ring(h.now + 500) },
+		"the process ends": func(h *harness) { h.core.Shutdown(h.now) },
+		"its expiry":       func(h *harness) { h.core.Advance(h.now + 500) },
 	} {
 		c := testConfig(t)
 		c.CancelPulls, c.RouterSettings["call off"] = false, false
@@ -33,7 +33,7 @@
 		end(h)
 		h.wires[0].deliver()
 		h.now += 10_000
-		h.core.Ring(h.now)
+		h.core.Advance(h.now)
 		h.checkSettled()
 		for _, text := range h.faults {
 			t.Errorf("%s: %s", name, text)
@@ -54,15 +54,15 @@
 		if written {
 			h.wires[len(h.wires)-1].deliver()
 		}
-		h.core.Ring(h.now + 99)
+		h.core.Advance(h.now + 99)
 		if p.cachePull == nil {
 			t.Errorf("written %t: ended before its window", written)
 		}
-		h.core.Ring(h.now + 100)
+		h.core.Advance(h.now + 100)
 		if over := p.cachePull == nil; over == written {
 			t.Errorf("written %t: ended %t", written, over)
 		}
-		h.core.Ring(h.now + 10_000)
+		h.core.Advance(h.now + 10_000)
 		if n := len(h.core.downloads); n > 0 {
 			t.Errorf("written %t: %d downloads are left over", written, n)
 		}
@@ -88,7 +88,7 @@
 		for _, n := range list {
 			h.notRunning[n.Node] = n.State != router.Running
 		}
-		h.core.Handle(Told{News: channel.Event{Scope: scope, Nodes: list}, At: h.now})
+		h.core.Handle(ChannelEvent{News: channel.Event{Scope: scope, Nodes: list}, At: h.now})
 	}
 	withState := func(n channel.Node, s router.State) channel.Node {
 		n.State = s
@@ -167,7 +167,7 @@
 			}
 		}
 		h.now += 10_000
-		h.core.Ring(h.now)
+		h.core.Advance(h.now)
 		for _, w := range h.wires {
 			for len(w.open) > 0 && !w.broken {
 				h.reply(w, 0, "DONE")
--- a/internal/gateway/core_test.go
+++ b/internal/gateway/core_test.go
@@ -170,7 +170,7 @@
 		body = buffer.NewChain(h.buffers)
 		body.Append([]byte("write"))
 	}
-	h.core.Handle(Asked{Client: c, ID: req.number, Body: body, At: h.now, Params: map[string]string{
+	h.core.Handle(RequestReceived{Client: c, ID: req.number, Body: body, At: h.now, Params: map[string]string{
 		"SCRIPT_NAME": "/invoke/" + typ, "HTTP_X_JOB_ID": id, "HTTP_X_ALLOW_MS": fmt.Sprint(allow),
 		"HTTP_X_ITEM": fmt.Sprintf("%016x", object), "HTTP_X_N": "0", "HTTP_X_SHARD": "7"}})
 	return id
@@ -250,7 +250,7 @@
 			id := fmt.Sprintf("%016x", n+1)
 			if req := h.requests[id]; req.client == c && !req.gone && len(c.answers[req.number]) == 0 {
 				req.gone = true
-				h.core.Handle(Aborted{Client: c, ID: req.number, At: h.now})
+				h.core.Handle(RequestAborted{Client: c, ID: req.number, At: h.now})
 				if got := c.answers[req.number]; len(got) != 1 || !got[0].NoResponse {
 					h.faultf("%s was aborted and answered %v", id, got)
 				}
@@ -267,13 +267,13 @@
 		node := known[r.Intn(len(known))]
 		node.State = router.State(r.Intn(3))
 		h.notRunning[node.Node] = node.State != router.Running
-		h.core.Handle(Told{News: channel.Event{Nodes: []channel.Node{node}}, At: h.now})
+		h.core.Handle(ChannelEvent{News: channel.Event{Nodes: []channel.Node{node}}, At: h.now})
 	case n < 85:
-		h.core.Handle(Told{News: channel.Event{Purge: true, PurgeTime: h.now - 50,
+		h.core.Handle(ChannelEvent{News: channel.Event{Purge: true, PurgeTime: h.now - 50,
 			PurgeScope: router.Purged{Object: fmt.Sprintf("%016x", r.Intn(5))}}, At: h.now})
 	default:
 		h.now += r.ExpFloat64() * 30
-		h.core.Ring(h.now)
+		h.core.Advance(h.now)
 	}
 }
 
@@ -316,19 +316,19 @@
 		r, h := rand.New(rand.NewSource(seed)), newHarness(t)
 		for range 400 {
 			h.step(r)
-			if text, drifts := h.core.Drift(); drifts {
+			if text, drifts := h.core.RouterDrift(); drifts {
 				h.faultf("the router's beliefs drift: %s", text)
 				break
 			}
 		}
 		if r.Intn(2) == 0 {
-			h.core.End(h.now)
+			h.core.Shutdown(h.now)
 		} else {
 			h.now += 10_000
-			h.core.Ring(h.now)
+			h.core.Advance(h.now)
 		}
 		h.now += 10_000
-		h.core.Ring(h.now)
+		h.core.Advance(h.now)
 		h.checkSettled()
 		for _, text := range h.faults {
 			t.Errorf("seed %d: %s", seed, text)
@@ -360,7 +360,7 @@
 		{"the answer, then the time-out", func(h *harness, w *fakeWire) {
 			h.now += 499
 			h.reply(w, 0, "DONE")
-			h.core.Ring(h.now + 1000)
+			h.core.Advance(h.now + 1000)
 		}, "200"},
 		{"the time-out, then the answer", func(h *harness, w *fakeWire) {
 			h.now += 501
@@ -372,7 +372,7 @@
 			h.reply(w, 0, "DONE")
 		}, ""},
 		{"the end of the process, then the answer", func(h *harness, w *fakeWire) {
-			h.core.End(h.now)
+			h.core.Shutdown(h.now)
 			h.reply(w, 0, "DONE")
 			if late := h.sendRequest(h.clients[0], "video", 2, 500); h.statuses(late) != "503" {
 				h.faultf("a request after the end was answered %q", h.statuses(late))
@@ -381,13 +381,13 @@
 		{"the end of the process, while another download waits for a node", func(h *harness, w *fakeWire) {
 			for _, n := range h.core.config.Known[0].Nodes {
 				n.State = router.Draining
-				h.core.Handle(Told{News: channel.Event{Nodes: []channel.Node{n}}, At: h.now})
+				h.core.Handle(ChannelEvent{News: channel.Event{Nodes: []channel.Node{n}}, At: h.now})
 			}
 			waiting := h.sendRequest(h.clients[0], "renewal", 2, 500)
 			if got := h.statuses(waiting); got != "" {
 				h.faultf("the second download does not wait: %q", got)
 			}
-			h.core.End(h.now)
+			h.core.Shutdown(h.now)
 			if got := h.statuses(waiting); got != "503" {
 				h.faultf("the second download was never sent and was answered %q", got)
 			}
@@ -408,7 +408,7 @@
 			t.Errorf("%s: answered %q, want %q", c.name, got, c.want)
 		}
 		h.now += 10_000
-		h.core.Ring(h.now)
+		h.core.Advance(h.now)
 		h.checkSettled()
 		for _, text := range h.faults {
 			t.Errorf("%s: %s", c.name, text)
@@ -434,7 +434,7 @@
 			chain = buffer.NewChain(h.buffers)
 			chain.Append(body)
 		}
-		h.core.Handle(Asked{Client: h.clients[0], ID: number, Params: params, Body: chain, At: h.now})
+		h.core.Handle(RequestReceived{Client: h.clients[0], ID: number, Params: params, Body: chain, At: h.now})
 		if got := h.clients[0].answers[number]; len(got) == 1 {
 			return got[0].Status
 		}
@@ -553,7 +553,7 @@
 	config := testConfig(t)
 	for _, limits := range [][2]int{{32, 256}, {48, 256}, {64, 384}, {192, 1024}, {24, 1024}, {192, 64}} {
 		config.MemoryMB, config.Sockets, config.MaxOpen = limits[0], limits[1], 1e9
-		budget := Share(config)
+		budget := NewBudget(config)
 		conns := budget.Clients + budget.Caches
 		if used := budget.Reads + budget.Bodies + conns*memoryPerConn + budget.Open*memoryPerDownload; used > budget.Heap || budget.Heap+reservedMemory > limits[0]<<20 || conns > max(32, limits[1]-reservedDescriptors) {
 			t.Errorf("%v: %+v is too much", limits, budget)
@@ -574,7 +574,7 @@
 	for _, want := range []struct{ longest, answered, flushed time.Duration }{{6000, 3500, 3650}, {2500, 3000, 3150}, {600, 1100, 1250}, {120, 780, 810}} {
 		c.Types[0].MaxExpiry = float64(want.longest)
 		c.Types = c.Types[:1]
-		if answered, flushed := AnswerBy(c); answered != want.answered*time.Millisecond || flushed != want.flushed*time.Millisecond {
+		if answered, flushed := ShutdownDeadlines(c); answered != want.answered*time.Millisecond || flushed != want.flushed*time.Millisecond {
 			t.Errorf("answered by %v, flushed by %v where the longest expiry is %d ms", answered, flushed, want.longest)
 		}
 	}
--- a/internal/gateway/fairness.go
+++ b/internal/gateway/fairness.go
@@ -15,11 +15,11 @@
 
 // Fairness is the block "fair" of the operator's file: how the gateway's capacity is shared among clubs and clients.
 type Fairness struct {
-	On       bool
-	Club     string   // where the club's name is found, as in "header X-Club"; empty: all clients are of one club
-	Client   string   // where the client's name is found: "link", "address" or "header NAME"
-	Ahead    []string // types that are admitted ahead of the others
-	Settings fair.Settings
+	On            bool
+	Club          string   // where the club's name is found, as in "header X-Club"; empty: all clients are of one club
+	Client        string   // where the client's name is found: "link", "address" or "header NAME"
+	PriorityTypes []string // types that are admitted ahead of the others
+	Settings      fair.Settings
 }
 
 // Fields returns the fields of the block, set to their defaults. A file with the block enables fair admission.
@@ -29,7 +29,7 @@
 	s.Weights = map[string]float64{}
 	return []operator.Field{
 		operator.Attr("club", operator.Text(&f.Club)), operator.Attr("client", operator.Text(&f.Client)),
-		operator.Attr("ahead", operator.Texts(&f.Ahead)),
+		operator.Attr("ahead", operator.Texts(&f.PriorityTypes)),
 		operator.Attr("clubs", operator.Whole(&s.Clubs, 1, 4096)), operator.Attr("flows", operator.Whole(&s.Flows, 16, 1<<20)),
 		operator.Attr("heavy", operator.Whole(&s.Heavy, 0, 4096)),
 		operator.Attr("change", operator.Span(&s.Change, 100*time.Millisecond, time.Hour)),
@@ -96,8 +96,8 @@
 	m.mean += (took - m.mean) / min(m.n, 2000)
 }
 
-// Share makes the core admit downloads by fair shares.
-func (g *Core) Share(gate *fair.Gate, block Fairness) {
+// EnableFairAdmission makes the core admit downloads by fair shares.
+func (g *Core) EnableFairAdmission(gate *fair.Gate, block Fairness) {
 	g.fair = &fairAdmission{gate: gate, block: block, costs: map[string]*meanCost{}}
 }
 
@@ -108,7 +108,7 @@
 func (g *Core) askFairGate(d *download, params map[string]string) {
 	f := g.fair
 	ask := fair.Ask{At: g.now, ID: d.id, Object: d.object, Part: d.part, Expiry: d.expiry, Ticket: params[ticketParam],
-		Ahead: slices.Contains(f.block.Ahead, d.typ)}
+		Ahead: slices.Contains(f.block.PriorityTypes, d.typ)}
 	if p, ok := headerParam(f.block.Club); ok {
 		ask.Club = params[p]
 	}
@@ -209,8 +209,8 @@
 	g.executeFair(f.gate.Ended(g.now, d.id, end, cost))
 }
 
-// Shares describes the state of the fair gate and its heaviest clubs for the log; empty if disabled.
-func (g *Core) Shares() string {
+// FairStats describes the state of the fair gate and its heaviest clubs for the log; empty if disabled.
+func (g *Core) FairStats() string {
 	if g.fair == nil {
 		return ""
 	}
--- a/internal/gateway/link_driver.go
+++ b/internal/gateway/link_driver.go
@@ -41,7 +41,7 @@
 		}
 		store = d.store
 	}
-	core.Guard(admission, b, store, p.post, clock.now)
+	core.RequireSignedLinks(admission, b, store, p.post, clock.now)
 	return d, nil
 }
 
@@ -86,6 +86,6 @@
 		return err
 	}
 	b.Settings.Name = d.block.Settings.Name
-	d.poster.post(Rekeyed{Ring: ring, Block: b})
+	d.poster.post(KeysReloaded{Ring: ring, Block: b})
 	return nil
 }
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -12,8 +12,8 @@
 
 // Events that the link driver and the store of spent tokens post to a Core.
 type (
-	// Rekeyed reports newly loaded keys, and the links block that names them.
-	Rekeyed struct {
+	// KeysReloaded reports newly loaded keys, and the links block that names them.
+	KeysReloaded struct {
 		Ring  *links.KeySet
 		Block drive.Block
 	}
@@ -42,9 +42,9 @@
 	now       func() float64
 }
 
-// Guard makes the core accept only downloads with a valid signed link. Post passes an event to the core from any
+// RequireSignedLinks makes the core accept only downloads with a valid signed link. Post passes an event to the core from any
 // goroutine.
-func (g *Core) Guard(admission *links.Authorizer, block drive.Block, store SpendStore, post func(any), now func() float64) {
+func (g *Core) RequireSignedLinks(admission *links.Authorizer, block drive.Block, store SpendStore, post func(any), now func() float64) {
 	g.links = &signedLinks{admission: admission, block: block, store: store, post: post, now: now}
 }
 
@@ -67,7 +67,7 @@
 const spendWriteTimeout = 500.0
 
 // admitLink checks the signed link of a download. A refused download is answered at once, without the reason.
-func (g *Core) admitLink(e Asked, d *download) bool {
+func (g *Core) admitLink(e RequestReceived, d *download) bool {
 	signed := g.links
 	verdict := signed.admission.Admit(links.Request{At: e.At, Source: e.Params["REMOTE_ADDR"],
 		Token: signed.block.Token(e.Params), ID: d.id, Type: d.typ, Object: d.object, Part: d.part, Write: d.atMostOnce})
--- a/internal/gateway/links_test.go
+++ b/internal/gateway/links_test.go
@@ -205,7 +205,7 @@
 		{"write fails", func(h *harness, s *slowStore, post func(error)) { post(errors.New("disk full")) }, "503", 0, 1},
 		{"write too slow", func(h *harness, s *slowStore, post func(error)) {
 			h.now += 501
-			h.core.Ring(h.now)
+			h.core.Advance(h.now)
 			post(nil)
 		}, "503", 0, 1},
 		{"client leaves", func(h *harness, s *slowStore, post func(error)) {
@@ -218,13 +218,13 @@
 		settings.Base, settings.HasStore = linkBase, true
 		block := drive.Block{On: true, From: "header", Name: "X-Link", Settings: settings}
 		var events []any
-		h.core.Guard(links.New(settings, ring, secret, h.now), block, store, func(e any) { events = append(events, e) },
+		h.core.RequireSignedLinks(links.New(settings, ring, secret, h.now), block, store, func(e any) { events = append(events, e) },
 			func() float64 { return h.now })
 		const object = "00000000000000bb"
 		token, _ := ring.Sign(links.Claims{ID: "w", Issued: h.now / 1000, Expires: h.now/1000 + 100, Write: true,
 			Critical: links.CriticalWrite, URI: links.Hash(links.URI(linkBase, "renewal", object, 0))})
 		request := func(id string, number uint16) {
-			h.core.Handle(Asked{Client: h.clients[0], ID: number, At: h.now, Params: map[string]string{
+			h.core.Handle(RequestReceived{Client: h.clients[0], ID: number, At: h.now, Params: map[string]string{
 				"SCRIPT_NAME": "/invoke/renewal", "HTTP_X_JOB_ID": id, "HTTP_X_ALLOW_MS": "2000", "HTTP_X_ITEM": object,
 				"HTTP_X_N": "0", "HTTP_X_SHARD": "7", "HTTP_X_LINK": token}})
 		}
@@ -248,7 +248,7 @@
 		if request("00000000000000ac", 2); (len(store.done) == 2) != (c.sent == 0) {
 			t.Errorf("%s: second request: %d writes", c.name, len(store.done))
 		}
-		h.core.End(h.now)
+		h.core.Shutdown(h.now)
 		if h.core.Open() != 0 || len(h.core.downloads) != 0 {
 			t.Errorf("%s: %d unanswered, %d left over", c.name, h.core.Open(), len(h.core.downloads))
 		}
--- a/internal/gateway/prefetch.go
+++ b/internal/gateway/prefetch.go
@@ -16,14 +16,14 @@
 	"poppymill/router"
 )
 
-// Ahead asks the core to prefetch into an edge cache the most requested objects for which that cache is the first
+// Prefetch asks the core to prefetch into an edge cache the most requested objects for which that cache is the first
 // choice. Prefetches go through the router like any other download, but clients' downloads have priority. Done is
 // called once, from the core's goroutine, with the number of objects filled and of those that were not.
-type Ahead struct {
-	Node string
-	Most int // number of objects
-	At   float64
-	Done func(filled, refused int)
+type Prefetch struct {
+	Node  string
+	Limit int // number of objects
+	At    float64
+	Done  func(filled, refused int)
 }
 
 // maxPrefetches limits the concurrent downloads of one prefetch.
@@ -41,8 +41,8 @@
 }
 
 // prefetch starts the downloads of a prefetch.
-func (g *Core) prefetch(e Ahead) {
-	p := &prefetcher{core: g, node: e.Node, pending: g.router.HotObjects(e.Node, e.Most), done: e.Done}
+func (g *Core) prefetch(e Prefetch) {
+	p := &prefetcher{core: g, node: e.Node, pending: g.router.HotObjects(e.Node, e.Limit), done: e.Done}
 	p.next()
 }
 
@@ -106,23 +106,23 @@
 			return
 		}
 		select {
-		case p.inbox <- Ahead{Node: w.Node, Most: w.Each, At: p.now(), Done: func(filled, refused int) { done(WarmEnd(filled, refused)) }}:
+		case p.inbox <- Prefetch{Node: w.Node, Limit: w.Each, At: p.now(), Done: func(filled, refused int) { done(WarmResult(filled, refused)) }}:
 		default:
 			done(owner.NotRun)
 		}
 	}}
 }
 
-// WarmEnd returns how a warming step ended, from the number of objects filled and of those that found no room.
-func WarmEnd(filled, refused int) owner.Outcome {
+// WarmResult returns how a warming step ended, from the number of objects filled and of those that found no room.
+func WarmResult(filled, refused int) owner.Outcome {
 	if filled == 0 && refused > 0 {
 		return owner.NotRun
 	}
 	return owner.Ran
 }
 
-// ColdFor returns for how long an edge cache is still cold, in ms; 0 for other nodes.
-func ColdFor(c *footprint.Config, n router.Entry, now float64) float64 {
+// ColdRemaining returns for how long an edge cache is still cold, in ms; 0 for other nodes.
+func ColdRemaining(c *footprint.Config, n router.Entry, now float64) float64 {
 	kinds, _ := c.RouterSettings["kinds"].([]any)
 	for _, name := range []string{"parent kind", "origin kind"} {
 		if i, ok := c.RouterSettings[name].(float64); ok && slices.Index(kinds, any(n.Kind)) == int(i) {
@@ -136,5 +136,5 @@
 	return n.StartedAt + cold - now
 }
 
-// Boots registers a function that is called for each running node in a node list.
-func (g *Core) Boots(notify func(router.Entry)) { g.nodeListed = notify }
+// OnNodeListed registers a function that is called for each running node in a node list.
+func (g *Core) OnNodeListed(notify func(router.Entry)) { g.nodeListed = notify }
--- a/internal/gateway/prefetch_test.go
+++ b/internal/gateway/prefetch_test.go
@@ -22,7 +22,7 @@
 				w.deliver()
 			}
 			h.now += 20
-			h.core.Ring(h.now)
+			h.core.Advance(h.now)
 			for _, w := range h.wires {
 				for len(w.open) > 0 {
 					h.reply(w, 0, "DONE")
@@ -34,7 +34,7 @@
 		t.Fatalf("hot at edge-1: %v, %+v", h.core.router.HotObjects("edge-1", 100), h.core.Counters)
 	}
 	doneCalls, filled, refused := 0, 0, 0
-	h.core.Handle(Ahead{Node: "edge-1", Most: 10, At: h.now, Done: func(f, r int) { doneCalls, filled, refused = doneCalls+1, f, r }})
+	h.core.Handle(Prefetch{Node: "edge-1", Limit: 10, At: h.now, Done: func(f, r int) { doneCalls, filled, refused = doneCalls+1, f, r }})
 	for range 200 {
 		if h.core.open > maxPrefetches {
 			t.Fatalf("%d prefetches are open", h.core.open)
@@ -48,7 +48,7 @@
 			w.answerAll()
 		}
 		h.now++
-		h.core.Ring(h.now)
+		h.core.Advance(h.now)
 	}
 	if doneCalls != 1 || filled == 0 || filled+refused > 10 {
 		t.Errorf("done called %d times, %d filled, %d refused", doneCalls, filled, refused)
@@ -56,11 +56,11 @@
 	if len(h.core.clients) != 0 || h.core.open != 0 {
 		t.Errorf("%d downloads are left open", h.core.open)
 	}
-	h.core.Handle(Ahead{Node: "no such", Most: 10, At: h.now, Done: func(f, r int) { doneCalls, filled, refused = doneCalls+1, f, r }})
+	h.core.Handle(Prefetch{Node: "no such", Limit: 10, At: h.now, Done: func(f, r int) { doneCalls, filled, refused = doneCalls+1, f, r }})
 	if doneCalls != 2 || filled+refused != 0 {
 		t.Errorf("unknown node: %d filled, %d refused", filled, refused)
 	}
-	if WarmEnd(0, 3) != owner.NotRun || WarmEnd(1, 3) != owner.Ran || WarmEnd(0, 0) != owner.Ran {
+	if WarmResult(0, 3) != owner.NotRun || WarmResult(1, 3) != owner.Ran || WarmResult(0, 0) != owner.Ran {
 		t.Error("wrong end of a warming step")
 	}
 }
--- a/internal/gateway/purge_bounds.go
+++ b/internal/gateway/purge_bounds.go
@@ -32,9 +32,9 @@
 func (k *knownUntil) set(at float64) { k.bits.Store(math.Float64bits(at)) }
 func (k *knownUntil) at() float64    { return math.Float64frombits(k.bits.Load()) }
 
-// Purges makes the core apply the purges that the gateways agree on. If enabled, copies older than the delay count as
+// EnablePurges makes the core apply the purges that the gateways agree on. If enabled, copies older than the delay count as
 // purged while the core does not know what has been agreed since.
-func (g *Core) Purges(club string, limits purges.Limits, enabled bool, knownUntil, now func() float64) {
+func (g *Core) EnablePurges(club string, limits purges.Limits, enabled bool, knownUntil, now func() float64) {
 	g.purges = &purgeBounds{view: purges.View{Shelf: purges.NewShelf(limits.Held), Club: club, Skew: limits.Skew},
 		now: now, knownUntil: knownUntil}
 	if enabled {
--- a/internal/gateway/purge_bounds_test.go
+++ b/internal/gateway/purge_bounds_test.go
@@ -21,7 +21,7 @@
 	for seed := range int64(30) {
 		r, h := rand.New(rand.NewSource(seed)), newHarness(t)
 		known, clockAhead := h.now, 0.0 // clockAhead: how far the clock is ahead of the events' times, as after a freeze
-		h.core.Purges("amber", limits, true, func() float64 { return known }, func() float64 { return h.now + clockAhead })
+		h.core.EnablePurges("amber", limits, true, func() float64 { return known }, func() float64 { return h.now + clockAhead })
 		hard, soft := map[string]float64{}, map[string]float64{}
 		for range 1500 {
 			var alive []*fakeWire
@@ -96,11 +96,11 @@
 				clockAhead = 5000 * r.Float64()
 			default:
 				h.now += r.ExpFloat64() * 60
-				h.core.Ring(h.now)
+				h.core.Advance(h.now)
 			}
 		}
 		h.now += 10_000
-		h.core.Ring(h.now)
+		h.core.Advance(h.now)
 		for _, f := range h.faults {
 			t.Errorf("seed %d: %s", seed, f)
 		}
@@ -114,7 +114,7 @@
 // all the same.
 func TestManyMarks(t *testing.T) {
 	h := newHarness(t)
-	h.core.Purges("amber", purges.DefaultLimits(), false, func() float64 { return 0 }, func() float64 { return h.now })
+	h.core.EnablePurges("amber", purges.DefaultLimits(), false, func() float64 { return 0 }, func() float64 { return h.now })
 	marks := make([]purges.Mark, 8000)
 	for i := range marks {
 		marks[i] = purges.Mark{Object: fmt.Sprintf("%016x", i), At: h.now}
--- a/internal/gateway/quorum_member.go
+++ b/internal/gateway/quorum_member.go
@@ -52,7 +52,7 @@
 	proxy := coreProxy{poster: p, knownUntil: &knownUntil{}}
 	proxy.Known(-1)
 	machinePart, purgePart := machines.Open(o.Machines, jobRunner, proxy, log), purges.Open(o.Purges, jobRunner, proxy, log)
-	core.Purges(zone, o.Purges.Held(), o.Purges.On, proxy.knownUntil.at, p.now)
+	core.EnablePurges(zone, o.Purges.Held(), o.Purges.On, proxy.knownUntil.at, p.now)
 	if m.council, err = drive.Open(b, c.Name, zone, maxPeerConns(c), drive.Subsystems{jobRunner, machinePart, purgePart},
 		log); err == nil && o.Machines.On {
 		core.OnNodesChanged(func(there map[string]bool) { m.council.Post(machines.ListedNodes{Present: there}) })
@@ -64,8 +64,8 @@
 		})
 	}
 	if err == nil && jobs.On && jobs.Limits.WarmRounds > 0 {
-		core.Boots(func(n router.Entry) {
-			if left := ColdFor(c, n, p.now()); left > 0 {
+		core.OnNodeListed(func(n router.Entry) {
+			if left := ColdRemaining(c, n, p.now()); left > 0 {
 				m.council.Post(owner.NodeStarted{Node: n.Node, Zone: n.Zone, Start: uint64(n.StartedAt), ColdFor: left})
 			}
 		})
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -20,8 +20,8 @@
 
 // Reloads defines when a running gateway reloads its configuration, and how.
 type Reloads struct {
-	Wanted <-chan os.Signal
-	Load   func() (Setup, error)
+	Signals <-chan os.Signal
+	Load    func() (Setup, error)
 }
 
 // Setup is the complete configuration of a gateway: the platform's configuration and the operator's settings.
@@ -52,7 +52,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.Wanted:
+		case <-r.Signals:
 		}
 		s, err := r.Load()
 		if err != nil {
--- a/internal/gateway/scripted_peers_test.go
+++ b/internal/gateway/scripted_peers_test.go
@@ -184,7 +184,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
-	go func() { s.ended <- Serve(ctx, setup, Reloads{Wanted: s.hup, Load: s.parse}, discardLogger()) }()
+	go func() { s.ended <- Serve(ctx, setup, Reloads{Signals: s.hup, Load: s.parse}, discardLogger()) }()
 	until(s.t, "ready", func() bool { return s.health() == 200 })
 }
 
@@ -533,7 +533,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	budget := Share(setup.Config)
+	budget := NewBudget(setup.Config)
 	s.channel.Close()
 	(<-s.channelConns).Close()
 	for range 3 * budget.Clients {
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -29,10 +29,10 @@
 	flushPeriod   = 150 * time.Millisecond
 )
 
-// AnswerBy returns by when all accepted downloads are answered and by when the answers are written, both counted from
+// ShutdownDeadlines returns by when all accepted downloads are answered and by when the answers are written, both counted from
 // the start of the shutdown. The flush takes at most a quarter of the longest wait: with short expiries most of that
 // time must remain for the answers, as clients still connect during acceptPeriod.
-func AnswerBy(c *footprint.Config) (answered, flushed time.Duration) {
+func ShutdownDeadlines(c *footprint.Config) (answered, flushed time.Duration) {
 	longest := 0.0
 	for _, t := range c.Types {
 		longest = max(longest, t.MaxExpiry)
@@ -74,10 +74,10 @@
 func (p *poster) post(e any) { p.inbox <- e }
 
 func (p *poster) HandleRequest(c *clients.Conn, id uint16, params map[string]string, body *buffer.Body, at float64) {
-	p.post(Asked{Client: c, ID: id, Params: params, Body: body, At: at})
+	p.post(RequestReceived{Client: c, ID: id, Params: params, Body: body, At: at})
 }
 func (p *poster) HandleAbort(c *clients.Conn, id uint16, at float64) {
-	p.post(Aborted{Client: c, ID: id, At: at})
+	p.post(RequestAborted{Client: c, ID: id, At: at})
 }
 func (p *poster) HandleClose(c *clients.Conn, at float64) { p.post(ClientClosed{Client: c, At: at}) }
 func (p *poster) HandleError(err error) {
@@ -92,7 +92,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	clock := newClock()
-	budget := Share(c)
+	budget := NewBudget(c)
 	if s.Operator.Quorum.On {
 		budget = shareWithQuorum(c)
 	}
@@ -106,7 +106,7 @@
 	core := NewCore(c, pool, log, clock.now())
 	if f := s.Operator.Fair; f.On {
 		f.Settings.Longest = min(f.Settings.Longest, c.MaxRetryAfter)
-		core.Share(fair.New(f.Settings, c.Seed, clock.now()), f)
+		core.EnableFairAdmission(fair.New(f.Settings, c.Seed, clock.now()), f)
 	}
 	driver, err := newLinkDriver(s.Operator.Links, core, p, clock)
 	if err != nil {
@@ -122,7 +122,7 @@
 		ExtraParams: append(s.Operator.Links.Params(), s.Operator.Fair.Params()...)}
 	channelWarnings := &warnLimiter{log: log}
 	follower := &channel.Follower{Address: c.Channel, Cursor: c.Cursor,
-		OnEvent: func(n channel.Event) { p.post(Told{News: n, At: clock.now()}) },
+		OnEvent: func(n channel.Event) { p.post(ChannelEvent{News: n, At: clock.now()}) },
 		OnError: func(err error) { channelWarnings.Warn(clock.now(), "command channel error", err) }}
 
 	var g errgroup.Group
@@ -141,7 +141,7 @@
 	log.WithFields(logrus.Fields{"name": c.Name, "listen": c.Listen, "nodes": len(core.addresses)}).Info("ready")
 	flushed := l.run(ctx)
 	listener.Close()
-	core.End(clock.now())
+	core.Shutdown(clock.now())
 	member.leave()
 	stopServices()
 	pool.Close()
@@ -202,10 +202,10 @@
 		default:
 		}
 		now := l.clock.now()
-		l.core.Ring(now)
+		l.core.Advance(now)
 		if now >= l.lastWatch+watchInterval {
 			l.lastWatch = now
-			l.core.Watch(now)
+			l.core.RunChecks(now)
 		}
 		if now >= l.lastTidy+tidyInterval {
 			l.lastTidy = now
@@ -241,9 +241,9 @@
 		case <-stop:
 			l.log.Info("ending")
 			stop = nil
-			l.core.Leave()
+			l.core.StartShutdown()
 			l.member.leave()
-			answer, flush := AnswerBy(l.core.config)
+			answer, flush := ShutdownDeadlines(l.core.config)
 			flushed = time.Now().Add(flush)
 			stopAccepting, answerDeadline = time.After(acceptPeriod), time.After(answer)
 		case <-stopAccepting:
@@ -259,7 +259,7 @@
 // logCounters writes the counters to the log, and checks that the router's view of the pulls matches the sockets.
 func (l *loop) logCounters() {
 	c, p := l.core.Counters, l.pool
-	text, drifts := l.core.Drift()
+	text, drifts := l.core.RouterDrift()
 	assert.That(!drifts, "the router counts exactly the pulls that are open")
 	if text != "" {
 		l.log.WithField("nodes", text).Info("beliefs")
@@ -267,7 +267,7 @@
 	if stats := l.core.LinkStats(); stats != "" {
 		l.log.WithField("by reason", stats).Info("links")
 	}
-	if shares := l.core.Shares(); shares != "" {
+	if shares := l.core.FairStats(); shares != "" {
 		l.log.WithField("shares", shares).Info("fair door")
 	}
 	l.log.WithFields(logrus.Fields{
--- a/internal/gateway/serve_test.go
+++ b/internal/gateway/serve_test.go
@@ -117,7 +117,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
 	go func() {
-		s.ended <- Serve(ctx, Setup{Config: c, Operator: settings}, Reloads{Wanted: s.hup, Load: func() (Setup, error) {
+		s.ended <- Serve(ctx, Setup{Config: c, Operator: settings}, Reloads{Signals: s.hup, Load: func() (Setup, error) {
 			c, err := s.load()
 			return Setup{Config: c, Operator: settings}, err
 		}}, discardLogger())
--- a/internal/rehearsal/virtual/replicated_log.go
+++ b/internal/rehearsal/virtual/replicated_log.go
@@ -103,8 +103,8 @@
 	m.agent = owner.NewAgent(limits)
 	m.timer = m.consensus.d.agenda.Add(math.Inf(1), func() { m.handle(nil) })
 	m.consensus.propose(logEntry{name: m.name, worker: owner.Member{Incarnation: m.incarnation, Present: true, Losses: m.losses, Zone: m.zone}})
-	m.g.core.Boots(func(n router.Entry) {
-		if remaining := gateway.ColdFor(m.g.config, n, m.consensus.d.unix()); remaining > 0 {
+	m.g.core.OnNodeListed(func(n router.Entry) {
+		if remaining := gateway.ColdRemaining(m.g.config, n, m.consensus.d.unix()); remaining > 0 {
 			m.handle(owner.NodeStarted{Node: n.Node, Zone: n.Zone, Start: uint64(n.StartedAt), ColdFor: remaining})
 		}
 	})
@@ -173,11 +173,11 @@
 	}
 	d, process := m.consensus.d, m.process
 	d.runNext(func() {
-		m.g.handle(gateway.Ahead{Node: warming.Node, Most: warming.Each, At: d.unix(), Done: func(filled, refused int) {
+		m.g.handle(gateway.Prefetch{Node: warming.Node, Limit: warming.Each, At: d.unix(), Done: func(filled, refused int) {
 			d.stats.Prefilled += filled
 			d.runNext(func() {
 				if m.process == process {
-					m.handle(owner.StepEnded{Job: step.Job.Name, Token: step.Token, Step: step.Step, End: gateway.WarmEnd(filled, refused)})
+					m.handle(owner.StepEnded{Job: step.Job.Name, Token: step.Token, Step: step.Step, End: gateway.WarmResult(filled, refused)})
 				}
 			})
 		}})
--- a/internal/rehearsal/virtual/virtual.go
+++ b/internal/rehearsal/virtual/virtual.go
@@ -187,7 +187,7 @@
 			d.gateways[a.Gateway].sendRequest(a.Request)
 		case world.Abort:
 			if g := d.gateways[a.Gateway]; g.core != nil && g.callers[a.ID] != nil {
-				g.handle(gateway.Aborted{Client: g.callers[a.ID], ID: 1, At: d.unix()})
+				g.handle(gateway.RequestAborted{Client: g.callers[a.ID], ID: 1, At: d.unix()})
 			}
 		case world.Start:
 			if err := d.gateways[a.Gateway].start(); err != nil {
@@ -204,7 +204,7 @@
 			}
 		case world.Term:
 			if g := d.gateways[a.Gateway]; g.core != nil {
-				g.core.Leave()
+				g.core.StartShutdown()
 				g.terminatedAt = d.now
 				if d.consensus != nil {
 					d.consensus.members[a.Gateway].stop(true)
@@ -248,7 +248,7 @@
 func (g *gatewayProcess) deliver(cursor int) {
 	for ; g.cursor < cursor; g.cursor++ {
 		if n := g.d.published[g.cursor]; g.d.Faults.News == nil || g.d.Faults.News(n) {
-			g.handle(gateway.Told{News: n, At: g.d.unix()})
+			g.handle(gateway.ChannelEvent{News: n, At: g.d.unix()})
 		}
 	}
 	g.d.post(world.Heard{Gateway: g.number, Cursor: cursor})
@@ -265,7 +265,7 @@
 		return err
 	}
 	cursor, _ := d.world.Known()
-	budget := gateway.Share(c)
+	budget := gateway.NewBudget(c)
 	g.pool = caches.NewPool(caches.Limits{PullsPerConn: c.StreamsPerConn, IdleTimeout: c.IdleTimeout, Conns: budget.Caches, RequestLoad: c.Reports,
 		HealthChecks: c.Probing, AnswerTimeout: c.ConnectTimeout, GaugeName: footprint.LoadValueName}, g.dial(c.ConnectTimeout))
 	g.log = discardLog
@@ -282,7 +282,7 @@
 				ahead = append(ahead, t.Name)
 			}
 		}
-		g.core.Share(fair.New(set, c.Seed, d.unix()), gateway.Fairness{On: true, Club: "header X-Club", Client: "header X-Client", Ahead: ahead, Settings: set})
+		g.core.EnableFairAdmission(fair.New(set, c.Seed, d.unix()), gateway.Fairness{On: true, Club: "header X-Club", Client: "header X-Client", PriorityTypes: ahead, Settings: set})
 	}
 	if s := d.world.LinkSettings(); s.Base != "" {
 		s.Audience = append(s.Audience, c.Name)
@@ -292,18 +292,18 @@
 			return err
 		}
 		if d.Faults.Links == nil || d.Faults.Links(&s) {
-			g.core.Guard(links.New(s, ring, []byte(c.Name), d.unix()), g.block, nil, nil, d.unix)
+			g.core.RequireSignedLinks(links.New(s, ring, []byte(c.Name), d.unix()), g.block, nil, nil, d.unix)
 		}
 	}
 	if d.AgreedUntil != nil {
 		zone, _ := c.RouterSettings["zone"].(string)
-		g.core.Purges(zone, d.PurgeLimits, true, func() float64 { return epoch + d.AgreedUntil(d.now) }, d.unix)
+		g.core.EnablePurges(zone, d.PurgeLimits, true, func() float64 { return epoch + d.AgreedUntil(d.now) }, d.unix)
 	}
 	if d.consensus != nil {
 		g.config = c
 		d.consensus.members[g.number].start()
 	}
-	answered, _ := gateway.AnswerBy(c)
+	answered, _ := gateway.ShutdownDeadlines(c)
 	g.cursor, g.callers, g.terminatedAt, g.answerWithin = cursor, map[string]*caller{}, -1, float64(answered)/float64(time.Millisecond)
 	g.coreTimer = d.agenda.Add(math.Inf(1), func() { g.handle(nil) })
 	g.watchTimer = d.agenda.Add(d.now+watchInterval, g.watch)
@@ -324,7 +324,7 @@
 	core := g.core
 	d.agenda.Add(d.now+d.world.LinkTakes(g.number), func() {
 		if ring, err := links.NewKeySet(a.Keys, nil); err == nil && g.core == core && core != nil {
-			g.handle(gateway.Rekeyed{Ring: ring, Block: g.block})
+			g.handle(gateway.KeysReloaded{Ring: ring, Block: g.block})
 		}
 	})
 }
@@ -335,7 +335,7 @@
 		return
 	}
 	if e == nil {
-		g.core.Ring(g.d.unix())
+		g.core.Advance(g.d.unix())
 	} else {
 		g.core.Handle(e)
 	}
@@ -351,15 +351,15 @@
 	if g.core == nil {
 		return
 	}
-	g.core.Watch(d.unix())
+	g.core.RunChecks(d.unix())
 	if d.now >= g.tidiedAt+tidyInterval {
 		g.tidiedAt = d.now
 		g.pool.CloseIdle(d.unix())
-		beliefs, drifts := g.core.Drift()
+		beliefs, drifts := g.core.RouterDrift()
 		if drifts {
 			d.stats.Drifts++
 		}
-		if shares := g.core.Shares(); shares != "" {
+		if shares := g.core.FairStats(); shares != "" {
 			g.log.WithField("at", math.Round(d.now)).WithField("shares", shares).Info("fair door")
 		}
 		if beliefs != "" {
@@ -370,7 +370,7 @@
 	crashes := d.Faults.Crash != nil && d.Faults.Crash(g.number, d.now)
 	if g.terminatedAt >= 0 && (d.now >= g.terminatedAt+g.answerWithin || d.now >= g.terminatedAt+700 && g.core.Open() == 0) || crashes {
 		if !crashes {
-			g.core.End(d.unix())
+			g.core.Shutdown(d.unix())
 		}
 		g.close()
 		d.post(world.Exited{Gateway: g.number, Crashed: crashes})
@@ -411,7 +411,7 @@
 		body = buffer.NewChain(g.d.buffers)
 		body.Append(make([]byte, r.Body))
 	}
-	g.handle(gateway.Asked{Client: c, ID: 1, Params: world.Params(r), Body: body, At: g.d.unix()})
+	g.handle(gateway.RequestReceived{Client: c, ID: 1, Params: world.Params(r), Body: body, At: g.d.unix()})
 }
 
 // Answer receives the core's answer to a client.
