--- a/cmd/poppymill/purge.go
+++ b/cmd/poppymill/purge.go
@@ -40,7 +40,7 @@
 
 // submitPurgeCommand has the gateways agree on a command, through the gateway at the address in the first argument. A
 // new purge gets the limits of that gateway.
-func submitPurgeCommand(ctx context.Context, cmd *cli.Command, kind string, o purges.Order) error {
+func submitPurgeCommand(ctx context.Context, cmd *cli.Command, kind string, o purges.CommandData) error {
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
 	address := cmd.Args().First()
@@ -97,7 +97,7 @@
 	if err := p.Check(); err != nil {
 		return usageError(fmt.Errorf("purge %s: %w", cmd.Name, err))
 	}
-	if err := submitPurgeCommand(ctx, cmd, purges.Accept, purges.Order{Purge: &p}); err != nil {
+	if err := submitPurgeCommand(ctx, cmd, purges.Accept, purges.CommandData{Purge: &p}); err != nil {
 		return err
 	}
 	for {
@@ -106,7 +106,7 @@
 			return err
 		}
 		overdue := float64(time.Now().UnixMilli()) > x.Effective
-		reached := wait == "" || wait == "sent" && x.Next == len(x.Purge.Objects) || x.Stage == purges.Done.String() || x.Stage == purges.Cancelled.String()
+		reached := wait == "" || wait == "sent" && x.Published == len(x.Purge.Objects) || x.Stage == purges.Done.String() || x.Stage == purges.Cancelled.String()
 		if reached || overdue {
 			if err := printPurge(cmd, x); err != nil {
 				return err
@@ -146,15 +146,15 @@
 	if cmd.Bool("json") {
 		return printJSON(x)
 	}
-	fmt.Printf("purge %s: %s; accepted %s, position %d, effective by %s\n", x.Purge.ID, x.Stage, formatTime(x.Accepted), x.Place, formatTime(x.Effective))
+	fmt.Printf("purge %s: %s; accepted %s, position %d, effective by %s\n", x.Purge.ID, x.Stage, formatTime(x.Accepted), x.LogIndex, formatTime(x.Effective))
 	if n := len(x.Purge.Objects); n > 0 {
-		fmt.Printf("%d of %d objects sent, %d of them already covered by a newer purge\n", x.Next, n, x.Newer)
+		fmt.Printf("%d of %d objects sent, %d of them already covered by a newer purge\n", x.Published, n, x.Superseded)
 	}
 	if len(x.Waits) > 0 {
 		fmt.Printf("waits for confirmation by %s\n", strings.Join(x.Waits, ", "))
 	}
-	if len(x.Without) > 0 {
-		fmt.Printf("not confirmed by %s: lost, and without news of purges since\n", strings.Join(x.Without, ", "))
+	if len(x.Missing) > 0 {
+		fmt.Printf("not confirmed by %s: lost, and without news of purges since\n", strings.Join(x.Missing, ", "))
 	}
 	return nil
 }
@@ -241,7 +241,7 @@
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s; %d bounds remembered\nPURGE\tIS\tPLACE\tACCEPTED\tEFFECTIVE BY\tCLUB\tSENT\tWAITS FOR\n", viewHeader(r), reply.Held)
 	for _, x := range reply.Purges {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\t%d\t%s\n", x.Purge.ID, x.Stage, x.Place, formatTime(x.Accepted), formatTime(x.Effective), orDash(x.Purge.Club), x.Next, orDash(strings.Join(x.Waits, ", ")))
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\t%d\t%s\n", x.Purge.ID, x.Stage, x.LogIndex, formatTime(x.Accepted), formatTime(x.Effective), orDash(x.Purge.Club), x.Published, orDash(strings.Join(x.Waits, ", ")))
 	}
 	return t.Flush()
 }
@@ -250,7 +250,7 @@
 	if cmd.Args().Len() != 2 {
 		return usageError(errors.New("purge cancel: takes ADDRESS ID"))
 	}
-	if err := submitPurgeCommand(ctx, cmd, purges.Cancel, purges.Order{ID: cmd.Args().Get(1)}); err != nil {
+	if err := submitPurgeCommand(ctx, cmd, purges.Cancel, purges.CommandData{ID: cmd.Args().Get(1)}); err != nil {
 		return err
 	}
 	x, err := queryPurge(ctx, cmd, cmd.Args().Get(1))
--- a/internal/gateway/purge_bounds.go
+++ b/internal/gateway/purge_bounds.go
@@ -35,7 +35,7 @@
 // EnablePurges makes the core apply the purges that the gateways agree on. If enabled, copies older than the delay count as
 // purged while the core does not know what has been agreed since.
 func (g *Core) EnablePurges(club string, limits purges.Limits, enabled bool, knownUntil, now func() float64) {
-	g.purges = &purgeBounds{view: purges.View{Shelf: purges.NewShelf(limits.Held), Club: club, Skew: limits.Skew},
+	g.purges = &purgeBounds{view: purges.View{Bounds: purges.NewBoundSet(limits.MaxBounds), Club: club, Skew: limits.Skew},
 		now: now, knownUntil: knownUntil}
 	if enabled {
 		g.purges.view.Delay = limits.Delay
@@ -51,7 +51,7 @@
 
 // oldestAllowed returns the creation time that a copy must not precede to answer the given pull of a download.
 func (b *purgeBounds) oldestAllowed(d *download, pull int) float64 {
-	return b.view.Oldest(b.now(), b.knownUntil(), d.object, d.group, pull == 0)
+	return b.view.MinCreated(b.now(), b.knownUntil(), d.object, d.group, pull == 0)
 }
 
 // limitAge lowers the maximum age of a pull to what the purges allow.
@@ -71,7 +71,7 @@
 	if b == nil {
 		return 0
 	}
-	return b.view.Blinds
+	return b.view.StaleChecks
 }
 
 // maxRouterMarks is the largest batch of marks that is also passed to the router, which then forgets what it believes
@@ -84,7 +84,7 @@
 	named := map[string]bool{}
 	groups := map[int64]bool{}
 	for _, m := range e.Marks {
-		if g.purges.view.Shelf.Put(m); m.Club != "" && m.Club != g.purges.view.Club || m.Stale || len(e.Marks) > maxRouterMarks {
+		if g.purges.view.Bounds.Put(m); m.Club != "" && m.Club != g.purges.view.Club || m.Stale || len(e.Marks) > maxRouterMarks {
 			continue
 		}
 		switch age := max(0, g.now-m.At); {
--- a/internal/gateway/purge_bounds_test.go
+++ b/internal/gateway/purge_bounds_test.go
@@ -16,7 +16,7 @@
 // delay, no client gets a copy older than that either. Copies that are young enough are used. A purge that only marks
 // copies as stale lets an older copy through if the first pull found no newer one.
 func TestPurgeBounds(t *testing.T) {
-	limits := purges.Limits{Delay: 4000, Skew: 100, Batch: 1, Held: 1000}
+	limits := purges.Limits{Delay: 4000, Skew: 100, Batch: 1, MaxBounds: 1000}
 	answered, unanswered, blind, stale := 0, 0, 0, 0
 	for seed := range int64(30) {
 		r, h := rand.New(rand.NewSource(seed)), newHarness(t)
@@ -121,8 +121,8 @@
 	}
 	done := false
 	h.core.Handle(ApplyMarks{Marks: marks, Index: 1, At: h.now, Done: func(uint64) { done = true }})
-	if !done || h.core.purges.view.Shelf.Len() != 8000 {
-		t.Errorf("done %t, %d held", done, h.core.purges.view.Shelf.Len())
+	if !done || h.core.purges.view.Bounds.Len() != 8000 {
+		t.Errorf("done %t, %d held", done, h.core.purges.view.Bounds.Len())
 	}
 	id, sent := h.sendRequest(h.clients[0], "video", 3, 3000), 0
 	for _, w := range h.wires {
--- a/internal/purges/bounds.go
+++ b/internal/purges/bounds.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// Shelf is a set of bounds with limited memory. Bounds that do not fit are merged into a bound for every object, which
+// BoundSet is a set of bounds with limited memory. Bounds that do not fit are merged into a bound for every object, which
 // purges too much rather than too little.
-type Shelf struct {
+type BoundSet struct {
 	Limit    int                    `cbor:"1,keyasint"`
 	Clubs    map[string]*clubBounds `cbor:"2,keyasint"` // by club; the empty name applies to all clubs
 	Patterns []pattern              `cbor:"3,keyasint"`
@@ -45,8 +45,10 @@
 	maxPatternLength = 256
 )
 
-// NewShelf returns an empty set that keeps up to limit bounds of objects and groups individually.
-func NewShelf(limit int) *Shelf { return &Shelf{Limit: limit, Clubs: map[string]*clubBounds{}} }
+// NewBoundSet returns an empty set that keeps up to limit bounds of objects and groups individually.
+func NewBoundSet(limit int) *BoundSet {
+	return &BoundSet{Limit: limit, Clubs: map[string]*clubBounds{}}
+}
 
 // compile compiles a pattern that must match whole names. Package regexp matches in time linear in the length of the
 // name, and limits the size of a compiled pattern.
@@ -72,9 +74,9 @@
 
 // Put adds a mark. Bounds never decrease, so marks that are duplicated, late or replayed after a restart have no
 // effect.
-func (s *Shelf) Put(m Mark) {
+func (s *BoundSet) Put(m Mark) {
 	switch {
-	case m.All:
+	case m.AllObjects:
 		s.Floor = max(s.Floor, m.At)
 		return
 	case m.Pattern != "":
@@ -103,7 +105,7 @@
 }
 
 // putPattern adds a mark with a pattern. Past maxPatterns the pattern with the oldest bound is merged into the floor.
-func (s *Shelf) putPattern(m Mark) {
+func (s *BoundSet) putPattern(m Mark) {
 	for i := range s.Patterns {
 		if p := &s.Patterns[i]; p.Text == m.Pattern && p.Club == m.Club {
 			p.Bound = p.Bound.raise(m.At, m.Stale)
@@ -132,7 +134,7 @@
 func latest(b bound) float64 { return max(b.Hard, b.Soft) }
 
 // evictOldest merges the oldest quarter of the object and group bounds into the floor.
-func (s *Shelf) evictOldest() {
+func (s *BoundSet) evictOldest() {
 	type entry struct {
 		at      float64
 		club    string
@@ -164,7 +166,7 @@
 
 // Bound returns the minimum creation times of copies for a download of a club: hard for any copy, soft where a newer
 // copy is available; 0 accepts any copy.
-func (s *Shelf) Bound(club, object string, group int64) (hard, soft float64) {
+func (s *BoundSet) Bound(club, object string, group int64) (hard, soft float64) {
 	hard = s.Floor
 	take := func(b bound) { hard, soft = max(hard, b.Hard), max(soft, b.Soft) }
 	for _, c := range [2]string{"", club} {
@@ -185,10 +187,10 @@
 }
 
 // Len returns the number of bounds held individually, patterns included.
-func (s *Shelf) Len() int { return s.count + len(s.Patterns) }
+func (s *BoundSet) Len() int { return s.count + len(s.Patterns) }
 
 // Marks returns the whole set as marks, for a core that starts with an empty set.
-func (s *Shelf) Marks() (all []Mark) {
+func (s *BoundSet) Marks() (all []Mark) {
 	add := func(m Mark, b bound) {
 		if m.At = b.Hard; b.Hard > 0 {
 			all = append(all, m)
@@ -209,20 +211,20 @@
 		add(Mark{Pattern: p.Text, Club: p.Club}, p.Bound)
 	}
 	if s.Floor > 0 {
-		all = append(all, Mark{All: true, At: s.Floor})
+		all = append(all, Mark{AllObjects: true, At: s.Floor})
 	}
 	return all
 }
 
 // rebuild restores the fields that are not stored, after decoding.
-func (s *Shelf) rebuild() error {
+func (s *BoundSet) rebuild() error {
 	if s.Clubs == nil {
-		return ErrBad
+		return ErrMalformed
 	}
 	s.count = 0
 	for _, h := range s.Clubs {
 		if h == nil || h.Objects == nil || h.Groups == nil {
-			return ErrBad
+			return ErrMalformed
 		}
 		s.count += len(h.Objects) + len(h.Groups)
 	}
--- a/internal/purges/drive/block.go
+++ b/internal/purges/drive/block.go
@@ -32,8 +32,8 @@
 		operator.Attr("skew", operator.Span(&l.Skew, 0, time.Minute)),
 		operator.Attr("rate", operator.Number(&l.Rate, 0, 1e6)),
 		operator.Attr("batch", operator.Whole(&l.Batch, 1, 8192)),
-		operator.Attr("fills", operator.Number(&l.Fills, 0, 1e9)),
-		operator.Attr("held", operator.Whole(&l.Held, 16, 200_000)),
+		operator.Attr("fills", operator.Number(&l.MaxFills, 0, 1e9)),
+		operator.Attr("held", operator.Whole(&l.MaxBounds, 16, 200_000)),
 		operator.Check(func() error { return l.Check() }),
 	}
 }
--- a/internal/purges/drive/service.go
+++ b/internal/purges/drive/service.go
@@ -51,7 +51,7 @@
 // Sweep is the purge service of one gateway. It runs in the loop of the council.
 type Sweep struct {
 	block          Block
-	book           *purges.Book
+	book           *purges.StateMachine
 	crew           *owned.Runner
 	core           Core
 	council        *agreement.Replica
@@ -70,16 +70,16 @@
 }
 
 // logAdapter adapts purges.Book to the commands and members of the log.
-type logAdapter struct{ *purges.Book }
+type logAdapter struct{ *purges.StateMachine }
 
 // Apply applies a command of the log.
 func (b logAdapter) Apply(index uint64, c quorum.Command) any {
-	return b.Book.Apply(index, c.Kind, c.Data)
+	return b.StateMachine.Apply(index, c.Kind, c.Data)
 }
 
 // Member applies a membership change of the log.
 func (b logAdapter) Member(_ uint64, m quorum.Member) {
-	b.Book.Member(m.Name, m.Incarnation, m.State == quorum.MemberJoined)
+	b.StateMachine.Member(m.Name, m.Incarnation, m.State == quorum.MemberJoined)
 }
 
 // Books returns the state machine of purges alone, for reading a store.
@@ -148,7 +148,7 @@
 func (s *Sweep) publishMarks(restored bool) {
 	marks := s.book.TakeMarks()
 	if restored {
-		marks = s.book.Shelf.Marks()
+		marks = s.book.Bounds.Marks()
 	}
 	if len(marks) == 0 && s.book.LastIndex <= s.publishedIndex {
 		return
@@ -160,14 +160,14 @@
 // proposeDue proposes the commands that are due from this gateway: confirmations, misses, ticks and batches.
 func (s *Sweep) proposeDue() {
 	if g := s.book.Gateways[s.followed.Name]; g.Confirmed < min(s.appliedIndex, s.book.LastIndex) && g.Incarnation == s.followed.Incarnation {
-		s.propose(purges.Seen, "", purges.Order{At: unixMillis(), From: s.followed.Name, Index: s.appliedIndex})
+		s.propose(purges.Confirm, "", purges.CommandData{At: unixMillis(), From: s.followed.Name, Index: s.appliedIndex})
 	}
 	if !s.block.On || !s.book.AnyOpen() {
 		return
 	}
 	if s.book.AwaitsMisses() && s.now >= s.nextMissesAt {
 		s.nextMissesAt = s.now + missesInterval
-		s.propose(purges.Misses, "", purges.Order{At: unixMillis(), From: s.followed.Name, Rate: s.misses})
+		s.propose(purges.ReportMisses, "", purges.CommandData{At: unixMillis(), From: s.followed.Name, Rate: s.misses})
 	}
 	if s.followed.Leads {
 		if !s.crew.IsRunning(Sender) && s.block.Limits.Rate > 0 {
@@ -175,7 +175,7 @@
 		}
 		if s.now >= s.tickedAt+tickInterval {
 			s.tickedAt = s.now
-			s.propose(purges.Tick, "", purges.Order{At: unixMillis()})
+			s.propose(purges.Tick, "", purges.CommandData{At: unixMillis()})
 		}
 	}
 	token, owns := s.crew.Owns(Sender)
@@ -185,7 +185,7 @@
 }
 
 // propose proposes a command of the purge log.
-func (s *Sweep) propose(kind, key string, o purges.Order) { s.proposeTo(Book, kind, key, o) }
+func (s *Sweep) propose(kind, key string, o purges.CommandData) { s.proposeTo(Book, kind, key, o) }
 
 // proposeTo proposes a command, and not again within a second while the first is in flight.
 func (s *Sweep) proposeTo(book, kind, key string, content any) {
@@ -209,7 +209,7 @@
 	for id, x := range s.book.Purges {
 		if was, known := s.loggedStages[id]; !known || was != x.Stage {
 			s.loggedStages[id] = x.Stage
-			s.log.WithFields(logrus.Fields{"purge": id, "is": x.Stage.String(), "sent": x.Next, "of": len(x.Purge.Objects), "without": x.Without}).Info("purges: stage")
+			s.log.WithFields(logrus.Fields{"purge": id, "is": x.Stage.String(), "sent": x.Published, "of": len(x.Purge.Objects), "without": x.Missing}).Info("purges: stage")
 		}
 	}
 	for id := range s.loggedStages {
@@ -221,7 +221,7 @@
 
 // CheckCommand checks whether an operator may propose a command. The limits of a purge must be those of this gateway.
 func (s *Sweep) CheckCommand(c quorum.Command) error {
-	var o purges.Order
+	var o purges.CommandData
 	if err := canon.Decode(c.Data, &o); err != nil {
 		return err
 	}
@@ -292,7 +292,7 @@
 			p.Purge.Objects = nil // the whole list has to fit one frame
 			all = append(all, p)
 		}
-		return map[string]any{"held": s.book.Shelf.Len(), "floor": s.book.Shelf.Floor, "purges": all[max(0, len(all)-500):]}, nil
+		return map[string]any{"held": s.book.Bounds.Len(), "floor": s.book.Bounds.Floor, "purges": all[max(0, len(all)-500):]}, nil
 	}
 	return nil, agreement.ErrUnknownSubject
 }
--- a/internal/purges/purges.go
+++ b/internal/purges/purges.go
@@ -25,42 +25,42 @@
 // Limits are the timing and size limits of a purge. They are part of its Accept command and so the same at all
 // gateways. Times are in ms.
 type Limits struct {
-	Delay float64 `cbor:"1,keyasint" json:"delay_ms"` // time after the publication of a batch from which no gateway serves an older copy
-	Skew  float64 `cbor:"2,keyasint" json:"skew_ms"`  // largest difference between the clocks of two machines
-	Rate  float64 `cbor:"3,keyasint" json:"rate"`     // objects published per second; 0: all at once
-	Batch int     `cbor:"4,keyasint" json:"batch"`    // objects per batch
-	Held  int     `cbor:"5,keyasint" json:"held"`     // object and group bounds kept individually; past that the oldest merge into a bound for all
-	Fills float64 `cbor:"6,keyasint" json:"fills"`    // fills per second of all gateways together above which the next batch waits; 0: no limit
+	Delay     float64 `cbor:"1,keyasint" json:"delay_ms"` // time after the publication of a batch from which no gateway serves an older copy
+	Skew      float64 `cbor:"2,keyasint" json:"skew_ms"`  // largest difference between the clocks of two machines
+	Rate      float64 `cbor:"3,keyasint" json:"rate"`     // objects published per second; 0: all at once
+	Batch     int     `cbor:"4,keyasint" json:"batch"`    // objects per batch
+	MaxBounds int     `cbor:"5,keyasint" json:"held"`     // object and group bounds kept individually; past that the oldest merge into a bound for all
+	MaxFills  float64 `cbor:"6,keyasint" json:"fills"`    // fills per second of all gateways together above which the next batch waits; 0: no limit
 }
 
 // DefaultLimits returns limits suited to a site on a local network.
-func DefaultLimits() Limits { return Limits{Delay: 30_000, Skew: 500, Batch: 200, Held: 20_000} }
+func DefaultLimits() Limits { return Limits{Delay: 30_000, Skew: 500, Batch: 200, MaxBounds: 20_000} }
 
 // Stage is the progress of a purge.
 type Stage int
 
 // Stages of a purge.
 const (
-	Going     Stage = iota // accepted; some objects are not published yet
-	Sent                   // all objects are published; some gateway has not confirmed them
-	Done                   // every joined gateway has confirmed; lost gateways no longer trust older copies
-	Cancelled              // bounds already published stay in force
+	Publishing Stage = iota // accepted; some objects are not published yet
+	Sent                    // all objects are published; some gateway has not confirmed them
+	Done                    // every joined gateway has confirmed; lost gateways no longer trust older copies
+	Cancelled               // bounds already published stay in force
 )
 
 func (s Stage) String() string { return [...]string{"going", "sent", "done", "cancelled"}[s] }
 
 // Kinds of log commands. Each carries an Order; the fields that the kind uses are listed.
 const (
-	Accept = "accept" // purge, limits
-	Batch  = "batch"  // id, first, next, token: publishes the objects first to next-1 of a purge
-	Cancel = "cancel" // id
-	Misses = "misses" // from, rate: fills per second that a gateway requested on edge cache misses
-	Seen   = "seen"   // from, index: a gateway confirms that it applies all marks up to a log index
-	Tick   = "tick"   // at: advances the time of the log
+	Accept       = "accept" // purge, limits
+	Batch        = "batch"  // id, first, next, token: publishes the objects first to next-1 of a purge
+	Cancel       = "cancel" // id
+	ReportMisses = "misses" // from, rate: fills per second that a gateway requested on edge cache misses
+	Confirm      = "seen"   // from, index: a gateway confirms that it applies all marks up to a log index
+	Tick         = "tick"   // at: advances the time of the log
 )
 
-// Order is the payload of every command.
-type Order struct {
+// CommandData is the payload of every command.
+type CommandData struct {
 	At     float64 `cbor:"1,keyasint"` // when the command was issued, by the clock of its sender
 	Purge  *Purge  `cbor:"2,keyasint,omitempty"`
 	Limits *Limits `cbor:"3,keyasint,omitempty"`
@@ -75,23 +75,23 @@
 
 // Mark is one published bound, as passed to a gateway's core.
 type Mark struct {
-	Object  string
-	Group   int64 // valid if Grouped is set
-	Grouped bool
-	Pattern string
-	All     bool // applies to every object; replaces bounds that were evicted
-	Club    string
-	At      float64 // the bound: copies created before it are invalid
-	Stale   bool
+	Object     string
+	Group      int64 // valid if Grouped is set
+	Grouped    bool
+	Pattern    string
+	AllObjects bool // applies to every object; replaces bounds that were evicted
+	Club       string
+	At         float64 // the bound: copies created before it are invalid
+	Stale      bool
 }
 
 // Errors returned by commands that were committed but rejected; they change no purge.
 var (
-	ErrBad     = errors.New("the command can't be read")
-	ErrOther   = errors.New("a purge of that id says something else")
-	ErrUnknown = errors.New("no such purge")
-	ErrFull    = errors.New("too many purges are under way")
-	ErrOver    = errors.New("all of it has gone out, or it was cancelled")
-	ErrOld     = errors.New("who sends it was replaced")
-	ErrTurn    = errors.New("another batch is next")
+	ErrMalformed  = errors.New("the command can't be read")
+	ErrConflict   = errors.New("a purge of that id says something else")
+	ErrUnknown    = errors.New("no such purge")
+	ErrFull       = errors.New("too many purges are under way")
+	ErrFinished   = errors.New("all of it has gone out, or it was cancelled")
+	ErrReplaced   = errors.New("who sends it was replaced")
+	ErrOutOfOrder = errors.New("another batch is next")
 )
--- a/internal/purges/purges_test.go
+++ b/internal/purges/purges_test.go
@@ -15,7 +15,7 @@
 )
 
 // applyOrder encodes an order and applies it as a command.
-func (b *Book) applyOrder(index uint64, kind string, o Order) any {
+func (b *StateMachine) applyOrder(index uint64, kind string, o CommandData) any {
 	return b.Apply(index, kind, canon.Encode(o))
 }
 
@@ -49,19 +49,19 @@
 // purge; no object is skipped or published twice; and a snapshot restores the same state.
 func TestBoundsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, core := New(), NewShelf(1<<20)
+		b, core := New(), NewBoundSet(1<<20)
 		objects := []string{"a", "b", "ab", "ba", "abc"}
 		var published model
 		incarnation, now, index := uint64(1), 1e6, uint64(0)
 		l := Limits{Delay: 4000, Skew: float64(rapid.SampledFrom([]int{0, 100}).Draw(t, "skew")), Rate: rapid.SampledFrom([]float64{0, 10}).Draw(t, "rate"),
-			Batch: rapid.IntRange(1, 3).Draw(t, "batch"), Held: 1000}
+			Batch: rapid.IntRange(1, 3).Draw(t, "batch"), MaxBounds: 1000}
 		sent := map[string][]int{} // indexes of the objects published, in order, by purge
 		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += float64(rapid.IntRange(0, 900).Draw(t, "ms"))
 			index++
 			id := fmt.Sprint("p", rapid.IntRange(0, n/3).Draw(t, "id"))
-			o := Order{At: now, ID: id, Limits: &l}
-			kind := rapid.SampledFrom([]string{Accept, Accept, Accept, Batch, Batch, Batch, Cancel, Seen, Tick, "member", "restart"}).Draw(t, "kind")
+			o := CommandData{At: now, ID: id, Limits: &l}
+			kind := rapid.SampledFrom([]string{Accept, Accept, Accept, Batch, Batch, Batch, Cancel, Confirm, Tick, "member", "restart"}).Draw(t, "kind")
 			switch kind {
 			case Accept:
 				p := &Purge{ID: id, Club: rapid.SampledFrom([]string{"", "", "amber", "birch"}).Draw(t, "club"), Stale: rapid.IntRange(0, 3).Draw(t, "stale") == 0}
@@ -82,7 +82,7 @@
 					o.Next = o.First + rapid.IntRange(-1, 3).Draw(t, "n")
 				}
 				o.At, o.Token = now, uint64(rapid.IntRange(1, 3).Draw(t, "token"))
-			case Seen:
+			case Confirm:
 				o.From, o.Index = rapid.SampledFrom([]string{"g1", "g2"}).Draw(t, "from"), uint64(rapid.IntRange(0, int(index)+3).Draw(t, "seen"))
 			}
 			highestToken, before := b.HighestToken, map[string]State{}
@@ -98,7 +98,7 @@
 				if err := restored.Load(b.Save()); err != nil || !bytes.Equal(restored.Save(), b.Save()) {
 					t.Fatalf("snapshot restored differently: %v", err)
 				}
-				for _, m := range restored.Shelf.Marks() { // a restarted core receives all marks
+				for _, m := range restored.Bounds.Marks() { // a restarted core receives all marks
 					core.Put(m)
 				}
 				b = restored
@@ -114,21 +114,21 @@
 			}
 			for id, s := range b.Purges {
 				old := before[id]
-				if s.Next < old.Next || old.Stage == Cancelled && s.Next != old.Next || s.Next > old.Next && s.Limits.Rate > 0 && s.Next > old.Next+s.Limits.Batch {
-					t.Fatalf("%d: %s of %s: from %d to %d", n, kind, id, old.Next, s.Next)
+				if s.Published < old.Published || old.Stage == Cancelled && s.Published != old.Published || s.Published > old.Published && s.Limits.Rate > 0 && s.Published > old.Published+s.Limits.Batch {
+					t.Fatalf("%d: %s of %s: from %d to %d", n, kind, id, old.Published, s.Published)
 				}
-				for i := old.Next; i < s.Next; i++ {
+				for i := old.Published; i < s.Published; i++ {
 					sent[id] = append(sent[id], i)
 				}
 				m := Mark{Club: s.Purge.Club, Stale: s.Purge.Stale}
-				for i := old.Next; i < s.Next; i++ {
+				for i := old.Published; i < s.Published; i++ {
 					m.Object = s.Purge.Objects[i]
 					published = append(published, struct {
 						Mark
 						bound float64
 					}{m, s.Accepted + s.Limits.Skew})
 				}
-				if old.Place == 0 {
+				if old.LogIndex == 0 {
 					m.Object, m.Pattern = "", s.Purge.Pattern
 					if len(s.Purge.Groups) > 0 {
 						m.Grouped, m.Group = true, s.Purge.Groups[0]
@@ -148,7 +148,7 @@
 				for _, object := range append([]string{"c", "zz"}, objects...) {
 					for group := range int64(3) {
 						hard, soft := published.bound(club, object, group)
-						for holder, shelf := range map[string]*Shelf{"the log": b.Shelf, "a core": core} {
+						for holder, shelf := range map[string]*BoundSet{"the log": b.Bounds, "a core": core} {
 							// A soft bound below the hard bound may be left out, as it has no effect.
 							if h, s := shelf.Bound(club, object, group); h != hard || max(h, s) != max(hard, soft) {
 								t.Fatalf("%d: %s: club %q, object %s, group %d: bounds %v and %v in %s, want %v and %v", n, kind, club, object, group, h, s, holder, hard, soft)
@@ -172,7 +172,7 @@
 // published for it.
 func TestEvictionNeverLowersBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := NewShelf(rapid.IntRange(16, 40).Draw(t, "most"))
+		s := NewBoundSet(rapid.IntRange(16, 40).Draw(t, "most"))
 		var published model
 		for range rapid.IntRange(1, 300).Draw(t, "marks") {
 			m := Mark{Object: fmt.Sprint("o", rapid.IntRange(0, 100).Draw(t, "object")), At: float64(rapid.IntRange(1, 1000).Draw(t, "at")), Stale: rapid.Bool().Draw(t, "stale")}
@@ -205,13 +205,13 @@
 	for i, g := range []string{"g1", "g2", "g3"} {
 		b.Member(g, uint64(i+1), true)
 	}
-	l := Limits{Delay: 5000, Skew: 100, Rate: 2, Batch: 2, Held: 100}
+	l := Limits{Delay: 5000, Skew: 100, Rate: 2, Batch: 2, MaxBounds: 100}
 	p := &Purge{ID: "p", Objects: []string{"a", "b", "c"}}
-	s := b.applyOrder(10, Accept, Order{At: 1000, Purge: p, Limits: &l}).(State)
-	if s.Stage != Going || s.Effective() != 1000+5000+1500 {
+	s := b.applyOrder(10, Accept, CommandData{At: 1000, Purge: p, Limits: &l}).(State)
+	if s.Stage != Publishing || s.Effective() != 1000+5000+1500 {
 		t.Fatalf("accepted: %+v, effective at %v", s, s.Effective())
 	}
-	if r := b.applyOrder(11, Accept, Order{At: 1000, Purge: &Purge{ID: "p", Objects: []string{"a"}}, Limits: &l}); r != ErrOther {
+	if r := b.applyOrder(11, Accept, CommandData{At: 1000, Purge: &Purge{ID: "p", Objects: []string{"a"}}, Limits: &l}); r != ErrConflict {
 		t.Errorf("same id with other content: %v", r)
 	}
 	o, ok, _ := b.NextBatch(1000)
@@ -220,7 +220,7 @@
 	}
 	o.Token = 4
 	b.applyOrder(12, Batch, o)
-	if r := b.applyOrder(13, Batch, o); r != ErrTurn {
+	if r := b.applyOrder(13, Batch, o); r != ErrOutOfOrder {
 		t.Errorf("duplicate batch: %v", r)
 	}
 	if _, ok, _ := b.NextBatch(1500); ok {
@@ -230,7 +230,7 @@
 	if o.Token = 3; !ok || late || o.First != 2 || o.Next != 3 {
 		t.Fatalf("second batch: %+v", o)
 	}
-	if r := b.applyOrder(14, Batch, o); r != ErrOld {
+	if r := b.applyOrder(14, Batch, o); r != ErrReplaced {
 		t.Errorf("batch of a replaced owner: %v", r)
 	}
 	if _, _, late := b.NextBatch(3300); !late {
@@ -240,35 +240,35 @@
 	if s := b.applyOrder(15, Batch, o).(State); s.Stage != Sent || !slices.Equal(b.Unconfirmed(&s), []string{"g1", "g2", "g3"}) {
 		t.Errorf("sent: %+v, unconfirmed %v", s, b.Unconfirmed(&s))
 	}
-	b.applyOrder(16, Seen, Order{At: 2100, From: "g1", Index: 14})
-	b.applyOrder(17, Seen, Order{At: 2100, From: "g1", Index: 15})
-	b.applyOrder(18, Seen, Order{At: 2100, From: "g2", Index: 99}) // beyond the end of the log
-	b.Member("g2", 7, true)                                        // restarted: nothing confirmed yet
+	b.applyOrder(16, Confirm, CommandData{At: 2100, From: "g1", Index: 14})
+	b.applyOrder(17, Confirm, CommandData{At: 2100, From: "g1", Index: 15})
+	b.applyOrder(18, Confirm, CommandData{At: 2100, From: "g2", Index: 99}) // beyond the end of the log
+	b.Member("g2", 7, true)                                                 // restarted: nothing confirmed yet
 	if x := b.Purges["p"]; !slices.Equal(b.Unconfirmed(x), []string{"g2", "g3"}) {
 		t.Errorf("unconfirmed: %v", b.Unconfirmed(x))
 	}
-	b.applyOrder(18, Tick, Order{At: 9000})
+	b.applyOrder(18, Tick, CommandData{At: 9000})
 	if x := b.Purges["p"]; !slices.Equal(b.Unconfirmed(x), []string{"g2", "g3"}) {
 		t.Errorf("joined gateways are not waited for past the delay: %v", b.Unconfirmed(x))
 	}
-	b.applyOrder(19, Seen, Order{At: 9100, From: "g2", Index: 15})
+	b.applyOrder(19, Confirm, CommandData{At: 9100, From: "g2", Index: 15})
 	b.Member("g3", 3, false)
-	b.applyOrder(20, Tick, Order{At: 14_000})
+	b.applyOrder(20, Tick, CommandData{At: 14_000})
 	if x := b.Purges["p"]; x.Stage != Sent {
 		t.Errorf("done while a lost gateway may still serve older copies: %+v", x)
 	}
-	b.applyOrder(21, Tick, Order{At: 14_200})
-	if x := b.Purges["p"]; x.Stage != Done || !slices.Equal(x.Without, []string{"g3"}) {
+	b.applyOrder(21, Tick, CommandData{At: 14_200})
+	if x := b.Purges["p"]; x.Stage != Done || !slices.Equal(x.Missing, []string{"g3"}) {
 		t.Errorf("not done without the lost gateway: %+v", x)
 	}
-	if r := b.applyOrder(22, Cancel, Order{ID: "p"}); r != ErrOver {
+	if r := b.applyOrder(22, Cancel, CommandData{ID: "p"}); r != ErrFinished {
 		t.Errorf("cancelled after completion: %v", r)
 	}
-	b.applyOrder(23, Accept, Order{At: 15_000, Purge: &Purge{ID: "q", Objects: []string{"x", "y", "z"}}, Limits: &l})
+	b.applyOrder(23, Accept, CommandData{At: 15_000, Purge: &Purge{ID: "q", Objects: []string{"x", "y", "z"}}, Limits: &l})
 	o, _, _ = b.NextBatch(1e9)
 	o.Token = 5
 	b.applyOrder(24, Batch, o)
-	if s := b.applyOrder(25, Cancel, Order{ID: "q"}).(State); s.Stage != Cancelled || s.Next != 2 {
+	if s := b.applyOrder(25, Cancel, CommandData{ID: "q"}).(State); s.Stage != Cancelled || s.Published != 2 {
 		t.Errorf("cancelled in progress: %+v", s)
 	}
 }
@@ -280,18 +280,18 @@
 	for i, g := range []string{"g1", "g2", "g3"} {
 		b.Member(g, uint64(i+1), true)
 	}
-	l := Limits{Delay: 8000, Skew: 100, Rate: 10, Batch: 2, Held: 100, Fills: 50}
-	b.applyOrder(10, Accept, Order{At: 1000, Purge: &Purge{ID: "p", Objects: []string{"a", "b", "c", "d", "e"}}, Limits: &l})
+	l := Limits{Delay: 8000, Skew: 100, Rate: 10, Batch: 2, MaxBounds: 100, MaxFills: 50}
+	b.applyOrder(10, Accept, CommandData{At: 1000, Purge: &Purge{ID: "p", Objects: []string{"a", "b", "c", "d", "e"}}, Limits: &l})
 	due := func(now float64) bool { _, ok, _ := b.NextBatch(now); return ok }
 	if !b.AwaitsMisses() || !due(1000) {
 		t.Error("no batch due although there are no misses")
 	}
-	b.applyOrder(11, Misses, Order{At: 1000, From: "g1", Rate: 30})
-	b.applyOrder(12, Misses, Order{At: 1000, From: "g2", Rate: 20})
+	b.applyOrder(11, ReportMisses, CommandData{At: 1000, From: "g1", Rate: 30})
+	b.applyOrder(12, ReportMisses, CommandData{At: 1000, From: "g2", Rate: 20})
 	if !due(1000) {
 		t.Error("waits although misses equal the limit")
 	}
-	b.applyOrder(13, Misses, Order{At: 1000, From: "g3", Rate: 1})
+	b.applyOrder(13, ReportMisses, CommandData{At: 1000, From: "g3", Rate: 1})
 	if due(1000) || due(2999) {
 		t.Error("due although misses exceed the limit")
 	}
@@ -303,11 +303,11 @@
 		t.Error("counts the misses of a lost gateway")
 	}
 	b.Member("g1", 1, true)
-	b.applyOrder(14, Tick, Order{At: 6001})
+	b.applyOrder(14, Tick, CommandData{At: 6001})
 	if !due(1000) {
 		t.Error("counts an outdated report of misses")
 	}
-	if r := b.applyOrder(15, Misses, Order{From: "nobody", Rate: 1e6}); r != nil || b.totalMisses() > 0 {
+	if r := b.applyOrder(15, ReportMisses, CommandData{From: "nobody", Rate: 1e6}); r != nil || b.totalMisses() > 0 {
 		t.Errorf("report of an unknown gateway: %v, %v", r, b.totalMisses())
 	}
 }
@@ -323,7 +323,7 @@
 			t.Errorf("%s: %v", want, err)
 		}
 	}
-	for want, l := range map[string]Limits{"delay": {Delay: 1}, "skew": {Delay: 1000, Skew: 500}, "rate": {Delay: 1000, Rate: math.Inf(1)}, "fills": {Delay: 1000, Fills: 5},
+	for want, l := range map[string]Limits{"delay": {Delay: 1}, "skew": {Delay: 1000, Skew: 500}, "rate": {Delay: 1000, Rate: math.Inf(1)}, "fills": {Delay: 1000, MaxFills: 5},
 		"batch": {Delay: 1000}, "held": {Delay: 1000, Batch: 1}} {
 		if err := l.Check(); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
@@ -336,16 +336,16 @@
 		for k := range objects {
 			objects[k] = fmt.Sprint(i, "-", k)
 		}
-		r := book.applyOrder(uint64(i+1), Accept, Order{Purge: &Purge{ID: fmt.Sprint(i), Objects: objects}, Limits: &l})
+		r := book.applyOrder(uint64(i+1), Accept, CommandData{Purge: &Purge{ID: fmt.Sprint(i), Objects: objects}, Limits: &l})
 		if full := i >= maxNamed/maxObjects; (r == ErrFull) != full {
 			t.Errorf("%d open purges of %d objects, then another: %v", i, maxObjects, r)
 		}
 	}
 	b := New()
-	if r := b.Apply(1, Accept, []byte("x")); r != ErrBad {
+	if r := b.Apply(1, Accept, []byte("x")); r != ErrMalformed {
 		t.Errorf("malformed command: %v", r)
 	}
-	if r := b.applyOrder(1, Cancel, Order{ID: "none"}); r != ErrUnknown {
+	if r := b.applyOrder(1, Cancel, CommandData{ID: "none"}); r != ErrUnknown {
 		t.Errorf("unknown purge: %v", r)
 	}
 }
@@ -360,7 +360,7 @@
 		if pattern == "" || p.Check() != nil {
 			return
 		}
-		s := NewShelf(100)
+		s := NewBoundSet(100)
 		s.Put(Mark{Pattern: pattern, At: 5})
 		hard, _ := s.Bound("", name, 0)
 		re, err := regexp.Compile(pattern)
@@ -373,7 +373,7 @@
 		}
 		restored := New()
 		b := New()
-		b.Shelf = s
+		b.Bounds = s
 		if err := restored.Load(b.Save()); err != nil {
 			t.Fatal(err)
 		}
@@ -382,7 +382,7 @@
 
 func BenchmarkBound(bench *testing.B) {
 	for _, n := range []int{0, 1000, 100_000} {
-		s := NewShelf(200_000)
+		s := NewBoundSet(200_000)
 		for i := range n {
 			s.Put(Mark{Object: fmt.Sprintf("%016x", i), At: float64(i)})
 		}
@@ -393,7 +393,7 @@
 			}
 		})
 	}
-	s := NewShelf(1000)
+	s := NewBoundSet(1000)
 	for i := range maxPatterns {
 		s.Put(Mark{Pattern: fmt.Sprintf("[0-9a-f]{8}%08x", i), At: 1})
 	}
--- a/internal/purges/statemachine.go
+++ b/internal/purges/statemachine.go
@@ -11,10 +11,10 @@
 	"poppymill/internal/canon"
 )
 
-// Book is the replicated state machine: the state that results from applying the log's commands.
-type Book struct {
+// StateMachine is the replicated state machine: the state that results from applying the log's commands.
+type StateMachine struct {
 	Purges       map[string]*State  `cbor:"2,keyasint"`
-	Shelf        *Shelf             `cbor:"3,keyasint"`
+	Bounds       *BoundSet          `cbor:"3,keyasint"`
 	Gateways     map[string]Gateway `cbor:"4,keyasint"`
 	Now          float64            `cbor:"5,keyasint"` // the latest time carried by a command
 	HighestToken uint64             `cbor:"6,keyasint"` // highest fencing token under which a batch was published
@@ -26,18 +26,18 @@
 
 // State is the state of one purge.
 type State struct {
-	Purge    Purge    `cbor:"1,keyasint" json:"purge"`
-	Limits   Limits   `cbor:"2,keyasint" json:"limits"`
-	Place    uint64   `cbor:"3,keyasint" json:"place"` // log index of its acceptance, which orders purges
-	Accepted float64  `cbor:"4,keyasint" json:"accepted"`
-	Stage    Stage    `cbor:"5,keyasint" json:"stage"`
-	Next     int      `cbor:"6,keyasint" json:"next"`               // number of objects published, and the index of the next one
-	Newer    int      `cbor:"7,keyasint" json:"newer"`              // of those, the ones already covered by a newer purge
-	Last     uint64   `cbor:"8,keyasint" json:"last"`               // log index of its last mark or batch
-	Sent     float64  `cbor:"9,keyasint" json:"sent"`               // time of its last mark or batch
-	Without  []string `cbor:"10,keyasint" json:"without,omitempty"` // lost gateways that never confirmed it and no longer trust older copies
-	Ended    float64  `cbor:"11,keyasint" json:"ended,omitempty"`
-	Start    float64  `cbor:"12,keyasint" json:"start"` // earliest time to publish its first object; all purges share one rate
+	Purge      Purge    `cbor:"1,keyasint" json:"purge"`
+	Limits     Limits   `cbor:"2,keyasint" json:"limits"`
+	LogIndex   uint64   `cbor:"3,keyasint" json:"place"` // log index of its acceptance, which orders purges
+	Accepted   float64  `cbor:"4,keyasint" json:"accepted"`
+	Stage      Stage    `cbor:"5,keyasint" json:"stage"`
+	Published  int      `cbor:"6,keyasint" json:"next"`               // number of objects published, and the index of the next one
+	Superseded int      `cbor:"7,keyasint" json:"newer"`              // of those, the ones already covered by a newer purge
+	LastIndex  uint64   `cbor:"8,keyasint" json:"last"`               // log index of its last mark or batch
+	Sent       float64  `cbor:"9,keyasint" json:"sent"`               // time of its last mark or batch
+	Missing    []string `cbor:"10,keyasint" json:"without,omitempty"` // lost gateways that never confirmed it and no longer trust older copies
+	Ended      float64  `cbor:"11,keyasint" json:"ended,omitempty"`
+	Start      float64  `cbor:"12,keyasint" json:"start"` // earliest time to publish its first object; all purges share one rate
 }
 
 // Gateway is the state of one gateway as a member of the quorum.
@@ -63,9 +63,9 @@
 )
 
 // New returns an empty state machine.
-func New() *Book {
+func New() *StateMachine {
 	l := DefaultLimits()
-	return &Book{Purges: map[string]*State{}, Shelf: NewShelf(l.Held), Gateways: map[string]Gateway{}}
+	return &StateMachine{Purges: map[string]*State{}, Bounds: NewBoundSet(l.MaxBounds), Gateways: map[string]Gateway{}}
 }
 
 // Check validates a purge; the error begins with the name of the invalid field.
@@ -108,11 +108,11 @@
 		return errors.New("skew: over a quarter of delay")
 	case !finite(l.Rate):
 		return errors.New("rate: not a number")
-	case !finite(l.Fills) || l.Fills > 0 && l.Rate == 0:
+	case !finite(l.MaxFills) || l.MaxFills > 0 && l.Rate == 0:
 		return errors.New("fills: needs a rate, as nothing waits where all goes out at once")
 	case l.Batch < 1 || l.Batch > maxObjects:
 		return fmt.Errorf("batch: 1 to %d", maxObjects)
-	case l.Held < 16 || l.Held > maxHeld:
+	case l.MaxBounds < 16 || l.MaxBounds > maxHeld:
 		return fmt.Errorf("held: 16 to %d", maxHeld)
 	}
 	return nil
@@ -120,7 +120,7 @@
 
 // Member applies a membership change of a gateway in log order. A new incarnation starts with no confirmed index: it
 // confirms what it has read of the log itself.
-func (b *Book) Member(name string, incarnation uint64, joined bool) {
+func (b *StateMachine) Member(name string, incarnation uint64, joined bool) {
 	old := b.Gateways[name]
 	b.changes++
 	switch {
@@ -137,10 +137,10 @@
 
 // Apply applies a command in log order. It returns a copy of the resulting purge state, nil if the command is about no
 // purge, or an error.
-func (b *Book) Apply(index uint64, kind string, data []byte) any {
-	var o Order
+func (b *StateMachine) Apply(index uint64, kind string, data []byte) any {
+	var o CommandData
 	if canon.Decode(data, &o) != nil || !(o.At >= 0) || o.At > 1e15 {
-		return ErrBad
+		return ErrMalformed
 	}
 	b.Now = max(b.Now, o.At)
 	b.changes++
@@ -153,19 +153,19 @@
 		s, err = b.applyBatch(index, o)
 	case Cancel:
 		s, err = b.applyCancel(o)
-	case Seen:
+	case Confirm:
 		if g := b.Gateways[o.From]; g.Incarnation != 0 {
 			g.Confirmed = max(g.Confirmed, min(o.Index, index))
 			b.Gateways[o.From] = g
 		}
-	case Misses:
+	case ReportMisses:
 		if g := b.Gateways[o.From]; g.Incarnation != 0 && o.Rate >= 0 && !math.IsInf(o.Rate, 1) {
 			g.Misses, g.MissesAt = o.Rate, b.Now
 			b.Gateways[o.From] = g
 		}
 	case Tick:
 	default:
-		return ErrBad
+		return ErrMalformed
 	}
 	if err != nil {
 		return err
@@ -175,18 +175,18 @@
 		return nil
 	}
 	c := *s
-	c.Without = slices.Clone(s.Without)
+	c.Missing = slices.Clone(s.Missing)
 	return c
 }
 
 // applyAccept starts a purge. Patterns and groups are published at once, and objects too if there is no rate.
-func (b *Book) applyAccept(index uint64, o Order) (*State, error) {
+func (b *StateMachine) applyAccept(index uint64, o CommandData) (*State, error) {
 	if o.Purge == nil || o.Limits == nil || o.Purge.Check() != nil || o.Limits.Check() != nil {
-		return nil, ErrBad
+		return nil, ErrMalformed
 	}
 	if s := b.Purges[o.Purge.ID]; s != nil {
 		if !reflect.DeepEqual(s.Purge, *o.Purge) {
-			return nil, ErrOther
+			return nil, ErrConflict
 		}
 		return s, nil
 	}
@@ -200,8 +200,8 @@
 	if open >= maxOpenPurges || named > maxNamed {
 		return nil, ErrFull
 	}
-	b.Shelf.Limit = o.Limits.Held
-	s := &State{Purge: *o.Purge, Limits: *o.Limits, Place: index, Accepted: b.Now}
+	b.Bounds.Limit = o.Limits.MaxBounds
+	s := &State{Purge: *o.Purge, Limits: *o.Limits, LogIndex: index, Accepted: b.Now}
 	b.Purges[s.Purge.ID] = s
 	if p := &s.Purge; p.Pattern != "" {
 		b.publish(index, s, Mark{Pattern: p.Pattern})
@@ -214,7 +214,7 @@
 		b.publishObjects(index, s, len(s.Purge.Objects))
 	} else {
 		for _, x := range b.Purges {
-			if x.Stage == Going && x != s {
+			if x.Stage == Publishing && x != s {
 				s.Start = max(s.Start, x.dueAt(len(x.Purge.Objects)))
 			}
 		}
@@ -230,66 +230,66 @@
 func (s *State) boundTime() float64 { return s.Accepted + s.Limits.Skew }
 
 // publish adds a mark to the bounds and to the marks that gateways have to apply.
-func (b *Book) publish(index uint64, s *State, m Mark) {
+func (b *StateMachine) publish(index uint64, s *State, m Mark) {
 	m.Club, m.At, m.Stale = s.Purge.Club, s.boundTime(), s.Purge.Stale
-	b.Shelf.Put(m)
+	b.Bounds.Put(m)
 	b.newMarks = append(b.newMarks, m)
-	s.Last, s.Sent, b.LastIndex = index, b.Now, index
+	s.LastIndex, s.Sent, b.LastIndex = index, b.Now, index
 }
 
 // publishObjects publishes the objects of a purge before index next. Objects already covered by a newer purge need no
 // mark.
-func (b *Book) publishObjects(index uint64, s *State, next int) {
-	for ; s.Next < next; s.Next++ {
-		object := s.Purge.Objects[s.Next]
-		if hard, _ := b.Shelf.Bound(s.Purge.Club, object, math.MinInt64); hard >= s.boundTime() {
-			s.Newer++
+func (b *StateMachine) publishObjects(index uint64, s *State, next int) {
+	for ; s.Published < next; s.Published++ {
+		object := s.Purge.Objects[s.Published]
+		if hard, _ := b.Bounds.Bound(s.Purge.Club, object, math.MinInt64); hard >= s.boundTime() {
+			s.Superseded++
 			continue
 		}
 		b.publish(index, s, Mark{Object: object})
 	}
-	s.Last, s.Sent = index, b.Now
+	s.LastIndex, s.Sent = index, b.Now
 }
 
 // applyBatch publishes a batch of objects. A sender whose token was superseded is refused unless the batch is overdue.
-func (b *Book) applyBatch(index uint64, o Order) (*State, error) {
+func (b *StateMachine) applyBatch(index uint64, o CommandData) (*State, error) {
 	s := b.Purges[o.ID]
 	switch {
 	case s == nil:
 		return nil, ErrUnknown
 	case o.Token < b.HighestToken && !s.overdue(o.First, b.Now):
-		return nil, ErrOld
+		return nil, ErrReplaced
 	}
 	b.HighestToken = max(b.HighestToken, o.Token)
 	switch {
-	case s.Stage != Going:
-		return nil, ErrOver
-	case o.First != s.Next || o.Next <= o.First || o.Next > len(s.Purge.Objects) || o.Next-o.First > s.Limits.Batch:
-		return nil, ErrTurn // a duplicate, or from a sender that had not seen the previous batch
+	case s.Stage != Publishing:
+		return nil, ErrFinished
+	case o.First != s.Published || o.Next <= o.First || o.Next > len(s.Purge.Objects) || o.Next-o.First > s.Limits.Batch:
+		return nil, ErrOutOfOrder // a duplicate, or from a sender that had not seen the previous batch
 	}
 	b.publishObjects(index, s, o.Next)
 	return s, nil
 }
 
 // applyCancel stops a purge whose objects are not all published.
-func (b *Book) applyCancel(o Order) (*State, error) {
+func (b *StateMachine) applyCancel(o CommandData) (*State, error) {
 	s := b.Purges[o.ID]
 	switch {
 	case s == nil:
 		return nil, ErrUnknown
 	case s.Stage == Cancelled:
 		return s, nil
-	case s.Stage != Going:
-		return nil, ErrOver
+	case s.Stage != Publishing:
+		return nil, ErrFinished
 	}
 	s.Stage, s.Ended = Cancelled, b.Now
 	return s, nil
 }
 
 // advanceStages moves purges to their next stage where its conditions hold.
-func (b *Book) advanceStages() {
+func (b *StateMachine) advanceStages() {
 	for _, s := range b.Purges {
-		if s.Stage == Going && s.Next == len(s.Purge.Objects) {
+		if s.Stage == Publishing && s.Published == len(s.Purge.Objects) {
 			s.Stage = Sent
 		}
 		if s.Stage != Sent || len(b.Unconfirmed(s)) > 0 {
@@ -297,8 +297,8 @@
 		}
 		s.Stage, s.Ended = Done, b.Now
 		for _, name := range slices.Sorted(maps.Keys(b.Gateways)) {
-			if g := b.Gateways[name]; g.Confirmed < s.Last {
-				s.Without = append(s.Without, name)
+			if g := b.Gateways[name]; g.Confirmed < s.LastIndex {
+				s.Missing = append(s.Missing, name)
 			}
 		}
 	}
@@ -306,9 +306,9 @@
 
 // Unconfirmed lists the gateways that have not confirmed all published objects of a purge: those that are joined, and
 // those lost so recently that they may still trust older copies.
-func (b *Book) Unconfirmed(s *State) (all []string) {
+func (b *StateMachine) Unconfirmed(s *State) (all []string) {
 	for _, name := range slices.Sorted(maps.Keys(b.Gateways)) {
-		if g := b.Gateways[name]; g.Confirmed < s.Last && (g.Joined || b.Now < g.Since+s.Limits.Delay) {
+		if g := b.Gateways[name]; g.Confirmed < s.LastIndex && (g.Joined || b.Now < g.Since+s.Limits.Delay) {
 			all = append(all, name)
 		}
 	}
@@ -336,7 +336,7 @@
 const missesValidFor = 5000.0
 
 // totalMisses sums the fills per second of all joined gateways with a recent report.
-func (b *Book) totalMisses() (sum float64) {
+func (b *StateMachine) totalMisses() (sum float64) {
 	for _, g := range b.Gateways {
 		if g.Joined && b.Now < g.MissesAt+missesValidFor {
 			sum += g.Misses
@@ -347,9 +347,9 @@
 
 // AwaitsMisses reports whether the gateways have to report their misses, as a purge with a limit on fills is in
 // progress.
-func (b *Book) AwaitsMisses() bool {
+func (b *StateMachine) AwaitsMisses() bool {
 	for _, s := range b.Purges {
-		if s.Stage == Going && s.Limits.Fills > 0 {
+		if s.Stage == Publishing && s.Limits.MaxFills > 0 {
 			return true
 		}
 	}
@@ -358,34 +358,34 @@
 
 // NextBatch returns the batch to publish next under the rate of the limits, and whether it is due; late reports that
 // the leader is to send it because its owner did not.
-func (b *Book) NextBatch(now float64) (o Order, due, late bool) {
+func (b *StateMachine) NextBatch(now float64) (o CommandData, due, late bool) {
 	var first *State
 	for _, s := range b.Purges {
-		if s.Stage == Going && (first == nil || s.Place < first.Place) {
+		if s.Stage == Publishing && (first == nil || s.LogIndex < first.LogIndex) {
 			first = s
 		}
 	}
-	if first == nil || now < first.dueAt(first.Next) {
+	if first == nil || now < first.dueAt(first.Published) {
 		return o, false, false
 	}
 	// A mass purge must not overload hubs and core, so misses delay the next batch, but never so long that the delay of
 	// the purge is exceeded.
-	if l := first.Limits; l.Fills > 0 && b.totalMisses() > l.Fills && !first.overdue(first.Next, now) {
+	if l := first.Limits; l.MaxFills > 0 && b.totalMisses() > l.MaxFills && !first.overdue(first.Published, now) {
 		return o, false, false
 	}
-	return Order{At: now, ID: first.Purge.ID, First: first.Next, Next: min(len(first.Purge.Objects), first.Next+first.Limits.Batch)}, true, first.overdue(first.Next, now)
+	return CommandData{At: now, ID: first.Purge.ID, First: first.Published, Next: min(len(first.Purge.Objects), first.Published+first.Limits.Batch)}, true, first.overdue(first.Published, now)
 }
 
 // BatchToSend returns the batch that this gateway is to send now, if any: the owner sends batches that are due, the
 // leader sends those that the owner left overdue.
-func (b *Book) BatchToSend(now float64, token uint64, owns, leads bool) (Order, bool) {
+func (b *StateMachine) BatchToSend(now float64, token uint64, owns, leads bool) (CommandData, bool) {
 	o, due, late := b.NextBatch(now)
 	o.Token = token
 	return o, due && (owns || late && leads)
 }
 
 // AnyOpen reports whether any purge is neither done nor cancelled.
-func (b *Book) AnyOpen() bool {
+func (b *StateMachine) AnyOpen() bool {
 	for _, s := range b.Purges {
 		if s.Stage <= Sent {
 			return true
@@ -395,7 +395,7 @@
 }
 
 // evictFinished removes the oldest finished purges while the state exceeds its size limits.
-func (b *Book) evictFinished() {
+func (b *StateMachine) evictFinished() {
 	named := 0
 	for _, s := range b.Purges {
 		named += s.Purge.countNames()
@@ -403,7 +403,7 @@
 	for len(b.Purges) > maxPurges || named > maxNamed {
 		var oldest *State
 		for _, s := range b.Purges {
-			if s.Stage >= Done && (oldest == nil || s.Place < oldest.Place) {
+			if s.Stage >= Done && (oldest == nil || s.LogIndex < oldest.LogIndex) {
 				oldest = s
 			}
 		}
@@ -416,34 +416,34 @@
 }
 
 // All returns the purges in log order.
-func (b *Book) All() []*State {
-	return slices.SortedFunc(maps.Values(b.Purges), func(x, y *State) int { return int(int64(x.Place) - int64(y.Place)) })
+func (b *StateMachine) All() []*State {
+	return slices.SortedFunc(maps.Values(b.Purges), func(x, y *State) int { return int(int64(x.LogIndex) - int64(y.LogIndex)) })
 }
 
 // Changes returns a counter that is incremented whenever the state may have changed.
-func (b *Book) Changes() uint64 { return b.changes }
+func (b *StateMachine) Changes() uint64 { return b.changes }
 
 // TakeMarks returns the marks published since the previous call.
-func (b *Book) TakeMarks() []Mark {
+func (b *StateMachine) TakeMarks() []Mark {
 	marks := b.newMarks
 	b.newMarks = nil
 	return marks
 }
 
 // Save encodes the state as a snapshot; equal states have identical encodings.
-func (b *Book) Save() []byte { return canon.Encode(b) }
+func (b *StateMachine) Save() []byte { return canon.Encode(b) }
 
 // Load replaces the state by a snapshot; nil gives an empty state.
-func (b *Book) Load(snapshot []byte) error {
+func (b *StateMachine) Load(snapshot []byte) error {
 	n := New()
 	if snapshot != nil {
 		if err := canon.Decode(snapshot, n); err != nil {
 			return fmt.Errorf("purges: %w", err)
 		}
-		if n.Purges == nil || n.Gateways == nil || n.Shelf == nil {
-			return fmt.Errorf("purges: %w", ErrBad)
+		if n.Purges == nil || n.Gateways == nil || n.Bounds == nil {
+			return fmt.Errorf("purges: %w", ErrMalformed)
 		}
-		if err := n.Shelf.rebuild(); err != nil {
+		if err := n.Bounds.rebuild(); err != nil {
 			return fmt.Errorf("purges: %w", err)
 		}
 	}
--- a/internal/purges/view.go
+++ b/internal/purges/view.go
@@ -3,27 +3,27 @@
 // View is one gateway's view of the purges, used to check copies: the bounds received so far, and the delay after which
 // it may no longer rely on them alone.
 type View struct {
-	Shelf  *Shelf
-	Club   string
-	Delay  float64 // ms within which purges take effect at gateways that cannot receive them; 0: this gateway does not take part
-	Skew   float64
-	Blinds int // number of checks made without up-to-date knowledge of the log
+	Bounds      *BoundSet
+	Club        string
+	Delay       float64 // ms within which purges take effect at gateways that cannot receive them; 0: this gateway does not take part
+	Skew        float64
+	StaleChecks int // number of checks made without up-to-date knowledge of the log
 }
 
 // blindAfter is the fraction of the delay after which a gateway that cannot reach the log treats older copies as
 // purged. The rest allows for the time that a response takes to reach the client.
 const blindAfter = 0.75
 
-// Oldest returns the minimum creation time of a copy that may serve a download at time now, given that all log entries
+// MinCreated returns the minimum creation time of a copy that may serve a download at time now, given that all log entries
 // committed before the time known are applied; 0 accepts any copy. Purges that only mark copies stale bind the first
 // pull alone; later pulls accept older copies.
-func (v *View) Oldest(now, known float64, object string, group int64, first bool) float64 {
-	hard, soft := v.Shelf.Bound(v.Club, object, group)
+func (v *View) MinCreated(now, known float64, object string, group int64, first bool) float64 {
+	hard, soft := v.Bounds.Bound(v.Club, object, group)
 	if v.Delay > 0 && now-known > blindAfter*v.Delay {
 		// An unknown purge that must already be in effect was accepted at least this long ago, so copies created later
 		// are not affected by it.
 		hard = max(hard, now-blindAfter*v.Delay+v.Skew)
-		v.Blinds++
+		v.StaleChecks++
 	}
 	if first {
 		return max(hard, soft)
--- a/internal/rehearsal/sockets/control.go
+++ b/internal/rehearsal/sockets/control.go
@@ -108,7 +108,7 @@
 		gateway := i % len(s.gateways)
 		var limits purges.Limits
 		if r, err := s.Call(gateway, drive.Query{Subject: "purge limits"}, time.Second); err == nil && r.Error == "" && json.Unmarshal(r.Body, &limits) == nil {
-			order := purges.Order{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &limits}
+			order := purges.CommandData{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &limits}
 			command := &quorum.Command{StateMachine: sweep.Book, Kind: purges.Accept, Data: canon.Encode(order)}
 			if r, err := s.Call(gateway, drive.Query{Command: command, Subject: "purge", Name: a.ID}, 2*time.Second); err == nil && r.Error == "" && json.Unmarshal(r.Body, &accepted) == nil {
 				break
--- a/internal/rehearsal/sockets/purges_test.go
+++ b/internal/rehearsal/sockets/purges_test.go
@@ -50,7 +50,7 @@
 		}
 	}, func(c *cluster) {
 		pc.cluster = c
-		c.extraConfig = fmt.Sprintf("purges {\n  delay = \"%.0fms\"\n  skew = \"%.0fms\"\n  rate = %g\n  batch = %d\n  held = %d\n}\n", limits.Delay, limits.Skew, limits.Rate, limits.Batch, limits.Held)
+		c.extraConfig = fmt.Sprintf("purges {\n  delay = \"%.0fms\"\n  skew = \"%.0fms\"\n  rate = %g\n  batch = %d\n  held = %d\n}\n", limits.Delay, limits.Skew, limits.Rate, limits.Batch, limits.MaxBounds)
 		c.onFact = pc.recordFact
 	}, func(c *cluster) {
 		c.waitForReports("all converged", c.converged)
@@ -108,7 +108,7 @@
 func (pc *purgeCluster) acceptPurge(p purges.Purge, at int) sweep.Purge {
 	pc.t.Helper()
 	pc.waitFor("the purge "+p.ID+" is accepted", func() bool {
-		o := purges.Order{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &pc.limits}
+		o := purges.CommandData{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &pc.limits}
 		r, err := pc.stage.Call(at, drive.Query{Command: &quorum.Command{StateMachine: sweep.Book, Kind: purges.Accept, Data: canon.Encode(o)}}, 2*time.Second)
 		return err == nil && r.Error == ""
 	})
@@ -143,7 +143,7 @@
 // copy; the purge is done only once all joined gateways have acknowledged it, and gateways that could not learn of it refetch and
 // keep answering.
 func TestPurgeHoldsAtUnreachableGateways(t *testing.T) {
-	runPurgeCluster(t, nil, purges.Limits{Delay: 2500, Skew: 100, Batch: 500, Held: 1000}, func(pc *purgeCluster) {
+	runPurgeCluster(t, nil, purges.Limits{Delay: 2500, Skew: 100, Batch: 500, MaxBounds: 1000}, func(pc *purgeCluster) {
 		pc.waitFor("clients have requested enough objects", func() bool { return len(pc.requestedObjects(3)) >= 15 })
 		objects, cutOff, sendCut, frozen := pc.requestedObjects(1), 4, 3, 0
 		pc.inject(script.Event{Do: "part", Name: pc.names[cutOff], For: 9000})
@@ -167,7 +167,7 @@
 		})
 		pc.waitForReports("all converged after the cuts are healed", pc.converged)
 		pc.waitFor("all have acknowledged the purge", func() bool { return pc.purgeStatus("class-7", 0).Stage == "done" })
-		for _, name := range pc.purgeStatus("class-7", 0).Without {
+		for _, name := range pc.purgeStatus("class-7", 0).Missing {
 			if name != pc.names[cutOff] && name != pc.names[sendCut] && name != pc.names[frozen] {
 				t.Errorf("done without an acknowledgement of %s, which was reachable", name)
 			}
@@ -180,12 +180,12 @@
 // covers those of the older one; a purge that is cancelled half way reports how far it got; reusing an ID with other content is
 // refused.
 func TestPurgeSurvivesFaults(t *testing.T) {
-	runPurgeCluster(t, nil, purges.Limits{Delay: 4000, Skew: 100, Rate: 4, Batch: 1, Held: 1000}, func(pc *purgeCluster) {
+	runPurgeCluster(t, nil, purges.Limits{Delay: 4000, Skew: 100, Rate: 4, Batch: 1, MaxBounds: 1000}, func(pc *purgeCluster) {
 		pc.waitFor("clients have requested enough objects", func() bool { return len(pc.requestedObjects(1)) >= 24 })
 		objects := pc.requestedObjects(1)[:24]
 		pc.acceptPurge(purges.Purge{ID: "long", Objects: objects}, 0)
 		first := pc.waitForJob(sweep.Sender, "owned", func(j owner.Report) bool { return j.Owner != "" })
-		sent := func(n int) func() bool { return func() bool { return pc.purgeStatus("long", 1).Next >= n } }
+		sent := func(n int) func() bool { return func() bool { return pc.purgeStatus("long", 1).Published >= n } }
 		pc.waitFor("four batches are sent", sent(4))
 		pc.inject(script.Event{Do: "freeze", Name: first.Owner, For: 4000})
 		pc.waitFor("the purge continues", sent(8))
@@ -195,10 +195,10 @@
 		newer := pc.acceptPurge(purges.Purge{ID: "newer", Groups: []int64{int64(pc.groups[objects[20]])}, Club: ""}, 2)
 		pc.acceptPurge(purges.Purge{ID: "stopped", Objects: objects[:6]}, 2)
 		pc.waitFor("cancelled", func() bool {
-			r, err := pc.stage.Call(2, drive.Query{Command: &quorum.Command{StateMachine: sweep.Book, Kind: purges.Cancel, Data: canon.Encode(purges.Order{ID: "stopped"})}}, time.Second)
+			r, err := pc.stage.Call(2, drive.Query{Command: &quorum.Command{StateMachine: sweep.Book, Kind: purges.Cancel, Data: canon.Encode(purges.CommandData{ID: "stopped"})}}, time.Second)
 			return err == nil && r.Error == ""
 		})
-		if x := pc.purgeStatus("stopped", 2); x.Stage != "cancelled" || x.Next == 6 {
+		if x := pc.purgeStatus("stopped", 2); x.Stage != "cancelled" || x.Published == 6 {
 			t.Errorf("cancelled purge: %+v", x)
 		}
 		for _, g := range pc.names {
@@ -209,12 +209,12 @@
 		for _, id := range []string{"long", "newer"} {
 			pc.waitFor(id+" is done", func() bool { return pc.purgeStatus(id, 0).Stage == "done" })
 		}
-		if newer.Place == 0 || pc.purgeStatus("long", 0).Place >= newer.Place {
-			t.Errorf("positions in the log: %d and %d", pc.purgeStatus("long", 0).Place, newer.Place)
+		if newer.LogIndex == 0 || pc.purgeStatus("long", 0).LogIndex >= newer.LogIndex {
+			t.Errorf("positions in the log: %d and %d", pc.purgeStatus("long", 0).LogIndex, newer.LogIndex)
 		}
-		o := purges.Order{Purge: &purges.Purge{ID: "long", Objects: objects[:3]}, Limits: &pc.limits}
+		o := purges.CommandData{Purge: &purges.Purge{ID: "long", Objects: objects[:3]}, Limits: &pc.limits}
 		r, err := pc.stage.Call(0, drive.Query{Command: &quorum.Command{StateMachine: sweep.Book, Kind: purges.Accept, Data: canon.Encode(o)}}, 2*time.Second)
-		if err != nil || r.Error != purges.ErrOther.Error() {
+		if err != nil || r.Error != purges.ErrConflict.Error() {
 			t.Errorf("the same ID with other content: %v, %q", err, r.Error)
 		}
 	})
@@ -229,7 +229,7 @@
 	}
 	for _, n := range []int{3, 9} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			runPurgeCluster(t, func(s *script.Script) { s.Gateways = n }, purges.Limits{Delay: 5000, Skew: 100, Batch: 500, Held: 20_000}, func(pc *purgeCluster) {
+			runPurgeCluster(t, func(s *script.Script) { s.Gateways = n }, purges.Limits{Delay: 5000, Skew: 100, Batch: 500, MaxBounds: 20_000}, func(pc *purgeCluster) {
 				var took []float64
 				for i := range times {
 					x := pc.acceptPurge(purges.Purge{ID: fmt.Sprint("p", i), Objects: []string{fmt.Sprintf("%016x", i)}}, i%n)
@@ -248,7 +248,7 @@
 					g.Go(func() {
 						for i := range total / 8 {
 							p := purges.Purge{ID: fmt.Sprint("q", k, "-", i), Objects: []string{fmt.Sprintf("%016x", 1000*k+i)}}
-							o := purges.Order{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &pc.limits}
+							o := purges.CommandData{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &pc.limits}
 							pc.stage.Call(k%n, drive.Query{Command: &quorum.Command{StateMachine: sweep.Book, Kind: purges.Accept, Data: canon.Encode(o)}}, 5*time.Second)
 						}
 					})
