--- a/cmd/poppymill/purge.go
+++ b/cmd/poppymill/purge.go
@@ -58,7 +58,7 @@
 		}
 	}
 	o.At = float64(time.Now().UnixMilli())
-	r, err := drive.SendQuery(ctx, address, drive.Query{Command: &quorum.Command{StateMachine: purgesdrive.Book, Kind: kind, Data: canon.Encode(o)}})
+	r, err := drive.SendQuery(ctx, address, drive.Query{Command: &quorum.Command{StateMachine: purgesdrive.StateMachineName, Kind: kind, Data: canon.Encode(o)}})
 	switch {
 	case err != nil:
 		return cli.Exit(fmt.Sprintf("purge %s: %s: %v; the command may have been accepted: repeat it with the same id", cmd.Name, address, err), 1)
@@ -111,7 +111,7 @@
 			if err := printPurge(cmd, x); err != nil {
 				return err
 			}
-			if overdue && !reached && len(x.Waits) > 0 {
+			if overdue && !reached && len(x.Unconfirmed) > 0 {
 				return cli.Exit("", 1)
 			}
 			return nil
@@ -125,7 +125,7 @@
 }
 
 // queryPurge queries one purge by its id.
-func queryPurge(ctx context.Context, cmd *cli.Command, id string) (x purgesdrive.Purge, err error) {
+func queryPurge(ctx context.Context, cmd *cli.Command, id string) (x purgesdrive.PurgeReport, err error) {
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
 	r, err := drive.SendQuery(ctx, cmd.Args().First(), drive.Query{Subject: "purge", Name: id, Fresh: cmd.Bool("fresh")})
@@ -142,7 +142,7 @@
 }
 
 // printPurge prints one purge as a text or as JSON.
-func printPurge(cmd *cli.Command, x purgesdrive.Purge) error {
+func printPurge(cmd *cli.Command, x purgesdrive.PurgeReport) error {
 	if cmd.Bool("json") {
 		return printJSON(x)
 	}
@@ -150,8 +150,8 @@
 	if n := len(x.Purge.Objects); n > 0 {
 		fmt.Printf("%d of %d objects sent, %d of them already covered by a newer purge\n", x.Published, n, x.Superseded)
 	}
-	if len(x.Waits) > 0 {
-		fmt.Printf("waits for confirmation by %s\n", strings.Join(x.Waits, ", "))
+	if len(x.Unconfirmed) > 0 {
+		fmt.Printf("waits for confirmation by %s\n", strings.Join(x.Unconfirmed, ", "))
 	}
 	if len(x.Missing) > 0 {
 		fmt.Printf("not confirmed by %s: lost, and without news of purges since\n", strings.Join(x.Missing, ", "))
@@ -170,7 +170,7 @@
 	if err := printPurge(cmd, x); err != nil {
 		return err
 	}
-	if len(x.Waits) > 0 && float64(time.Now().UnixMilli()) > x.Effective {
+	if len(x.Unconfirmed) > 0 && float64(time.Now().UnixMilli()) > x.Effective {
 		return cli.Exit("", 1)
 	}
 	return nil
@@ -198,8 +198,8 @@
 
 func purgeFollowers(ctx context.Context, cmd *cli.Command) error {
 	var reply struct {
-		Last     uint64                 `json:"last"`
-		Gateways []purgesdrive.Follower `json:"gateways"`
+		Last     uint64                      `json:"last"`
+		Gateways []purgesdrive.GatewayReport `json:"gateways"`
 	}
 	r, err := queryPurges(ctx, cmd, "purge followers", &reply)
 	if err != nil {
@@ -207,7 +207,7 @@
 	}
 	allFollow := true
 	for _, g := range reply.Gateways {
-		allFollow = allFollow && (g.Follows || !g.There)
+		allFollow = allFollow && (g.Follows || !g.Joined)
 	}
 	if cmd.Bool("json") {
 		err = printJSON(map[string]any{"view": r.Report, "last": reply.Last, "holds": allFollow, "gateways": reply.Gateways})
@@ -215,7 +215,7 @@
 		t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 		fmt.Fprintf(t, "%s; last sent at index %d\nGATEWAY\tTHERE\tSINCE\tGOES BY ALL UP TO\tFOLLOWS\n", viewHeader(r), reply.Last)
 		for _, g := range reply.Gateways {
-			fmt.Fprintf(t, "%s\t%t\t%s\t%d\t%t\n", g.Name, g.There, formatTime(g.Since), g.Seen, g.Follows)
+			fmt.Fprintf(t, "%s\t%t\t%s\t%d\t%t\n", g.Name, g.Joined, formatTime(g.Since), g.Confirmed, g.Follows)
 		}
 		err = t.Flush()
 	}
@@ -227,9 +227,9 @@
 
 func purgeList(ctx context.Context, cmd *cli.Command) error {
 	var reply struct {
-		Held   int                 `json:"held"`
-		Floor  float64             `json:"floor"`
-		Purges []purgesdrive.Purge `json:"purges"`
+		Held   int                       `json:"held"`
+		Floor  float64                   `json:"floor"`
+		Purges []purgesdrive.PurgeReport `json:"purges"`
 	}
 	r, err := queryPurges(ctx, cmd, "purges", &reply)
 	if err != nil {
@@ -241,7 +241,7 @@
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s; %d bounds remembered\nPURGE\tIS\tPLACE\tACCEPTED\tEFFECTIVE BY\tCLUB\tSENT\tWAITS FOR\n", viewHeader(r), reply.Held)
 	for _, x := range reply.Purges {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\t%d\t%s\n", x.Purge.ID, x.Stage, x.LogIndex, formatTime(x.Accepted), formatTime(x.Effective), orDash(x.Purge.Club), x.Published, orDash(strings.Join(x.Waits, ", ")))
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\t%d\t%s\n", x.Purge.ID, x.Stage, x.LogIndex, formatTime(x.Accepted), formatTime(x.Effective), orDash(x.Purge.Club), x.Published, orDash(strings.Join(x.Unconfirmed, ", ")))
 	}
 	return t.Flush()
 }
--- a/cmd/poppymill/quorum.go
+++ b/cmd/poppymill/quorum.go
@@ -129,7 +129,7 @@
 	}
 	books := jobs.EmptyStateMachines()
 	maps.Copy(books, machines.EmptyStateMachines())
-	maps.Copy(books, purgesdrive.Books())
+	maps.Copy(books, purgesdrive.EmptyStateMachines())
 	r, err := drive.Recover(cmd.Args().First(), books, cmd.Bool("yes"))
 	if err != nil {
 		return usageError(fmt.Errorf("quorum recover: %s: %w", cmd.Args().First(), err))
--- a/internal/gateway/purge_bounds.go
+++ b/internal/gateway/purge_bounds.go
@@ -102,13 +102,13 @@
 	e.Done(e.Index)
 }
 
-// Void passes purge marks to the core.
-func (c coreProxy) Void(marks []purges.Mark, index uint64, done func(uint64)) {
+// ApplyMarks passes purge marks to the core.
+func (c coreProxy) ApplyMarks(marks []purges.Mark, index uint64, done func(uint64)) {
 	c.poster.post(ApplyMarks{Marks: marks, Index: index, At: c.poster.now(), Done: done})
 }
 
-// Known sets up to when all agreed purges are known: ago ms before now, or never if negative.
-func (c coreProxy) Known(ago float64) {
+// SetKnown sets up to when all agreed purges are known: ago ms before now, or never if negative.
+func (c coreProxy) SetKnown(ago float64) {
 	if at := c.poster.now() - ago; ago >= 0 {
 		c.knownUntil.set(at)
 	} else {
--- a/internal/gateway/quorum_member.go
+++ b/internal/gateway/quorum_member.go
@@ -50,9 +50,9 @@
 		b.Settings.ReadIndexInterval = min(o.Purges.Limits.Delay/8, b.Settings.Lease/6)
 	}
 	proxy := coreProxy{poster: p, knownUntil: &knownUntil{}}
-	proxy.Known(-1)
+	proxy.SetKnown(-1)
 	machinePart, purgePart := machines.Open(o.Machines, jobRunner, proxy, log), purges.Open(o.Purges, jobRunner, proxy, log)
-	core.EnablePurges(zone, o.Purges.Held(), o.Purges.On, proxy.knownUntil.at, p.now)
+	core.EnablePurges(zone, o.Purges.EffectiveLimits(), o.Purges.On, proxy.knownUntil.at, p.now)
 	if m.council, err = drive.Open(b, c.Name, zone, maxPeerConns(c), drive.Subsystems{jobRunner, machinePart, purgePart},
 		log); err == nil && o.Machines.On {
 		core.OnNodesChanged(func(there map[string]bool) { m.council.Post(machines.ListedNodes{Present: there}) })
--- a/internal/purges/drive/block.go
+++ b/internal/purges/drive/block.go
@@ -14,9 +14,9 @@
 	Limits purges.Limits
 }
 
-// Held returns the limits of the block; where it is off, the defaults, which bound the purges followed from other
+// EffectiveLimits returns the limits of the block; where it is off, the defaults, which bound the purges followed from other
 // gateways.
-func (b Block) Held() purges.Limits {
+func (b Block) EffectiveLimits() purges.Limits {
 	if b.On {
 		return b.Limits
 	}
--- a/internal/purges/drive/service.go
+++ b/internal/purges/drive/service.go
@@ -20,10 +20,10 @@
 	agreement "poppymill/internal/quorum/drive"
 )
 
-// Book is the name of the state machine in the log; Sender is the name of the job whose owner sends batches.
+// StateMachineName is the name of the state machine in the log; BatchJob is the name of the job whose owner sends batches.
 const (
-	Book   = "purges"
-	Sender = "purges"
+	StateMachineName = "purges"
+	BatchJob         = "purges"
 )
 
 // Intervals in ms while a purge is open.
@@ -35,11 +35,11 @@
 
 // Core is the interface to a gateway's core.
 type Core interface {
-	// Void makes the core apply marks; done is called once, from the loop of the core, when it does.
-	Void(marks []purges.Mark, index uint64, done func(index uint64))
-	// Known reports that all entries committed up to ago ms before now are known; a negative value means that this is
+	// ApplyMarks makes the core apply marks; done is called once, from the loop of the core, when it does.
+	ApplyMarks(marks []purges.Mark, index uint64, done func(index uint64))
+	// SetKnown reports that all entries committed up to ago ms before now are known; a negative value means that this is
 	// not known.
-	Known(ago float64)
+	SetKnown(ago float64)
 }
 
 // Misses is an event from the core: the fills per second that it requested on edge cache misses.
@@ -48,8 +48,8 @@
 // marksApplied is an event from the core: it applies all marks up to a log index.
 type marksApplied struct{ index uint64 }
 
-// Sweep is the purge service of one gateway. It runs in the loop of the council.
-type Sweep struct {
+// Service is the purge service of one gateway. It runs in the loop of the council.
+type Service struct {
 	block          Block
 	book           *purges.StateMachine
 	crew           *owned.Runner
@@ -82,27 +82,27 @@
 	b.StateMachine.Member(m.Name, m.Incarnation, m.State == quorum.MemberJoined)
 }
 
-// Books returns the state machine of purges alone, for reading a store.
-func Books() map[string]quorum.StateMachine {
-	return map[string]quorum.StateMachine{Book: logAdapter{purges.New()}}
+// EmptyStateMachines returns the state machine of purges alone, for reading a store.
+func EmptyStateMachines() map[string]quorum.StateMachine {
+	return map[string]quorum.StateMachine{StateMachineName: logAdapter{purges.New()}}
 }
 
 // Open returns the purge service of a gateway. Where the block is off, it applies the purges of other gateways, but
 // accepts none itself and keeps trusting older copies while it cannot reach the log.
-func Open(b Block, crew *owned.Runner, core Core, log logrus.FieldLogger) *Sweep {
-	return &Sweep{block: b, book: purges.New(), crew: crew, core: core, log: log, pending: map[string]float64{}, loggedStages: map[string]purges.Stage{}}
+func Open(b Block, crew *owned.Runner, core Core, log logrus.FieldLogger) *Service {
+	return &Service{block: b, book: purges.New(), crew: crew, core: core, log: log, pending: map[string]float64{}, loggedStages: map[string]purges.Stage{}}
 }
 
 // StateMachines returns the state machines that the service replicates.
-func (s *Sweep) StateMachines() map[string]quorum.StateMachine {
-	return map[string]quorum.StateMachine{Book: logAdapter{s.book}}
+func (s *Service) StateMachines() map[string]quorum.StateMachine {
+	return map[string]quorum.StateMachine{StateMachineName: logAdapter{s.book}}
 }
 
 // Start sets the council through which commands are proposed.
-func (s *Sweep) Start(c *agreement.Replica) { s.council = c }
+func (s *Service) Start(c *agreement.Replica) { s.council = c }
 
 // NextDeadline returns the time of the next check; +Inf if no purge is open.
-func (s *Sweep) NextDeadline() float64 {
+func (s *Service) NextDeadline() float64 {
 	if s.followed.Incarnation == 0 || !s.book.AnyOpen() {
 		return math.Inf(1)
 	}
@@ -110,18 +110,18 @@
 }
 
 // Idle reports that shutdown never has to wait for the service.
-func (s *Sweep) Idle() bool { return true }
+func (s *Service) Idle() bool { return true }
 
 // Close does nothing, as the service holds no resources.
-func (s *Sweep) Close() error { return nil }
+func (s *Service) Close() error { return nil }
 
 func unixMillis() float64 { return float64(time.Now().UnixMilli()) }
 
 // Handle processes an event of the council or of the core.
-func (s *Sweep) Handle(now float64, e any) {
+func (s *Service) Handle(now float64, e any) {
 	s.now = now
 	if s.block.On {
-		s.core.Known(s.council.ViewAge())
+		s.core.SetKnown(s.council.ViewAge())
 	}
 	switch event := e.(type) {
 	case agreement.LogAdvanced:
@@ -145,7 +145,7 @@
 
 // publishMarks passes newly published marks to the core. After a snapshot was restored it passes all marks: bounds
 // never decrease, so those that the core has already are not lost.
-func (s *Sweep) publishMarks(restored bool) {
+func (s *Service) publishMarks(restored bool) {
 	marks := s.book.TakeMarks()
 	if restored {
 		marks = s.book.Bounds.Marks()
@@ -154,11 +154,11 @@
 		return
 	}
 	s.publishedIndex = max(s.publishedIndex, s.book.LastIndex)
-	s.core.Void(marks, s.publishedIndex, func(index uint64) { s.council.Post(marksApplied{index}) })
+	s.core.ApplyMarks(marks, s.publishedIndex, func(index uint64) { s.council.Post(marksApplied{index}) })
 }
 
 // proposeDue proposes the commands that are due from this gateway: confirmations, misses, ticks and batches.
-func (s *Sweep) proposeDue() {
+func (s *Service) proposeDue() {
 	if g := s.book.Gateways[s.followed.Name]; g.Confirmed < min(s.appliedIndex, s.book.LastIndex) && g.Incarnation == s.followed.Incarnation {
 		s.propose(purges.Confirm, "", purges.CommandData{At: unixMillis(), From: s.followed.Name, Index: s.appliedIndex})
 	}
@@ -170,25 +170,27 @@
 		s.propose(purges.ReportMisses, "", purges.CommandData{At: unixMillis(), From: s.followed.Name, Rate: s.misses})
 	}
 	if s.followed.Leads {
-		if !s.crew.IsRunning(Sender) && s.block.Limits.Rate > 0 {
-			s.proposeTo(owned.StateMachineName, owner.Start, "", owner.Job{Name: Sender, Kind: owned.KindHold, Steps: 1, Window: 1})
+		if !s.crew.IsRunning(BatchJob) && s.block.Limits.Rate > 0 {
+			s.proposeTo(owned.StateMachineName, owner.Start, "", owner.Job{Name: BatchJob, Kind: owned.KindHold, Steps: 1, Window: 1})
 		}
 		if s.now >= s.tickedAt+tickInterval {
 			s.tickedAt = s.now
 			s.propose(purges.Tick, "", purges.CommandData{At: unixMillis()})
 		}
 	}
-	token, owns := s.crew.Owns(Sender)
+	token, owns := s.crew.Owns(BatchJob)
 	if o, ok := s.book.BatchToSend(unixMillis(), token, owns, s.followed.Leads); ok {
 		s.propose(purges.Batch, fmt.Sprint(o.ID, o.First), o)
 	}
 }
 
 // propose proposes a command of the purge log.
-func (s *Sweep) propose(kind, key string, o purges.CommandData) { s.proposeTo(Book, kind, key, o) }
+func (s *Service) propose(kind, key string, o purges.CommandData) {
+	s.proposeTo(StateMachineName, kind, key, o)
+}
 
 // proposeTo proposes a command, and not again within a second while the first is in flight.
-func (s *Sweep) proposeTo(book, kind, key string, content any) {
+func (s *Service) proposeTo(book, kind, key string, content any) {
 	key = kind + " " + key
 	if s.now < s.pending[key] {
 		return
@@ -201,7 +203,7 @@
 }
 
 // logStages logs each purge whose stage has changed.
-func (s *Sweep) logStages() {
+func (s *Service) logStages() {
 	if s.loggedChanges == s.book.Changes() {
 		return
 	}
@@ -220,7 +222,7 @@
 }
 
 // CheckCommand checks whether an operator may propose a command. The limits of a purge must be those of this gateway.
-func (s *Sweep) CheckCommand(c quorum.Command) error {
+func (s *Service) CheckCommand(c quorum.Command) error {
 	var o purges.CommandData
 	if err := canon.Decode(c.Data, &o); err != nil {
 		return err
@@ -238,35 +240,35 @@
 	return o.Purge.Check()
 }
 
-// Purge is the report of a purge to operators.
-type Purge struct {
+// PurgeReport is the report of a purge to operators.
+type PurgeReport struct {
 	purges.State
-	Stage     string   `json:"stage"`
-	Effective float64  `json:"effective"`       // time after which no older copy is served, Unix ms
-	Waits     []string `json:"waits,omitempty"` // gateways that have not confirmed it
+	Stage       string   `json:"stage"`
+	Effective   float64  `json:"effective"`       // time after which no older copy is served, Unix ms
+	Unconfirmed []string `json:"waits,omitempty"` // gateways that have not confirmed it
 }
 
 // describe returns the report of a purge.
-func (s *Sweep) describe(x *purges.State) Purge {
-	p := Purge{State: *x, Stage: x.Stage.String(), Effective: x.Effective()}
+func (s *Service) describe(x *purges.State) PurgeReport {
+	p := PurgeReport{State: *x, Stage: x.Stage.String(), Effective: x.Effective()}
 	if x.Stage <= purges.Sent {
-		p.Waits = s.book.Unconfirmed(x)
+		p.Unconfirmed = s.book.Unconfirmed(x)
 	}
 	return p
 }
 
-// Follower is the report of a gateway to operators: how far it has confirmed published marks.
-type Follower struct {
-	Name    string  `json:"name"`
-	There   bool    `json:"there"`   // it is joined
-	Since   float64 `json:"since"`   // time of the last membership change, Unix ms
-	Seen    uint64  `json:"seen"`    // log index up to which it has confirmed all marks
-	Follows bool    `json:"follows"` // it has confirmed everything published
-	Misses  float64 `json:"misses"`  // fills per second that it last reported
+// GatewayReport is the report of a gateway to operators: how far it has confirmed published marks.
+type GatewayReport struct {
+	Name      string  `json:"name"`
+	Joined    bool    `json:"there"`   // it is joined
+	Since     float64 `json:"since"`   // time of the last membership change, Unix ms
+	Confirmed uint64  `json:"seen"`    // log index up to which it has confirmed all marks
+	Follows   bool    `json:"follows"` // it has confirmed everything published
+	Misses    float64 `json:"misses"`  // fills per second that it last reported
 }
 
 // Query answers an operator's question.
-func (s *Sweep) Query(about, name string) (any, error) {
+func (s *Service) Query(about, name string) (any, error) {
 	switch about {
 	case "purge limits":
 		if !s.block.On {
@@ -279,14 +281,14 @@
 		}
 		return nil, fmt.Errorf("purge %q: %w", name, purges.ErrUnknown)
 	case "purge followers":
-		all := []Follower{}
+		all := []GatewayReport{}
 		for _, name := range slices.Sorted(maps.Keys(s.book.Gateways)) {
 			g := s.book.Gateways[name]
-			all = append(all, Follower{Name: name, There: g.Joined, Since: g.Since, Seen: g.Confirmed, Follows: g.Confirmed >= s.book.LastIndex, Misses: g.Misses})
+			all = append(all, GatewayReport{Name: name, Joined: g.Joined, Since: g.Since, Confirmed: g.Confirmed, Follows: g.Confirmed >= s.book.LastIndex, Misses: g.Misses})
 		}
 		return map[string]any{"last": s.book.LastIndex, "gateways": all}, nil
 	case "purges":
-		all := []Purge{}
+		all := []PurgeReport{}
 		for _, x := range s.book.All() {
 			p := s.describe(x)
 			p.Purge.Objects = nil // the whole list has to fit one frame
