--- a/internal/fair/calendar.go
+++ b/internal/fair/calendar.go
@@ -37,9 +37,9 @@
 }
 
 func newCalendar(s Settings) *calendar {
-	c := &calendar{slotLength: s.Slot, slack: s.Slack, maxPerSlot: s.PerSlot, slots: make([]slot, s.Slots), showRate: 1}
+	c := &calendar{slotLength: s.Slot, slack: s.Slack, maxPerSlot: s.MaxPerSlot, slots: make([]slot, s.Slots), showRate: 1}
 	for i := range c.slots {
-		c.slots[i] = slot{index: -1, bookings: make([]booking, 0, s.PerSlot)}
+		c.slots[i] = slot{index: -1, bookings: make([]booking, 0, s.MaxPerSlot)}
 	}
 	return c
 }
--- a/internal/fair/fair.go
+++ b/internal/fair/fair.go
@@ -9,38 +9,38 @@
 
 // Settings configure a gate.
 type Settings struct {
-	Weights   map[string]float64 // by club; 1 for clubs not listed
-	Clubs     int                // clubs tracked individually; all others share as many hashed entries again
-	Flows     int                // hashed flows per club for light clients
-	Heavy     int                // clients with the highest cost that are tracked individually
-	Change    float64            // ms between changes of the hash seed, which separates clients that collide
-	Queue     int                // maximum number of queued downloads
-	Least     float64            // lower bound of the concurrency limit, however late downloads end
-	Slot      float64            // length in ms of one calendar slot
-	Slots     int                // number of calendar slots: how far ahead appointments are made
-	Slack     float64            // ms before and after its time within which an appointment is honoured
-	Booked    float64            // fraction of the measured capacity that may be booked ahead
-	Longest   float64            // longest wait in ms that a client may be given; 0: no appointments
-	PerSlot   int                // maximum number of appointments per slot
-	Heeding   bool               // clients carry signed tickets, so that appointments survive a restart
-	TicketKey []byte             // HMAC key of tickets
+	Weights        map[string]float64 // by club; 1 for clubs not listed
+	Clubs          int                // clubs tracked individually; all others share as many hashed entries again
+	Flows          int                // hashed flows per club for light clients
+	HeavyClients   int                // clients with the highest cost that are tracked individually
+	ReseedInterval float64            // ms between changes of the hash seed, which separates clients that collide
+	Queue          int                // maximum number of queued downloads
+	MinLimit       float64            // lower bound of the concurrency limit, however late downloads end
+	Slot           float64            // length in ms of one calendar slot
+	Slots          int                // number of calendar slots: how far ahead appointments are made
+	Slack          float64            // ms before and after its time within which an appointment is honoured
+	BookableShare  float64            // fraction of the measured capacity that may be booked ahead
+	MaxWait        float64            // longest wait in ms that a client may be given; 0: no appointments
+	MaxPerSlot     int                // maximum number of appointments per slot
+	SignedTickets  bool               // clients carry signed tickets, so that appointments survive a restart
+	TicketKey      []byte             // HMAC key of tickets
 }
 
 // Defaults returns settings suited to a medium-sized site.
 func Defaults() Settings {
-	return Settings{Clubs: 32, Flows: 256, Heavy: 64, Change: 10_000, Queue: 2048, Least: 8, Slot: 100, Slots: 300, Slack: 250,
-		Booked: 0.7, Longest: 20_000, PerSlot: 256}
+	return Settings{Clubs: 32, Flows: 256, HeavyClients: 64, ReseedInterval: 10_000, Queue: 2048, MinLimit: 8, Slot: 100, Slots: 300, Slack: 250,
+		BookableShare: 0.7, MaxWait: 20_000, MaxPerSlot: 256}
 }
 
-// Ask is a download that requests admission to the router.
-type Ask struct {
+// Request is a download that requests admission to the router.
+type Request struct {
 	At           float64
 	ID           string
 	Club, Client string
 	Object       string
 	Part         int64
 	Cost         float64 // expected sending time
-	Ahead        bool    // it has priority within the share of its club
+	Priority     bool    // it has priority within the share of its club
 	Target       float64 // time by which it should finish
 	Expiry       float64
 	Ticket       string // of an appointment; empty: none was sent
@@ -62,15 +62,15 @@
 	}
 )
 
-// End is the outcome of an admitted download.
-type End int
+// Outcome is the outcome of an admitted download.
+type Outcome int
 
 // Outcomes of admitted downloads.
 const (
-	InTime End = iota
+	InTime Outcome = iota
 	Late
-	TurnedAway // rejected by the router for lack of capacity
-	Gone       // cancelled by its client, or failed: says nothing about the load
+	Rejected // rejected by the router for lack of capacity
+	Aborted  // cancelled by its client, or failed: says nothing about the load
 )
 
 // Counters count the events of a gate since its start.
--- a/internal/fair/fair_test.go
+++ b/internal/fair/fair_test.go
@@ -14,20 +14,20 @@
 // server simulates a gate and the capacity behind it: up to cores downloads run at full speed, beyond that all slow
 // down by sharing.
 type server struct {
-	gate     *Gate
+	gate     *Controller
 	now      float64
 	cores    float64
 	open     map[string]*job
 	events   events
 	seq      int
 	carried  map[string]float64 // cost of finished downloads, by club
-	ends     map[string]End
+	ends     map[string]Outcome
 	answered func(now float64, a Action)
 }
 
 // job is an open download.
 type job struct {
-	Ask
+	Request
 	left, since float64
 }
 
@@ -50,7 +50,7 @@
 func (h *events) Pop() any     { old := *h; e := old[len(old)-1]; *h = old[:len(old)-1]; return e }
 
 func newServer(s Settings, cores float64) *server {
-	return &server{gate: New(s, 1, 0), cores: cores, open: map[string]*job{}, carried: map[string]float64{}, ends: map[string]End{}}
+	return &server{gate: New(s, 1, 0), cores: cores, open: map[string]*job{}, carried: map[string]float64{}, ends: map[string]Outcome{}}
 }
 
 func (s *server) schedule(at float64, do func()) {
@@ -59,13 +59,13 @@
 }
 
 // asks holds the requests that were not answered yet, by ID.
-var asks = map[string]Ask{}
+var asks = map[string]Request{}
 
 // ask requests admission for a download.
-func (s *server) ask(a Ask) {
+func (s *server) ask(a Request) {
 	a.At = s.now
 	asks[a.ID] = a
-	s.carry(s.gate.Ask(a))
+	s.carry(s.gate.Request(a))
 }
 
 // carry executes actions. The duration of a download is fixed when it starts, by the number of open downloads, so that
@@ -78,7 +78,7 @@
 		if x, ok := action.(Admit); ok {
 			a := asks[x.ID]
 			delete(asks, x.ID)
-			s.open[a.ID] = &job{Ask: a}
+			s.open[a.ID] = &job{Request: a}
 			took := a.Cost * max(1, float64(len(s.open))/s.cores)
 			s.schedule(s.now+took, func() {
 				delete(s.open, a.ID)
@@ -107,7 +107,7 @@
 			e.do()
 		case due && at <= until:
 			s.now = max(s.now, at)
-			s.carry(s.gate.Ring(s.now))
+			s.carry(s.gate.HandleTimer(s.now))
 		default:
 			s.now = until
 			return
@@ -124,8 +124,8 @@
 			return
 		}
 		n++
-		s.ask(Ask{ID: fmt.Sprint(club, "-", n), Club: club, Client: fmt.Sprint(n % clients), Object: fmt.Sprint("o", n), Cost: cost,
-			Ahead: ahead, Target: s.now + 600, Expiry: s.now + 2000})
+		s.ask(Request{ID: fmt.Sprint(club, "-", n), Club: club, Client: fmt.Sprint(n % clients), Object: fmt.Sprint("o", n), Cost: cost,
+			Priority: ahead, Target: s.now + 600, Expiry: s.now + 2000})
 		s.schedule(s.now+cost/rate, next)
 	}
 	s.schedule(s.now+float64(len(club)), next)
@@ -167,7 +167,7 @@
 		"idle is lent": {map[string]float64{"a": 40, "b": 2}, map[string]float64{"a": 1, "b": 3}},
 	} {
 		settings := Defaults()
-		settings.Weights, settings.Longest = c.weights, 0
+		settings.Weights, settings.MaxWait = c.weights, 0
 		s := newServer(settings, 20)
 		for club, rate := range c.demand {
 			s.load(club, 7, rate, 100+10*float64(len(club)), 40_000, false)
@@ -198,7 +198,7 @@
 // Within a club, a client that floods gets no more than its share, and priority requests are admitted.
 func TestFloodingClientIsContained(t *testing.T) {
 	settings := Defaults()
-	settings.Longest = 0
+	settings.MaxWait = 0
 	s := newServer(settings, 20)
 	s.load("x", 1, 60, 100, 30_000, false)   // a club with one client that floods
 	s.load("x ", 40, 16, 100, 30_000, false) // a club with many clients; the second run below has both kinds in one club
@@ -217,7 +217,7 @@
 	storm := func() {}
 	storm = func() {
 		n++
-		s.ask(Ask{ID: fmt.Sprint("storm-", n), Club: "c", Client: "kiosk", Cost: 100, Target: s.now + 600, Expiry: s.now + 2000})
+		s.ask(Request{ID: fmt.Sprint("storm-", n), Club: "c", Client: "kiosk", Cost: 100, Target: s.now + 600, Expiry: s.now + 2000})
 		if s.now < 30_000 {
 			s.schedule(s.now+2, storm)
 		}
@@ -225,8 +225,8 @@
 	s.schedule(0, storm)
 	for m := range 300 {
 		s.schedule(float64(m)*100, func() {
-			s.ask(Ask{ID: fmt.Sprint("member-", m), Club: "c", Client: fmt.Sprint("m", m), Cost: 100, Target: s.now + 600, Expiry: s.now + 2000})
-			s.ask(Ask{ID: fmt.Sprint("renewal-", m), Club: "c", Client: fmt.Sprint("r", m), Cost: 20, Ahead: true, Target: s.now + 600, Expiry: s.now + 2000})
+			s.ask(Request{ID: fmt.Sprint("member-", m), Club: "c", Client: fmt.Sprint("m", m), Cost: 100, Target: s.now + 600, Expiry: s.now + 2000})
+			s.ask(Request{ID: fmt.Sprint("renewal-", m), Club: "c", Client: fmt.Sprint("r", m), Cost: 20, Priority: true, Target: s.now + 600, Expiry: s.now + 2000})
 		})
 	}
 	s.run(32_000)
@@ -251,9 +251,9 @@
 			n++
 			now += 0.5
 			id := fmt.Sprint(n)
-			for _, a := range g.Ask(Ask{At: now, ID: id, Club: fmt.Sprint("club", n%500), Client: id, Object: id, Cost: 50, Target: now + 500, Expiry: now + 900}) {
+			for _, a := range g.Request(Request{At: now, ID: id, Club: fmt.Sprint("club", n%500), Client: id, Object: id, Cost: 50, Target: now + 500, Expiry: now + 900}) {
 				if a, ok := a.(Admit); ok {
-					g.Ended(now+0.1, a.ID, []End{InTime, Late}[n%2], 50)
+					g.Ended(now+0.1, a.ID, []Outcome{InTime, Late}[n%2], 50)
 				}
 			}
 		}
@@ -270,7 +270,7 @@
 // The concurrency limit adapts to a capacity that halves and recovers, within seconds and without oscillating.
 func TestAdaptsToCapacity(t *testing.T) {
 	settings := Defaults()
-	settings.Longest = 0
+	settings.MaxWait = 0
 	s := newServer(settings, 40)
 	s.load("a", 50, 60, 100, 90_000, false)
 	in := func(from, to float64) float64 {
@@ -306,7 +306,7 @@
 func TestAppointmentsAreHonoured(t *testing.T) {
 	for _, over := range []float64{1.2, 2, 5} {
 		settings := Defaults()
-		settings.Heeding, settings.TicketKey = true, []byte("key")
+		settings.SignedTickets, settings.TicketKey = true, []byte("key")
 		s := newServer(settings, 20)
 		kept, good, tickets := 0, 0, map[string]bool{}
 		returned := map[string]float64{}
@@ -350,10 +350,10 @@
 // without state.
 func TestTickets(t *testing.T) {
 	settings := Defaults()
-	settings.Heeding, settings.TicketKey = true, []byte("key")
+	settings.SignedTickets, settings.TicketKey = true, []byte("key")
 	s := newServer(settings, 2)
 	var issued Throttle
-	var asked Ask
+	var asked Request
 	s.answered = func(now float64, a Action) {
 		if x, ok := a.(Throttle); ok && x.Ticket != "" && issued.Ticket == "" && now > 5000 {
 			issued, asked = x, asks[x.ID]
@@ -366,22 +366,22 @@
 		t.Fatal("no ticket was issued")
 	}
 	at := asked.At + issued.Wait
-	come := func(g *Gate, now float64, change func(*Ask)) bool {
+	come := func(g *Controller, now float64, change func(*Request)) bool {
 		a := asked
 		a.At, a.ID, a.Ticket, a.Target, a.Expiry = now, fmt.Sprint("come", g.Asked), issued.Ticket, now+600, now+2000
 		change(&a)
 		before := g.Kept
-		g.Ask(a)
+		g.Request(a)
 		return g.Kept > before
 	}
-	same := func(*Ask) {}
+	same := func(*Request) {}
 	for name, c := range map[string]struct {
 		now    float64
-		change func(*Ask)
+		change func(*Request)
 	}{
-		"early": {at - 500, same}, "late": {at + 500, same}, "another client": {at, func(a *Ask) { a.Client = "other" }},
-		"another object": {at, func(a *Ask) { a.Object = "other" }}, "forged": {at, func(a *Ask) { a.Ticket = a.Ticket[:len(a.Ticket)-2] + "AA" }},
-		"another slot": {at, func(a *Ask) { a.Ticket = "9" + a.Ticket }}, "malformed": {at, func(a *Ask) { a.Ticket = "x" }},
+		"early": {at - 500, same}, "late": {at + 500, same}, "another client": {at, func(a *Request) { a.Client = "other" }},
+		"another object": {at, func(a *Request) { a.Object = "other" }}, "forged": {at, func(a *Request) { a.Ticket = a.Ticket[:len(a.Ticket)-2] + "AA" }},
+		"another slot": {at, func(a *Request) { a.Ticket = "9" + a.Ticket }}, "malformed": {at, func(a *Request) { a.Ticket = "x" }},
 	} {
 		g := New(settings, 2, asked.At)
 		if come(g, c.now, c.change) {
@@ -402,7 +402,7 @@
 func TestEachDownloadIsAnsweredOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Defaults()
-		settings.Queue, settings.Clubs, settings.Flows, settings.Heavy, settings.Least, settings.Change = 5, 2, 8, 2, 1, 300
+		settings.Queue, settings.Clubs, settings.Flows, settings.HeavyClients, settings.MinLimit, settings.ReseedInterval = 5, 2, 8, 2, 1, 300
 		g := New(settings, 1, 0)
 		now := 0.0
 		answers, latest, open := map[string]int{}, map[string]float64{}, []string{}
@@ -415,7 +415,7 @@
 					open = append(open, id)
 				case Throttle:
 					id = a.ID
-					if a.Wait < 0 || a.Wait > settings.Longest {
+					if a.Wait < 0 || a.Wait > settings.MaxWait {
 						t.Fatalf("%s: wait of %.0f ms", id, a.Wait)
 					}
 				}
@@ -429,19 +429,19 @@
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1, 2:
 				id := fmt.Sprint(i)
-				a := Ask{At: now, ID: id, Club: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "club"),
+				a := Request{At: now, ID: id, Club: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "club"),
 					Client: rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "client"), Cost: float64(rapid.IntRange(1, 200).Draw(t, "cost")),
-					Ahead: rapid.Bool().Draw(t, "ahead"), Target: now + 300, Expiry: now + 900}
+					Priority: rapid.Bool().Draw(t, "ahead"), Target: now + 300, Expiry: now + 900}
 				answers[id], latest[id] = 0, a.Target-a.Cost
-				take(g.Ask(a))
+				take(g.Request(a))
 			case 3, 4:
 				if len(open) > 0 {
 					id := open[0]
 					open = open[1:]
-					take(g.Ended(now, id, rapid.SampledFrom([]End{InTime, Late, Late, TurnedAway, Gone}).Draw(t, "end"), float64(rapid.IntRange(0, 300).Draw(t, "cost"))))
+					take(g.Ended(now, id, rapid.SampledFrom([]Outcome{InTime, Late, Late, Rejected, Aborted}).Draw(t, "end"), float64(rapid.IntRange(0, 300).Draw(t, "cost"))))
 				}
 			default:
-				take(g.Ring(now))
+				take(g.HandleTimer(now))
 			}
 			waits := 0
 			for id, n := range answers {
@@ -456,7 +456,7 @@
 			}
 		}
 		now += 1000
-		take(g.Ring(now))
+		take(g.HandleTimer(now))
 		for id, n := range answers {
 			if n != 1 {
 				t.Fatalf("%s got %d answers in the end", id, n)
@@ -478,9 +478,9 @@
 			for i := range b.N {
 				now += 0.1
 				id := names[i%len(names)]
-				for _, a := range g.Ask(Ask{At: now, ID: id, Club: names[i%20%len(names)], Client: names[i*7919%len(names)], Cost: 50, Target: now + 500, Expiry: now + 900}) {
+				for _, a := range g.Request(Request{At: now, ID: id, Club: names[i%20%len(names)], Client: names[i*7919%len(names)], Cost: 50, Target: now + 500, Expiry: now + 900}) {
 					if a, ok := a.(Admit); ok {
-						g.Ended(now, a.ID, End(i/3%2), 50)
+						g.Ended(now, a.ID, Outcome(i/3%2), 50)
 					}
 				}
 			}
--- a/internal/fair/fairqueue.go
+++ b/internal/fair/fairqueue.go
@@ -12,22 +12,22 @@
 // last finish tag of its flow, so idle time earns no credit and leaves no debt; its finish tag is the start tag plus
 // its cost divided by the weight.
 
-// request is a download that requests admission.
-type request struct {
-	Ask
+// queuedRequest is a download that requests admission.
+type queuedRequest struct {
+	Request
 	club      *Club
 	flow      *flow
 	cost      float64 // as charged to its flow
 	heapIndex int     // in Gate.deadlines; -1: not queued
-	next      *request
+	next      *queuedRequest
 	deadline  float64 // latest time of admission; it is throttled then
 	removed   bool    // no longer queued, but perhaps still linked in its fifo
 }
 
 // fifo is a linked queue of requests in order of arrival.
-type fifo struct{ first, last *request }
+type fifo struct{ first, last *queuedRequest }
 
-func (q *fifo) push(req *request) {
+func (q *fifo) push(req *queuedRequest) {
 	if q.last == nil {
 		q.first = req
 	} else {
@@ -37,14 +37,14 @@
 }
 
 // peek drops removed requests from the front and returns the first one still queued, or nil.
-func (q *fifo) peek() *request {
+func (q *fifo) peek() *queuedRequest {
 	for q.first != nil && q.first.removed {
 		q.pop()
 	}
 	return q.first
 }
 
-func (q *fifo) pop() *request {
+func (q *fifo) pop() *queuedRequest {
 	req := q.first
 	if q.first = req.next; q.first == nil {
 		q.last = nil
@@ -136,10 +136,10 @@
 func (c *Club) position() *int { return &c.heapIndex }
 
 // before orders requests by deadline.
-func (r *request) before(o *request) bool {
+func (r *queuedRequest) before(o *queuedRequest) bool {
 	return r.deadline < o.deadline || r.deadline == o.deadline && r.ID < o.ID
 }
-func (r *request) position() *int { return &r.heapIndex }
+func (r *queuedRequest) position() *int { return &r.heapIndex }
 
 // digest returns the hash of a list of words, unambiguous in where each word ends.
 func digest(seed uint64, words ...string) uint64 {
--- a/internal/fair/gate.go
+++ b/internal/fair/gate.go
@@ -9,8 +9,8 @@
 	"slices"
 )
 
-// Gate is the admission controller: it decides which downloads pass on to the router. It is used by one goroutine.
-type Gate struct {
+// Controller is the admission controller: it decides which downloads pass on to the router. It is used by one goroutine.
+type Controller struct {
 	Counters
 	settings      Settings
 	now           float64
@@ -20,11 +20,11 @@
 	clubs         map[string]*Club
 	others        []*Club // shared by the clubs that are not tracked individually
 	heavyClients  *heavyHitters
-	virtualTime   float64               // of the level of the clubs
-	backlog       indexedHeap[*Club]    // clubs with queued requests, by start tag
-	deadlines     indexedHeap[*request] // queued requests, by deadline
-	queued        map[string]*request   // by ID
-	open          map[string]admitted   // by ID
+	virtualTime   float64                     // of the level of the clubs
+	backlog       indexedHeap[*Club]          // clubs with queued requests, by start tag
+	deadlines     indexedHeap[*queuedRequest] // queued requests, by deadline
+	queued        map[string]*queuedRequest   // by ID
+	open          map[string]admitted         // by ID
 	limit         concurrencyLimit
 	calendar      *calendar
 	throttledKeys []uint64 // hashes of recently throttled downloads, to recognise retries
@@ -41,25 +41,25 @@
 }
 
 // New returns a gate. The seed keys its hashes and must differ at each start.
-func New(s Settings, seed uint64, at float64) *Gate {
-	g := &Gate{settings: s, now: at, startedAt: at, reseededAt: at, seed: seed, clubs: map[string]*Club{}, heavyClients: newHeavyHitters(s.Heavy), queued: map[string]*request{},
-		open: map[string]admitted{}, limit: concurrencyLimit{minimum: s.Least, current: math.Inf(1)}, calendar: newCalendar(s), throttledKeys: make([]uint64, 4*s.Flows)}
+func New(s Settings, seed uint64, at float64) *Controller {
+	g := &Controller{settings: s, now: at, startedAt: at, reseededAt: at, seed: seed, clubs: map[string]*Club{}, heavyClients: newHeavyHitters(s.HeavyClients), queued: map[string]*queuedRequest{},
+		open: map[string]admitted{}, limit: concurrencyLimit{minimum: s.MinLimit, current: math.Inf(1)}, calendar: newCalendar(s), throttledKeys: make([]uint64, 4*s.Flows)}
 	for i := range s.Clubs {
 		g.others = append(g.others, g.newClub(fmt.Sprint("other ", i), 1))
 	}
 	return g
 }
 
-func (g *Gate) nextSeq() int { g.lastSeq++; return g.lastSeq }
+func (g *Controller) nextSeq() int { g.lastSeq++; return g.lastSeq }
 
-func (g *Gate) newClub(name string, weight float64) *Club {
+func (g *Controller) newClub(name string, weight float64) *Club {
 	c := &Club{Name: name, weight: weight, heapIndex: -1, seq: g.nextSeq()}
 	g.resetFlows(c)
 	return c
 }
 
 // resetFlows replaces the hashed flows of a club. Requests queued in the old flows are served from there.
-func (g *Gate) resetFlows(c *Club) {
+func (g *Controller) resetFlows(c *Club) {
 	c.hashed = make([]*flow, max(4, g.settings.Flows))
 	for i := range c.hashed {
 		c.hashed[i] = &flow{heapIndex: -1, seq: g.nextSeq(), club: c}
@@ -68,7 +68,7 @@
 
 // flowOf returns the flow of a client: its own if it is heavy, otherwise one that it shares with clients of the same
 // hash.
-func (g *Gate) flowOf(c *Club, a Ask) *flow {
+func (g *Controller) flowOf(c *Club, a Request) *flow {
 	h := g.heavyClients.add(digest(0, "heavy", a.Club, a.Client), a.Cost, g.nextSeq)
 	if h != nil && h.cost > g.heavyThreshold() {
 		if f := h.flow; f.club == c || f.heapIndex < 0 && f.queue.peek() == nil {
@@ -79,8 +79,8 @@
 	return c.hashed[digest(g.seed, "client", a.Club, a.Client)%uint64(len(c.hashed))]
 }
 
-// Weights changes the weights of clubs; queued and booked downloads are kept.
-func (g *Gate) Weights(weights map[string]float64) {
+// SetWeights changes the weights of clubs; queued and booked downloads are kept.
+func (g *Controller) SetWeights(weights map[string]float64) {
 	g.settings.Weights = weights
 	for _, c := range g.clubs {
 		c.weight = weight(weights, c.Name)
@@ -97,13 +97,13 @@
 
 // clubOf returns a club, and creates it while there is room, replacing the club that was idle longest. Without room the
 // club shares a hashed entry.
-func (g *Gate) clubOf(name string) *Club {
+func (g *Controller) clubOf(name string) *Club {
 	c := g.clubs[name]
 	if c == nil {
 		if len(g.clubs) >= g.settings.Clubs {
 			var idle *Club
 			for _, o := range g.clubs {
-				if !o.backlogged() && o.lastUsed < g.now-g.settings.Change && (idle == nil || o.lastUsed < idle.lastUsed || o.lastUsed == idle.lastUsed && o.seq < idle.seq) {
+				if !o.backlogged() && o.lastUsed < g.now-g.settings.ReseedInterval && (idle == nil || o.lastUsed < idle.lastUsed || o.lastUsed == idle.lastUsed && o.seq < idle.seq) {
 					idle = o
 				}
 			}
@@ -121,8 +121,8 @@
 	return c
 }
 
-// Ask requests admission for a download.
-func (g *Gate) Ask(a Ask) []Action {
+// Request requests admission for a download.
+func (g *Controller) Request(a Request) []Action {
 	g.advance(a.At)
 	g.Asked++
 	c := g.clubOf(a.Club)
@@ -134,7 +134,7 @@
 	}
 	// The deadline leaves twice the mean cost, as sizes differ much: with the mean itself, half of the downloads
 	// admitted just before their deadline were late.
-	req := &request{Ask: a, club: c, flow: g.flowOf(c, a), cost: a.Cost, heapIndex: -1, deadline: min(a.Target-2*a.Cost*g.limit.stretch(g.now), a.Expiry-1)}
+	req := &queuedRequest{Request: a, club: c, flow: g.flowOf(c, a), cost: a.Cost, heapIndex: -1, deadline: min(a.Target-2*a.Cost*g.limit.stretch(g.now), a.Expiry-1)}
 	switch {
 	case g.redeemAppointment(req, appointmentKey):
 		g.Kept++
@@ -152,7 +152,7 @@
 }
 
 // heavyThreshold is the cost above which a client counts as heavy: half of the mean of the counters.
-func (g *Gate) heavyThreshold() float64 {
+func (g *Controller) heavyThreshold() float64 {
 	sum := 0.0
 	for i := range g.heavyClients.counters {
 		sum += g.heavyClients.counters[i].cost
@@ -162,7 +162,7 @@
 
 // cannotMeetDeadline reports whether so much is queued ahead in the flow that its share of the throughput cannot serve
 // the request in time.
-func (g *Gate) cannotMeetDeadline(req *request) bool {
+func (g *Controller) cannotMeetDeadline(req *queuedRequest) bool {
 	ahead, flows := 0.0, 1
 	for x := req.flow.queue.first; x != nil; x = x.next {
 		if !x.removed {
@@ -181,7 +181,7 @@
 }
 
 // redeemAppointment reports whether a download has an appointment for now, by its ticket or by its hash.
-func (g *Gate) redeemAppointment(req *request, appointmentKey uint64) bool {
+func (g *Controller) redeemAppointment(req *queuedRequest, appointmentKey uint64) bool {
 	if req.Ticket != "" {
 		index, serial, ok := parseTicket(g.settings.TicketKey, req.Ticket, appointmentKey)
 		if !ok {
@@ -195,23 +195,23 @@
 
 // admissionLimit is the number of open downloads at which new ones are queued: capacity for the appointments around now
 // is held back.
-func (g *Gate) admissionLimit() float64 {
+func (g *Controller) admissionLimit() float64 {
 	if math.IsInf(g.limit.current, 1) {
 		return g.limit.current
 	}
 	span := 2*g.settings.Slack + g.settings.Slot
-	return max(g.settings.Least, g.limit.current-min(g.settings.Booked*g.limit.current, g.calendar.expectedCost(g.now)/span))
+	return max(g.settings.MinLimit, g.limit.current-min(g.settings.BookableShare*g.limit.current, g.calendar.expectedCost(g.now)/span))
 }
 
 // charge advances the finish tags of a download's club and flow by its cost.
-func (g *Gate) charge(req *request) {
+func (g *Controller) charge(req *queuedRequest) {
 	req.club.finishTag = max(g.virtualTime, req.club.finishTag) + req.cost/req.club.weight
 	req.flow.finishTag = max(req.club.virtualTime, req.flow.finishTag) + req.cost
 }
 
 // enqueue queues a download in its flow. If the queue is full, it throttles the last request of the longest queue by
 // weight.
-func (g *Gate) enqueue(req *request) {
+func (g *Controller) enqueue(req *queuedRequest) {
 	if len(g.deadlines) >= g.settings.Queue {
 		if last := g.longestQueueTail(); last == nil || last.club == req.club && last.flow == req.flow {
 			g.throttle(req)
@@ -224,7 +224,7 @@
 	g.queued[req.ID] = req
 	heap.Push(&g.deadlines, req)
 	c := req.club
-	if req.Ahead {
+	if req.Priority {
 		c.priority.push(req)
 	} else {
 		req.flow.queue.push(req)
@@ -241,7 +241,7 @@
 
 // longestQueueTail returns the last request of the flow with the highest queued cost, in the club with the highest
 // queued cost by weight.
-func (g *Gate) longestQueueTail() (last *request) {
+func (g *Controller) longestQueueTail() (last *queuedRequest) {
 	worst := 0.0
 	costs := map[*Club]float64{}
 	for _, req := range g.deadlines {
@@ -259,7 +259,7 @@
 	worst = 0
 	for _, f := range worstClub.flows {
 		sum := 0.0
-		var end *request
+		var end *queuedRequest
 		for req := f.queue.first; req != nil; req = req.next {
 			if !req.removed {
 				sum += req.cost
@@ -275,7 +275,7 @@
 
 // admitQueued admits queued downloads while there is room: from the club with the least start tag, first its priority
 // requests, then the flow with the least start tag.
-func (g *Gate) admitQueued() {
+func (g *Controller) admitQueued() {
 	for len(g.backlog) > 0 && float64(len(g.open)) < g.admissionLimit() {
 		c := g.backlog[0]
 		if !c.backlogged() {
@@ -312,7 +312,7 @@
 }
 
 // dequeue removes a download from the queue.
-func (g *Gate) dequeue(req *request) {
+func (g *Controller) dequeue(req *queuedRequest) {
 	req.removed = true
 	delete(g.queued, req.ID)
 	if req.heapIndex >= 0 {
@@ -321,7 +321,7 @@
 }
 
 // admit passes a download on to the router.
-func (g *Gate) admit(req *request) {
+func (g *Controller) admit(req *queuedRequest) {
 	g.Admitted++
 	req.club.Admitted++
 	req.club.Cost += req.cost
@@ -330,7 +330,7 @@
 }
 
 // throttle rejects a download, with an appointment if the calendar has room for one within the longest wait.
-func (g *Gate) throttle(req *request) {
+func (g *Controller) throttle(req *queuedRequest) {
 	if g.queued[req.ID] == req {
 		g.dequeue(req)
 	}
@@ -339,12 +339,12 @@
 	a := Throttle{ID: req.ID}
 	appointmentKey := digest(0, "appointment", req.Club, req.Client, req.Object, fmt.Sprint(req.Part))
 	g.throttledKeys[appointmentKey%uint64(len(g.throttledKeys))] = appointmentKey
-	if g.settings.Longest > 0 {
-		room := g.settings.Booked * g.limit.throughput(g.now) * g.settings.Slot
-		if at, serial, ok := g.calendar.book(g.now, req.cost, room, g.settings.Longest, appointmentKey); ok {
+	if g.settings.MaxWait > 0 {
+		room := g.settings.BookableShare * g.limit.throughput(g.now) * g.settings.Slot
+		if at, serial, ok := g.calendar.book(g.now, req.cost, room, g.settings.MaxWait, appointmentKey); ok {
 			g.Made++
 			a.Wait = at - g.now
-			if g.settings.Heeding {
+			if g.settings.SignedTickets {
 				a.Ticket = formatTicket(g.settings.TicketKey, int64(math.Round(at/g.settings.Slot)), serial, appointmentKey)
 			}
 		}
@@ -353,14 +353,14 @@
 }
 
 // Ended reports the outcome of an admitted download and its actual cost; 0 if that is not known.
-func (g *Gate) Ended(at float64, id string, end End, cost float64) []Action {
+func (g *Controller) Ended(at float64, id string, end Outcome, cost float64) []Action {
 	g.advance(at)
 	a, ok := g.open[id]
 	if !ok {
 		return g.flush()
 	}
 	delete(g.open, id)
-	if cost > 0 && end != Gone {
+	if cost > 0 && end != Aborted {
 		// The flow was charged the expected cost: it is charged or credited the difference.
 		a.club.finishTag += (cost - a.cost) / a.club.weight
 		a.flow.finishTag += cost - a.cost
@@ -372,8 +372,8 @@
 	return g.flush()
 }
 
-// Left reports that a client disconnected while its download was queued.
-func (g *Gate) Left(at float64, id string) []Action {
+// Disconnected reports that a client disconnected while its download was queued.
+func (g *Controller) Disconnected(at float64, id string) []Action {
 	g.advance(at)
 	if req := g.queued[id]; req != nil {
 		g.dequeue(req)
@@ -381,14 +381,14 @@
 	return g.flush()
 }
 
-// Ring handles the timer: it does what is due at a time.
-func (g *Gate) Ring(at float64) []Action {
+// HandleTimer handles the timer: it does what is due at a time.
+func (g *Controller) HandleTimer(at float64) []Action {
 	g.advance(at)
 	return g.flush()
 }
 
 // Next returns the time for which the timer is to be set; false if nothing is due.
-func (g *Gate) Next() (float64, bool) {
+func (g *Controller) Next() (float64, bool) {
 	if len(g.deadlines) == 0 {
 		return 0, false
 	}
@@ -397,9 +397,9 @@
 
 // advance sets the current time, changes the seed of the hashes when that is due, and throttles requests whose deadline
 // has passed.
-func (g *Gate) advance(at float64) {
+func (g *Controller) advance(at float64) {
 	g.now, g.actions = max(g.now, at), nil
-	if g.now >= g.reseededAt+g.settings.Change {
+	if g.now >= g.reseededAt+g.settings.ReseedInterval {
 		g.reseededAt = g.now
 		g.seed = digest(g.seed, "next")
 		for _, c := range g.clubs {
@@ -417,22 +417,22 @@
 }
 
 // flush admits what there is room for and returns the actions since advance.
-func (g *Gate) flush() []Action {
+func (g *Controller) flush() []Action {
 	g.admitQueued()
 	g.Missed = g.calendar.missed
 	return g.actions
 }
 
-// Heaviest returns up to n clubs with the highest admitted cost.
-func (g *Gate) Heaviest(n int) []*Club {
+// TopClubs returns up to n clubs with the highest admitted cost.
+func (g *Controller) TopClubs(n int) []*Club {
 	all := slices.Collect(maps.Values(g.clubs))
 	slices.SortFunc(all, func(a, b *Club) int { return cmp.Or(cmp.Compare(b.Cost, a.Cost), cmp.Compare(a.seq, b.seq)) })
 	return all[:min(n, len(all))]
 }
 
-// Stands returns the state of the gate: the numbers of open and queued downloads, the concurrency limit, and the ratio
+// Stats returns the state of the gate: the numbers of open and queued downloads, the concurrency limit, and the ratio
 // of the latency of downloads to their cost, now and at its lowest.
-func (g *Gate) Stands() (open, queued int, limit, stretch, fastest float64) {
+func (g *Controller) Stats() (open, queued int, limit, stretch, fastest float64) {
 	return len(g.open), len(g.queued), g.limit.current, g.limit.stretch(g.now), g.limit.fastest
 }
 
@@ -454,12 +454,12 @@
 }
 
 // record takes the outcome of a download, and reports whether the limit was lowered.
-func (l *concurrencyLimit) record(now float64, end End, cost, took, open float64) (changed bool) {
-	if end == Gone {
+func (l *concurrencyLimit) record(now float64, end Outcome, cost, took, open float64) (changed bool) {
+	if end == Aborted {
 		return false
 	}
 	l.all.add(now, 1)
-	if end != TurnedAway {
+	if end != Rejected {
 		l.cost.add(now, cost)
 		l.latency.add(now, took)
 	}
--- a/internal/gateway/fairness.go
+++ b/internal/gateway/fairness.go
@@ -31,12 +31,12 @@
 		operator.Attr("club", operator.Text(&f.Club)), operator.Attr("client", operator.Text(&f.Client)),
 		operator.Attr("ahead", operator.Texts(&f.PriorityTypes)),
 		operator.Attr("clubs", operator.Whole(&s.Clubs, 1, 4096)), operator.Attr("flows", operator.Whole(&s.Flows, 16, 1<<20)),
-		operator.Attr("heavy", operator.Whole(&s.Heavy, 0, 4096)),
-		operator.Attr("change", operator.Span(&s.Change, 100*time.Millisecond, time.Hour)),
+		operator.Attr("heavy", operator.Whole(&s.HeavyClients, 0, 4096)),
+		operator.Attr("change", operator.Span(&s.ReseedInterval, 100*time.Millisecond, time.Hour)),
 		operator.Attr("queue", operator.Whole(&s.Queue, 1, 1<<20)),
 		operator.Attr("slack", operator.Span(&s.Slack, time.Millisecond, 10*time.Second)),
-		operator.Attr("booked", operator.Share(&s.Booked)),
-		operator.Attr("longest_wait", operator.Span(&s.Longest, 0, 25*time.Second)),
+		operator.Attr("booked", operator.Share(&s.BookableShare)),
+		operator.Attr("longest_wait", operator.Span(&s.MaxWait, 0, 25*time.Second)),
 		operator.Block("weight", []string{"club"}, func(labels []string, _ int) ([]operator.Field, error) {
 			if _, defined := s.Weights[labels[0]]; defined {
 				return nil, errors.New("is defined twice")
@@ -81,7 +81,7 @@
 
 // fairAdmission is the core's state for fair admission; nil if disabled.
 type fairAdmission struct {
-	gate  *fair.Gate
+	gate  *fair.Controller
 	block Fairness
 	timer *timer
 	costs map[string]*meanCost
@@ -97,7 +97,7 @@
 }
 
 // EnableFairAdmission makes the core admit downloads by fair shares.
-func (g *Core) EnableFairAdmission(gate *fair.Gate, block Fairness) {
+func (g *Core) EnableFairAdmission(gate *fair.Controller, block Fairness) {
 	g.fair = &fairAdmission{gate: gate, block: block, costs: map[string]*meanCost{}}
 }
 
@@ -107,8 +107,8 @@
 // askFairGate asks the fair gate to admit an accepted download.
 func (g *Core) askFairGate(d *download, params map[string]string) {
 	f := g.fair
-	ask := fair.Ask{At: g.now, ID: d.id, Object: d.object, Part: d.part, Expiry: d.expiry, Ticket: params[ticketParam],
-		Ahead: slices.Contains(f.block.PriorityTypes, d.typ)}
+	ask := fair.Request{At: g.now, ID: d.id, Object: d.object, Part: d.part, Expiry: d.expiry, Ticket: params[ticketParam],
+		Priority: slices.Contains(f.block.PriorityTypes, d.typ)}
 	if p, ok := headerParam(f.block.Club); ok {
 		ask.Club = params[p]
 	}
@@ -124,7 +124,7 @@
 	typ := g.config.Types[slices.IndexFunc(g.config.Types, func(t footprint.ContentType) bool { return t.Name == d.typ })]
 	ask.Target = min(g.now+typ.Target+typ.Stretch*ask.Cost, d.expiry)
 	d.share = &fairShare{target: ask.Target}
-	g.executeFair(f.gate.Ask(ask))
+	g.executeFair(f.gate.Request(ask))
 }
 
 // fairShare is the state of a download at the fair gate.
@@ -187,11 +187,11 @@
 	}
 	if d.share == nil || !d.share.admitted {
 		if status != 503 { // the gate already knows those that it throttled
-			g.executeFair(f.gate.Left(g.now, d.id))
+			g.executeFair(f.gate.Disconnected(g.now, d.id))
 		}
 		return
 	}
-	end, cost := fair.Gone, 0.0
+	end, cost := fair.Aborted, 0.0
 	switch status {
 	case 200:
 		if end = fair.InTime; g.now > d.share.target {
@@ -204,7 +204,7 @@
 		}
 		mean.add(g.now - d.share.admittedAt)
 	case 503:
-		end = fair.TurnedAway
+		end = fair.Rejected
 	}
 	g.executeFair(f.gate.Ended(g.now, d.id, end, cost))
 }
@@ -215,10 +215,10 @@
 		return ""
 	}
 	gate := g.fair.gate
-	open, waiting, limit, stretch, fastest := gate.Stands()
+	open, waiting, limit, stretch, fastest := gate.Stats()
 	text := fmt.Sprintf("open %d of %.0f, waiting %d, takes %.1f of its cost, %.1f at the quickest; %+v",
 		open, limit, waiting, stretch, fastest, gate.Counters)
-	for _, club := range gate.Heaviest(3) {
+	for _, club := range gate.TopClubs(3) {
 		text += fmt.Sprintf("; %q asked %d admitted %d throttled %d", club.Name, club.Asked, club.Admitted, club.Throttled)
 	}
 	return text
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -105,7 +105,7 @@
 		RequestLoad: c.Reports, HealthChecks: c.Probing, AnswerTimeout: c.ConnectTimeout, GaugeName: footprint.LoadValueName}, dialer.Dial)
 	core := NewCore(c, pool, log, clock.now())
 	if f := s.Operator.Fair; f.On {
-		f.Settings.Longest = min(f.Settings.Longest, c.MaxRetryAfter)
+		f.Settings.MaxWait = min(f.Settings.MaxWait, c.MaxRetryAfter)
 		core.EnableFairAdmission(fair.New(f.Settings, c.Seed, clock.now()), f)
 	}
 	driver, err := newLinkDriver(s.Operator.Links, core, p, clock)
--- a/internal/rehearsal/virtual/virtual.go
+++ b/internal/rehearsal/virtual/virtual.go
@@ -275,7 +275,7 @@
 	g.core = gateway.NewCore(c, g.pool, g.log, d.unix())
 	if f := d.script.Fair; f.On {
 		set := fair.Defaults()
-		set.Longest = f.Longest
+		set.MaxWait = f.Longest
 		var ahead []string
 		for _, t := range d.script.Types {
 			if t.Write {
