--- a/internal/failpoint/failpoint.go
+++ b/internal/failpoint/failpoint.go
@@ -38,7 +38,7 @@
 
 // Fields returns the fields of the block failpoints.
 func (b *Block) Fields() []operator.Field {
-	return []operator.Field{operator.Attr("stop", operator.Texts(&b.Stop)), operator.Attr("kill", operator.Texts(&b.Kill)),
+	return []operator.Field{operator.Attr("stop", operator.StringList(&b.Stop)), operator.Attr("kill", operator.StringList(&b.Kill)),
 		operator.Check(func() (err error) {
 			if !On {
 				return fmt.Errorf("only a debug build has failpoints (-tags debug)")
--- a/internal/gateway/fairness.go
+++ b/internal/gateway/fairness.go
@@ -28,21 +28,21 @@
 	s := &f.Settings
 	s.Weights = map[string]float64{}
 	return []operator.Field{
-		operator.Attr("club", operator.Text(&f.Club)), operator.Attr("client", operator.Text(&f.Client)),
-		operator.Attr("ahead", operator.Texts(&f.PriorityTypes)),
-		operator.Attr("clubs", operator.Whole(&s.Clubs, 1, 4096)), operator.Attr("flows", operator.Whole(&s.Flows, 16, 1<<20)),
-		operator.Attr("heavy", operator.Whole(&s.HeavyClients, 0, 4096)),
-		operator.Attr("change", operator.Span(&s.ReseedInterval, 100*time.Millisecond, time.Hour)),
-		operator.Attr("queue", operator.Whole(&s.Queue, 1, 1<<20)),
-		operator.Attr("slack", operator.Span(&s.Slack, time.Millisecond, 10*time.Second)),
+		operator.Attr("club", operator.String(&f.Club)), operator.Attr("client", operator.String(&f.Client)),
+		operator.Attr("ahead", operator.StringList(&f.PriorityTypes)),
+		operator.Attr("clubs", operator.Int(&s.Clubs, 1, 4096)), operator.Attr("flows", operator.Int(&s.Flows, 16, 1<<20)),
+		operator.Attr("heavy", operator.Int(&s.HeavyClients, 0, 4096)),
+		operator.Attr("change", operator.Duration(&s.ReseedInterval, 100*time.Millisecond, time.Hour)),
+		operator.Attr("queue", operator.Int(&s.Queue, 1, 1<<20)),
+		operator.Attr("slack", operator.Duration(&s.Slack, time.Millisecond, 10*time.Second)),
 		operator.Attr("booked", operator.Share(&s.BookableShare)),
-		operator.Attr("longest_wait", operator.Span(&s.MaxWait, 0, 25*time.Second)),
+		operator.Attr("longest_wait", operator.Duration(&s.MaxWait, 0, 25*time.Second)),
 		operator.Block("weight", []string{"club"}, func(labels []string, _ int) ([]operator.Field, error) {
 			if _, defined := s.Weights[labels[0]]; defined {
 				return nil, errors.New("is defined twice")
 			}
 			weight := 0.0
-			return []operator.Field{operator.Must("is", operator.Number(&weight, 0.01, 1000)),
+			return []operator.Field{operator.RequiredAttr("is", operator.Number(&weight, 0.01, 1000)),
 				operator.Check(func() error { s.Weights[labels[0]] = weight; return nil })}, nil
 		}),
 		operator.Check(func() error {
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -211,7 +211,7 @@
 			l.lastTidy = now
 			l.pool.CloseIdle(now)
 			l.core.SetWallClock(now, float64(time.Now().UnixMicro())/1000)
-			if every := l.reload.operator.Load().Log.Every; now >= l.lastCount+cmp.Or(every, countersInterval) {
+			if every := l.reload.operator.Load().Log.CountersEvery; now >= l.lastCount+cmp.Or(every, countersInterval) {
 				l.lastCount = now
 				l.buffers.Trim()
 				l.reads.Trim()
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -31,14 +31,14 @@
 	if path == "" {
 		return s, nil
 	}
-	text, err := operator.Read(path)
+	text, err := operator.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	if err := operator.Parse(text, path, operator.One("log", s.Log.Fields), operator.One("links", s.Links.Fields),
-		operator.One("fair", s.Fair.Fields), operator.One("quorum", s.Quorum.Fields),
-		operator.One("jobs", s.Jobs.Fields), operator.One("failpoints", s.Failpoints.Fields),
-		operator.One("machines", s.Machines.Fields), operator.One("purges", s.Purges.Fields)); err != nil {
+	if err := operator.Parse(text, path, operator.SingleBlock("log", s.Log.Fields), operator.SingleBlock("links", s.Links.Fields),
+		operator.SingleBlock("fair", s.Fair.Fields), operator.SingleBlock("quorum", s.Quorum.Fields),
+		operator.SingleBlock("jobs", s.Jobs.Fields), operator.SingleBlock("failpoints", s.Failpoints.Fields),
+		operator.SingleBlock("machines", s.Machines.Fields), operator.SingleBlock("purges", s.Purges.Fields)); err != nil {
 		return nil, err
 	}
 	if s.Jobs.On && !s.Quorum.On {
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -25,7 +25,7 @@
 		}
 	}
 	os.WriteFile(path, []byte("log {\n format = \"json\"\n counters_every = \"30s\"\n}"), 0o600)
-	if s, err := LoadSettings(path); err != nil || s.Log.Every != 30_000 || s.Log.Format != "json" {
+	if s, err := LoadSettings(path); err != nil || s.Log.CountersEvery != 30_000 || s.Log.Format != "json" {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if _, err := LoadSettings(path + "x"); err == nil {
--- a/internal/links/drive/drive.go
+++ b/internal/links/drive/drive.go
@@ -33,16 +33,16 @@
 	s := &b.Settings
 	memory := float64(s.Memory)
 	return []operator.Field{
-		operator.Must("keys", operator.Text(&b.Keys)), operator.Must("base", operator.Text(&s.Base)),
+		operator.RequiredAttr("keys", operator.String(&b.Keys)), operator.RequiredAttr("base", operator.String(&s.Base)),
 		operator.Attr("form", operator.OneOf(&s.Form, "uri-signing", "compact")),
-		operator.Attr("from", operator.OneOf(&b.From, "query", "header", "cookie")), operator.Attr("name", operator.Text(&b.Name)),
-		operator.Attr("audience", operator.Texts(&s.Audience)), operator.Attr("skew", operator.Span(&s.Skew, 0, time.Minute)),
-		operator.Attr("longest", operator.Span(&s.MaxLifetime, time.Second, 30*24*time.Hour)),
-		operator.Attr("chain", operator.Span(&s.MaxChainAge, time.Second, 30*24*time.Hour)),
-		operator.Attr("renew_within", operator.Span(&s.RenewWithin, 0, 24*time.Hour)), operator.Attr("reuse", operator.Whole(&s.MaxReads, 0, 60_000)),
+		operator.Attr("from", operator.OneOf(&b.From, "query", "header", "cookie")), operator.Attr("name", operator.String(&b.Name)),
+		operator.Attr("audience", operator.StringList(&s.Audience)), operator.Attr("skew", operator.Duration(&s.Skew, 0, time.Minute)),
+		operator.Attr("longest", operator.Duration(&s.MaxLifetime, time.Second, 30*24*time.Hour)),
+		operator.Attr("chain", operator.Duration(&s.MaxChainAge, time.Second, 30*24*time.Hour)),
+		operator.Attr("renew_within", operator.Duration(&s.RenewWithin, 0, 24*time.Hour)), operator.Attr("reuse", operator.Int(&s.MaxReads, 0, 60_000)),
 		operator.Attr("memory", operator.Size(&memory, 1<<12, 1<<32)), operator.Attr("checks", operator.Number(&s.ChecksPerSource, 1, 1e6)),
-		operator.Attr("all_checks", operator.Number(&s.ChecksTotal, 1, 1e6)), operator.Attr("spenders", operator.Texts(&s.Spenders)),
-		operator.Attr("store", operator.Text(&b.Store)), operator.Attr("boxes", operator.Span(&s.NodeLinkLifetime, time.Second, time.Hour)),
+		operator.Attr("all_checks", operator.Number(&s.ChecksTotal, 1, 1e6)), operator.Attr("spenders", operator.StringList(&s.Spenders)),
+		operator.Attr("store", operator.String(&b.Store)), operator.Attr("boxes", operator.Duration(&s.NodeLinkLifetime, time.Second, time.Hour)),
 		operator.Check(func() error {
 			s.Memory, s.HasStore = int(memory), b.Store != ""
 			if strings.HasSuffix(s.Base, "/") {
--- a/internal/links/keyfile/keyfile.go
+++ b/internal/links/keyfile/keyfile.go
@@ -34,7 +34,7 @@
 	if info.Mode().Perm()&0o077 != 0 {
 		return nil, nil, fmt.Errorf("%s: accessible to users other than its owner (%v): chmod 600", path, info.Mode().Perm())
 	}
-	text, err := operator.Read(path)
+	text, err := operator.ReadFile(path)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -54,16 +54,16 @@
 	f := &File{}
 	var version int
 	var secret string
-	err := operator.Parse(text, path, operator.Must("version", operator.Whole(&version, 1, 1)),
-		operator.Attr("address_secret", operator.Text(&secret)),
+	err := operator.Parse(text, path, operator.RequiredAttr("version", operator.Int(&version, 1, 1)),
+		operator.Attr("address_secret", operator.String(&secret)),
 		operator.Block("key", []string{"id"}, func(labels []string, _ int) ([]operator.Field, error) {
 			k := links.Key{ID: labels[0]}
 			var state, private, public, shared string
-			return []operator.Field{operator.Must("issuer", operator.Text(&k.Issuer)),
-				operator.Must("algorithm", operator.OneOf(&k.Algorithm, "ES256", "EdDSA", "HS256")),
-				operator.Must("state", operator.OneOf(&state, "upcoming", "signing", "verifying", "retired", "withdrawn")),
-				operator.Attr("private", operator.Text(&private)), operator.Attr("public", operator.Text(&public)),
-				operator.Attr("secret", operator.Text(&shared)), operator.Check(func() (err error) {
+			return []operator.Field{operator.RequiredAttr("issuer", operator.String(&k.Issuer)),
+				operator.RequiredAttr("algorithm", operator.OneOf(&k.Algorithm, "ES256", "EdDSA", "HS256")),
+				operator.RequiredAttr("state", operator.OneOf(&state, "upcoming", "signing", "verifying", "retired", "withdrawn")),
+				operator.Attr("private", operator.String(&private)), operator.Attr("public", operator.String(&public)),
+				operator.Attr("secret", operator.String(&shared)), operator.Check(func() (err error) {
 					if k.State, err = links.ParseState(state); err == nil {
 						err = parseMaterial(&k, private, public, shared)
 					}
--- a/internal/maintenance/drive/config.go
+++ b/internal/maintenance/drive/config.go
@@ -22,20 +22,20 @@
 	l := &b.Inventory.Limits
 	silent := "back"
 	return []operator.Field{
-		operator.Must("version", operator.Whole(&b.Inventory.Version, 1, 1<<30)),
-		operator.Attr("most", operator.Whole(&l.MaxMachines, 0, 4096)), operator.Attr("per_club", operator.Whole(&l.PerClub, 0, 4096)),
-		operator.Attr("per_zone", operator.Whole(&l.PerZone, 0, 4096)),
+		operator.RequiredAttr("version", operator.Int(&b.Inventory.Version, 1, 1<<30)),
+		operator.Attr("most", operator.Int(&l.MaxMachines, 0, 4096)), operator.Attr("per_club", operator.Int(&l.PerClub, 0, 4096)),
+		operator.Attr("per_zone", operator.Int(&l.PerZone, 0, 4096)),
 		operator.Attr("gateways", operator.Share(&l.Gateways)), operator.Attr("boxes", operator.Share(&l.Boxes)), operator.Attr("hubs", operator.Share(&l.Hubs)),
 		operator.Attr("reserve", operator.Number(&l.Reserve, 0, 10)),
-		operator.Attr("begin", operator.Span(&l.BeginTimeout, time.Second, 24*time.Hour)), operator.Attr("drain", operator.Span(&l.DrainTimeout, 100*time.Millisecond, 24*time.Hour)),
-		operator.Attr("warm", operator.Span(&l.WarmTimeout, 0, 24*time.Hour)), operator.Attr("warm_share", operator.Share(&l.WarmShare)), operator.Attr("grace", operator.Span(&l.Grace, 0, time.Hour)),
+		operator.Attr("begin", operator.Duration(&l.BeginTimeout, time.Second, 24*time.Hour)), operator.Attr("drain", operator.Duration(&l.DrainTimeout, 100*time.Millisecond, 24*time.Hour)),
+		operator.Attr("warm", operator.Duration(&l.WarmTimeout, 0, 24*time.Hour)), operator.Attr("warm_share", operator.Share(&l.WarmShare)), operator.Attr("grace", operator.Duration(&l.Grace, 0, time.Hour)),
 		operator.Attr("overdue", operator.Number(&l.Overdue, 1, 100)),
 		operator.Attr("silent", operator.OneOf(&silent, "back", "out")),
 		operator.Block("machine", []string{"name"}, func(labels []string, _ int) ([]operator.Field, error) {
 			b.Inventory.Machines = append(b.Inventory.Machines, maintenance.Machine{Name: labels[0]})
 			m := &b.Inventory.Machines[len(b.Inventory.Machines)-1] // its fields are read before the next append may move the slice
-			return []operator.Field{operator.Must("club", operator.Text(&m.Club)), operator.Attr("zone", operator.Text(&m.Zone)),
-				operator.Attr("gateways", operator.Texts(&m.Gateways)), operator.Attr("boxes", operator.Texts(&m.Boxes)), operator.Attr("hubs", operator.Texts(&m.Hubs)),
+			return []operator.Field{operator.RequiredAttr("club", operator.String(&m.Club)), operator.Attr("zone", operator.String(&m.Zone)),
+				operator.Attr("gateways", operator.StringList(&m.Gateways)), operator.Attr("boxes", operator.StringList(&m.Boxes)), operator.Attr("hubs", operator.StringList(&m.Hubs)),
 				operator.Attr("carries", operator.Number(&m.Capacity, 0, 1e12))}, nil
 		}),
 		operator.Check(func() error {
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -14,9 +14,9 @@
 
 // Log is the "log" block: level, format and reporting interval of a gateway's log.
 type Log struct {
-	Level  string  // error, warn, info or debug; empty means info
-	Format string  // text or json; empty means text
-	Every  float64 // ms between log lines of counters; 0 means the gateway's default
+	Level         string  // error, warn, info or debug; empty means info
+	Format        string  // text or json; empty means text
+	CountersEvery float64 // ms between log lines of counters; 0 means the gateway's default
 }
 
 // Fields returns the attributes of the block, which are read into l.
@@ -24,7 +24,7 @@
 	return []Field{
 		Attr("level", OneOf(&l.Level, "error", "warn", "info", "debug")),
 		Attr("format", OneOf(&l.Format, "text", "json")),
-		Attr("counters_every", Span(&l.Every, time.Second, time.Hour)),
+		Attr("counters_every", Duration(&l.CountersEvery, time.Second, time.Hour)),
 	}
 }
 
@@ -42,8 +42,8 @@
 	}
 }
 
-// Read returns the contents of a file; a file larger than 1 MiB is an error.
-func Read(path string) ([]byte, error) {
+// ReadFile returns the contents of a file; a file larger than 1 MiB is an error.
+func ReadFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
--- a/internal/operator/read.go
+++ b/internal/operator/read.go
@@ -32,8 +32,8 @@
 // Attr is an optional attribute whose value is read by decode, which one of the functions below returns.
 func Attr(name string, decode func(cty.Value) error) Field { return Field{name: name, decode: decode} }
 
-// Must is a required attribute.
-func Must(name string, decode func(cty.Value) error) Field {
+// RequiredAttr is a required attribute.
+func RequiredAttr(name string, decode func(cty.Value) error) Field {
 	return Field{name: name, decode: decode, required: true}
 }
 
@@ -43,8 +43,8 @@
 	return Field{name: name, labels: labels, block: begin}
 }
 
-// One is a block type without labels that may occur at most once.
-func One(name string, fields func() []Field) Field {
+// SingleBlock is a block type without labels that may occur at most once.
+func SingleBlock(name string, fields func() []Field) Field {
 	return Field{name: name, single: true, block: func([]string, int) ([]Field, error) { return fields(), nil }}
 }
 
@@ -67,9 +67,9 @@
 	return r.errs
 }
 
-// Peek returns the value of one top-level string attribute and ignores the rest of the text, for an attribute that must
+// PeekString returns the value of one top-level string attribute and ignores the rest of the text, for an attribute that must
 // be known before the rest can be read. It returns "" if the attribute is missing.
-func Peek(text []byte, file, name string) (string, error) {
+func PeekString(text []byte, file, name string) (string, error) {
 	parsed, diags := hclsyntax.ParseConfig(text, file, hcl.InitialPos)
 	if diags.HasErrors() {
 		return "", errorList{}.add(diags)
@@ -81,7 +81,7 @@
 	}
 	v, diags := attr.Expr.Value(nil)
 	value := ""
-	if diags.HasErrors() || v.IsNull() || Text(&value)(v) != nil {
+	if diags.HasErrors() || v.IsNull() || String(&value)(v) != nil {
 		return "", fmt.Errorf("%s:%d: %s: must be a string", attr.Range.Filename, attr.Range.Start.Line, name)
 	}
 	return value, nil
@@ -195,8 +195,8 @@
 	return v.AsString(), nil
 }
 
-// Text reads a non-empty string.
-func Text(dst *string) func(cty.Value) error {
+// String reads a non-empty string.
+func String(dst *string) func(cty.Value) error {
 	return func(v cty.Value) (err error) {
 		if *dst, err = stringValue(v); err == nil && *dst == "" {
 			err = fmt.Errorf("empty")
@@ -215,8 +215,8 @@
 	}
 }
 
-// Texts reads a list of strings, none of them empty or listed twice.
-func Texts(dst *[]string) func(cty.Value) error {
+// StringList reads a list of strings, none of them empty or listed twice.
+func StringList(dst *[]string) func(cty.Value) error {
 	return func(v cty.Value) error {
 		if !v.Type().IsTupleType() || v.LengthInt() == 0 {
 			return fmt.Errorf("is %s and must be a list of strings", v.Type().FriendlyName())
@@ -252,8 +252,8 @@
 	}
 }
 
-// Whole reads a whole number from minimum to maximum.
-func Whole(dst *int, minimum, maximum int) func(cty.Value) error {
+// Int reads a whole number from minimum to maximum.
+func Int(dst *int, minimum, maximum int) func(cty.Value) error {
 	return func(v cty.Value) error {
 		n := 0.0
 		if err := Number(&n, float64(minimum), float64(maximum))(v); err != nil {
@@ -267,8 +267,8 @@
 	}
 }
 
-// Flag reads true or false.
-func Flag(dst *bool) func(cty.Value) error {
+// Bool reads true or false.
+func Bool(dst *bool) func(cty.Value) error {
 	return func(v cty.Value) error {
 		if v.Type() != cty.Bool {
 			return fmt.Errorf("is %s and must be true or false", v.Type().FriendlyName())
@@ -278,8 +278,8 @@
 	}
 }
 
-// Span reads a duration with its unit, such as "250ms" or "1m30s", and stores it in milliseconds.
-func Span(dst *float64, minimum, maximum time.Duration) func(cty.Value) error {
+// Duration reads a duration with its unit, such as "250ms" or "1m30s", and stores it in milliseconds.
+func Duration(dst *float64, minimum, maximum time.Duration) func(cty.Value) error {
 	return func(v cty.Value) error {
 		s, err := stringValue(v)
 		if err != nil {
--- a/internal/operator/read_test.go
+++ b/internal/operator/read_test.go
@@ -12,8 +12,8 @@
 	type inner struct{ size, share float64 }
 	read := func(text string) (span float64, whole int, names []string, on bool, all map[string]*inner, err error) {
 		all = map[string]*inner{}
-		err = Parse([]byte(text), "f.hcl", Must("span", Span(&span, time.Millisecond, time.Minute)), Attr("whole", Whole(&whole, 1, 9)),
-			Attr("names", Texts(&names)), Attr("on", Flag(&on)),
+		err = Parse([]byte(text), "f.hcl", RequiredAttr("span", Duration(&span, time.Millisecond, time.Minute)), Attr("whole", Int(&whole, 1, 9)),
+			Attr("names", StringList(&names)), Attr("on", Bool(&on)),
 			Block("box", []string{"name"}, func(labels []string, line int) ([]Field, error) {
 				b := &inner{}
 				all[labels[0]] = b
@@ -23,7 +23,7 @@
 					}
 					return nil
 				})}, nil
-			}), One("single", func() []Field { return nil }))
+			}), SingleBlock("single", func() []Field { return nil }))
 		return
 	}
 	span, whole, names, on, all, err := read("span = \"1s\"\nwhole = 3\nnames = [\"a\", \"b\"]\non = true\n" +
--- a/internal/owner/drive/block.go
+++ b/internal/owner/drive/block.go
@@ -26,14 +26,14 @@
 	b.On, b.Limits = true, owner.DefaultLimits()
 	l := &b.Limits
 	return []operator.Field{
-		operator.Attr("effect", operator.Span(&l.EffectTimeout, 50*time.Millisecond, 10*time.Minute)),
-		operator.Attr("rest", operator.Span(&l.Backoff, 10*time.Millisecond, time.Minute)),
-		operator.Attr("longest_rest", operator.Span(&l.MaxBackoff, 10*time.Millisecond, time.Hour)),
-		operator.Attr("hold", operator.Span(&l.HoldDown, 0, time.Minute)),
-		operator.Attr("longest_hold", operator.Span(&l.MaxHoldDown, 0, 24*time.Hour)),
-		operator.Attr("again", operator.Span(&l.RetryInterval, 100*time.Millisecond, time.Minute)),
-		operator.Attr("warm_rounds", operator.Whole(&l.WarmRounds, 0, 1000)),
-		operator.Attr("warm_each", operator.Whole(&l.WarmEach, 1, 1000)),
+		operator.Attr("effect", operator.Duration(&l.EffectTimeout, 50*time.Millisecond, 10*time.Minute)),
+		operator.Attr("rest", operator.Duration(&l.Backoff, 10*time.Millisecond, time.Minute)),
+		operator.Attr("longest_rest", operator.Duration(&l.MaxBackoff, 10*time.Millisecond, time.Hour)),
+		operator.Attr("hold", operator.Duration(&l.HoldDown, 0, time.Minute)),
+		operator.Attr("longest_hold", operator.Duration(&l.MaxHoldDown, 0, 24*time.Hour)),
+		operator.Attr("again", operator.Duration(&l.RetryInterval, 100*time.Millisecond, time.Minute)),
+		operator.Attr("warm_rounds", operator.Int(&l.WarmRounds, 0, 1000)),
+		operator.Attr("warm_each", operator.Int(&l.WarmEach, 1, 1000)),
 		operator.Check(func() error {
 			switch {
 			case l.MaxBackoff < l.Backoff:
--- a/internal/owner/drive/crew_test.go
+++ b/internal/owner/drive/crew_test.go
@@ -21,7 +21,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	var b Block
-	if err := operator.Parse([]byte("jobs {}\n"), "f", operator.One("jobs", b.Fields)); err != nil {
+	if err := operator.Parse([]byte("jobs {}\n"), "f", operator.SingleBlock("jobs", b.Fields)); err != nil {
 		t.Fatal(err)
 	}
 	c, err := Open(b, t.TempDir(), map[string]Handler{"warm": {Type: owner.Safe, Check: func(owner.Job) error { return nil }}}, log)
@@ -78,7 +78,7 @@
 	if err := c.Close(); err != nil {
 		t.Error(err)
 	}
-	if err := operator.Parse([]byte("jobs {\n  rest = \"10s\"\n}\n"), "f", operator.One("jobs", b.Fields)); err == nil || !strings.Contains(err.Error(), "longest_rest: shorter than rest") {
+	if err := operator.Parse([]byte("jobs {\n  rest = \"10s\"\n}\n"), "f", operator.SingleBlock("jobs", b.Fields)); err == nil || !strings.Contains(err.Error(), "longest_rest: shorter than rest") {
 		t.Error(err)
 	}
 }
--- a/internal/purges/drive/block.go
+++ b/internal/purges/drive/block.go
@@ -28,12 +28,12 @@
 	b.On, b.Limits = true, purges.DefaultLimits()
 	l := &b.Limits
 	return []operator.Field{
-		operator.Attr("delay", operator.Span(&l.Delay, 500*time.Millisecond, time.Hour)),
-		operator.Attr("skew", operator.Span(&l.Skew, 0, time.Minute)),
+		operator.Attr("delay", operator.Duration(&l.Delay, 500*time.Millisecond, time.Hour)),
+		operator.Attr("skew", operator.Duration(&l.Skew, 0, time.Minute)),
 		operator.Attr("rate", operator.Number(&l.Rate, 0, 1e6)),
-		operator.Attr("batch", operator.Whole(&l.Batch, 1, 8192)),
+		operator.Attr("batch", operator.Int(&l.Batch, 1, 8192)),
 		operator.Attr("fills", operator.Number(&l.MaxFills, 0, 1e9)),
-		operator.Attr("held", operator.Whole(&l.MaxBounds, 16, 200_000)),
+		operator.Attr("held", operator.Int(&l.MaxBounds, 16, 200_000)),
 		operator.Check(func() error { return l.Check() }),
 	}
 }
--- a/internal/quorum/drive/block.go
+++ b/internal/quorum/drive/block.go
@@ -24,25 +24,25 @@
 	s := &b.Settings
 	s.Peers = map[string]string{}
 	return []operator.Field{
-		operator.Must("listen", operator.Text(&b.Listen)),
-		operator.Attr("address", operator.Text(&s.Address)),
-		operator.Attr("store", operator.Text(&b.Store)),
-		operator.Attr("founders", operator.Texts(&s.Founders)),
-		operator.Attr("beat", operator.Span(&s.Heartbeat, 5*time.Millisecond, 10*time.Second)),
-		operator.Attr("election", operator.Span(&s.Election, 50*time.Millisecond, time.Minute)),
-		operator.Attr("lease", operator.Span(&s.Lease, 100*time.Millisecond, 10*time.Minute)),
-		operator.Attr("slow_disk", operator.Span(&s.SlowDisk, time.Millisecond, time.Minute)),
-		operator.Attr("replace", operator.Span(&s.ReplaceAfter, 0, 24*time.Hour)),
-		operator.Attr("votes", operator.Whole(&s.TargetVoters, 1, 7)),
-		operator.Attr("keep", operator.Whole(&s.KeepEntries, 16, 1_000_000)),
-		operator.Attr("members", operator.Whole(&s.MaxMembers, 3, 5000)),
+		operator.RequiredAttr("listen", operator.String(&b.Listen)),
+		operator.Attr("address", operator.String(&s.Address)),
+		operator.Attr("store", operator.String(&b.Store)),
+		operator.Attr("founders", operator.StringList(&s.Founders)),
+		operator.Attr("beat", operator.Duration(&s.Heartbeat, 5*time.Millisecond, 10*time.Second)),
+		operator.Attr("election", operator.Duration(&s.Election, 50*time.Millisecond, time.Minute)),
+		operator.Attr("lease", operator.Duration(&s.Lease, 100*time.Millisecond, 10*time.Minute)),
+		operator.Attr("slow_disk", operator.Duration(&s.SlowDisk, time.Millisecond, time.Minute)),
+		operator.Attr("replace", operator.Duration(&s.ReplaceAfter, 0, 24*time.Hour)),
+		operator.Attr("votes", operator.Int(&s.TargetVoters, 1, 7)),
+		operator.Attr("keep", operator.Int(&s.KeepEntries, 16, 1_000_000)),
+		operator.Attr("members", operator.Int(&s.MaxMembers, 3, 5000)),
 		operator.Block("peer", []string{"name"}, func(labels []string, _ int) ([]operator.Field, error) {
 			if _, duplicate := s.Peers[labels[0]]; duplicate {
 				return nil, errors.New("defined twice")
 			}
 			address := ""
 			s.Peers[labels[0]] = ""
-			return []operator.Field{operator.Must("address", operator.Text(&address)), operator.Check(func() error {
+			return []operator.Field{operator.RequiredAttr("address", operator.String(&address)), operator.Check(func() error {
 				if _, _, err := net.SplitHostPort(address); err != nil {
 					return fmt.Errorf("address: %w", err)
 				}
--- a/internal/quorum/drive/drive_test.go
+++ b/internal/quorum/drive/drive_test.go
@@ -194,7 +194,7 @@
 func TestBlock(t *testing.T) {
 	read := func(text string) (Block, error) {
 		var b Block
-		err := operator.Parse([]byte("quorum {\n"+text+"\n}\n"), "f.hcl", operator.One("quorum", b.Fields))
+		err := operator.Parse([]byte("quorum {\n"+text+"\n}\n"), "f.hcl", operator.SingleBlock("quorum", b.Fields))
 		return b, err
 	}
 	good := "listen = \"127.0.0.1:7101\"\nfounders = [\"a\", \"b\", \"c\"]\npeer \"b\" {\n address = \"127.0.0.1:2\"\n}\npeer \"c\" {\n address = \"127.0.0.1:3\"\n}"
--- a/internal/rehearsal/script/fields.go
+++ b/internal/rehearsal/script/fields.go
@@ -12,42 +12,42 @@
 
 func (s *Script) deployment() []op.Field {
 	return []op.Field{
-		op.Attr("clubs", op.Texts(&s.Clubs)), op.Attr("gateways", op.Whole(&s.Gateways, 1, 1000)),
-		op.Attr("flow", op.Size(&s.Flow, 1e3, 1e10)), op.Attr("near", op.Span(&s.Near, 0, time.Second)),
-		op.Attr("far", op.Span(&s.Far, 0, time.Second)), op.Attr("link", op.Size(&s.Link, 1e4, 1e12)),
-		op.One("box", s.Box.fields), op.One("hub", s.Hub.fields),
-		op.One("core", func() []op.Field {
+		op.Attr("clubs", op.StringList(&s.Clubs)), op.Attr("gateways", op.Int(&s.Gateways, 1, 1000)),
+		op.Attr("flow", op.Size(&s.Flow, 1e3, 1e10)), op.Attr("near", op.Duration(&s.Near, 0, time.Second)),
+		op.Attr("far", op.Duration(&s.Far, 0, time.Second)), op.Attr("link", op.Size(&s.Link, 1e4, 1e12)),
+		op.SingleBlock("box", s.Box.fields), op.SingleBlock("hub", s.Hub.fields),
+		op.SingleBlock("core", func() []op.Field {
 			c := &s.Core
-			return []op.Field{op.Attr("capacity", op.Number(&c.Capacity, 0.1, 1e6)), op.Attr("answers", op.Span(&c.Answers, 0, time.Minute)),
+			return []op.Field{op.Attr("capacity", op.Number(&c.Capacity, 0.1, 1e6)), op.Attr("answers", op.Duration(&c.Answers, 0, time.Minute)),
 				op.Attr("crowded", op.Number(&c.Crowded, 0, 100)), op.Attr("stops_at", op.Number(&c.StopsAt, 0, 1000)),
-				op.Attr("stops_for", op.Span(&c.StopsFor, 0, maxSpan)), op.Attr("stops_push", op.Span(&c.StopsPush, time.Millisecond, maxSpan))}
+				op.Attr("stops_for", op.Duration(&c.StopsFor, 0, maxSpan)), op.Attr("stops_push", op.Duration(&c.StopsPush, time.Millisecond, maxSpan))}
 		}),
-		op.One("list", func() []op.Field {
+		op.SingleBlock("list", func() []op.Field {
 			l := &s.List
-			return []op.Field{op.Attr("told", op.Span(&l.Told, 0, maxSpan)), op.Attr("notices", op.Span(&l.Notices, 0, maxSpan)),
-				op.Attr("purges", op.Span(&l.Purges, 0, maxSpan))}
+			return []op.Field{op.Attr("told", op.Duration(&l.Told, 0, maxSpan)), op.Attr("notices", op.Duration(&l.Notices, 0, maxSpan)),
+				op.Attr("purges", op.Duration(&l.Purges, 0, maxSpan))}
 		}),
-		op.One("rules", func() []op.Field {
+		op.SingleBlock("rules", func() []op.Field {
 			r := &s.Rules
-			return []op.Field{op.Attr("drain_grace", op.Span(&r.DrainGrace, 0, time.Minute)),
-				op.Attr("purge_grace", op.Span(&r.PurgeGrace, 0, time.Minute)), op.Attr("purge_settles", op.Span(&r.PurgeSettles, 0, maxSpan))}
+			return []op.Field{op.Attr("drain_grace", op.Duration(&r.DrainGrace, 0, time.Minute)),
+				op.Attr("purge_grace", op.Duration(&r.PurgeGrace, 0, time.Minute)), op.Attr("purge_settles", op.Duration(&r.PurgeSettles, 0, maxSpan))}
 		}),
-		op.One("limits", func() []op.Field {
-			return []op.Field{op.Attr("memory_mb", op.Whole(&s.Limits.MemoryMB, 24, 1<<20)), op.Attr("sockets", op.Whole(&s.Limits.Sockets, 64, 1<<20))}
+		op.SingleBlock("limits", func() []op.Field {
+			return []op.Field{op.Attr("memory_mb", op.Int(&s.Limits.MemoryMB, 24, 1<<20)), op.Attr("sockets", op.Int(&s.Limits.Sockets, 64, 1<<20))}
 		}),
 	}
 }
 
 func (b *Box) fields() []op.Field {
 	return []op.Field{
-		op.Attr("count", op.Whole(&b.Count, 1, 10_000)), op.Attr("cores_from", op.Number(&b.Cores[0], 0.1, 1e5)),
-		op.Attr("cores_to", op.Number(&b.Cores[1], 0.1, 1e5)), op.Attr("slots", op.Whole(&b.Slots, 1, 1e5)),
-		op.Attr("queue", op.Whole(&b.Queue, 0, 1e5)), op.Attr("store", op.Size(&b.Store, 1, 1e15)),
-		op.Attr("cold_share", op.Share(&b.ColdShare)), op.Attr("cold_for", op.Span(&b.ColdFor, 0, maxSpan)),
-		op.Attr("fall_multiple", op.Number(&b.FallMultiple, 1, 1e3)), op.Attr("fall_for", op.Span(&b.FallFor, 100*time.Millisecond, time.Minute)),
-		op.Attr("fallen_for", op.Span(&b.FallenFor, 0, maxSpan)), op.Attr("fills", op.Whole(&b.Fills, 1, 1e5)),
-		op.Attr("fill_timeout", op.Span(&b.FillTimeout, time.Millisecond, time.Minute)),
-		op.Attr("report", op.Span(&b.Report, 10*time.Millisecond, time.Minute)), op.Attr("probe", op.Span(&b.Probe, 0, time.Second)),
+		op.Attr("count", op.Int(&b.Count, 1, 10_000)), op.Attr("cores_from", op.Number(&b.Cores[0], 0.1, 1e5)),
+		op.Attr("cores_to", op.Number(&b.Cores[1], 0.1, 1e5)), op.Attr("slots", op.Int(&b.Slots, 1, 1e5)),
+		op.Attr("queue", op.Int(&b.Queue, 0, 1e5)), op.Attr("store", op.Size(&b.Store, 1, 1e15)),
+		op.Attr("cold_share", op.Share(&b.ColdShare)), op.Attr("cold_for", op.Duration(&b.ColdFor, 0, maxSpan)),
+		op.Attr("fall_multiple", op.Number(&b.FallMultiple, 1, 1e3)), op.Attr("fall_for", op.Duration(&b.FallFor, 100*time.Millisecond, time.Minute)),
+		op.Attr("fallen_for", op.Duration(&b.FallenFor, 0, maxSpan)), op.Attr("fills", op.Int(&b.Fills, 1, 1e5)),
+		op.Attr("fill_timeout", op.Duration(&b.FillTimeout, time.Millisecond, time.Minute)),
+		op.Attr("report", op.Duration(&b.Report, 10*time.Millisecond, time.Minute)), op.Attr("probe", op.Duration(&b.Probe, 0, time.Second)),
 		op.Attr("errors", op.Share(&b.Errs)), op.Attr("held", op.Share(&b.Held)),
 		op.Check(func() error {
 			if b.Cores[0] > b.Cores[1] {
@@ -60,14 +60,14 @@
 
 func (t *Type) fields() []op.Field {
 	return []op.Field{
-		op.Must("share", op.Share(&t.Share)), op.Must("work", op.Span(&t.Work, time.Millisecond, time.Minute)),
-		op.Attr("spread", op.Number(&t.Spread, 0, 3)), op.Attr("parts", op.Whole(&t.Parts, 1, 1000)), op.Attr("gap", op.Span(&t.Gap, 0, time.Minute)),
-		op.Must("target", op.Span(&t.Target, time.Millisecond, time.Minute)), op.Attr("stretch", op.Number(&t.Stretch, 0, 100)),
-		op.Must("expiry", op.Span(&t.Expiry, time.Millisecond, time.Minute)), op.Attr("fresh", op.Span(&t.Fresh, 0, maxSpan)),
-		op.Attr("grace", op.Span(&t.Grace, 0, maxSpan)), op.Attr("benefit", op.Number(&t.Benefit, 0.001, 1000)),
+		op.RequiredAttr("share", op.Share(&t.Share)), op.RequiredAttr("work", op.Duration(&t.Work, time.Millisecond, time.Minute)),
+		op.Attr("spread", op.Number(&t.Spread, 0, 3)), op.Attr("parts", op.Int(&t.Parts, 1, 1000)), op.Attr("gap", op.Duration(&t.Gap, 0, time.Minute)),
+		op.RequiredAttr("target", op.Duration(&t.Target, time.Millisecond, time.Minute)), op.Attr("stretch", op.Number(&t.Stretch, 0, 100)),
+		op.RequiredAttr("expiry", op.Duration(&t.Expiry, time.Millisecond, time.Minute)), op.Attr("fresh", op.Duration(&t.Fresh, 0, maxSpan)),
+		op.Attr("grace", op.Duration(&t.Grace, 0, maxSpan)), op.Attr("benefit", op.Number(&t.Benefit, 0.001, 1000)),
 		op.Attr("late", op.Share(&t.Late)), op.Attr("repeat", op.OneOf(&t.Repeat, "retriable", "deduped", "non-retriable")),
-		op.Attr("scope", op.OneOf(&t.Scope, "all", "zone", "cell")), op.Attr("window", op.Span(&t.Window, 0, maxSpan)),
-		op.Attr("write", op.Flag(&t.Write)), op.Attr("objects", op.Whole(&t.Objects, 1, 1e6)), op.Attr("skew", op.Number(&t.Skew, 0, 3)),
+		op.Attr("scope", op.OneOf(&t.Scope, "all", "zone", "cell")), op.Attr("window", op.Duration(&t.Window, 0, maxSpan)),
+		op.Attr("write", op.Bool(&t.Write)), op.Attr("objects", op.Int(&t.Objects, 1, 1e6)), op.Attr("skew", op.Number(&t.Skew, 0, 3)),
 		op.Attr("once", op.Share(&t.Once)), op.Attr("local", op.Share(&t.Local)), op.Attr("old_worth", op.Share(&t.OldWorth)),
 		op.Check(func() error {
 			if t.Target > t.Expiry {
@@ -82,10 +82,10 @@
 }
 
 func (c *Clients) fields() []op.Field {
-	return []op.Field{op.Attr("retries", op.Whole(&c.Retries, 0, 100)), op.Attr("wait", op.Span(&c.Wait, 0, time.Minute)),
+	return []op.Field{op.Attr("retries", op.Int(&c.Retries, 0, 100)), op.Attr("wait", op.Duration(&c.Wait, 0, time.Minute)),
 		op.Attr("heeds", op.Share(&c.Heeds)), op.Attr("patience_from", op.Number(&c.Patience[0], 0.01, 1)),
-		op.Attr("patience_to", op.Number(&c.Patience[1], 0.01, 1)), op.Attr("impatient", op.Share(&c.Impatient)), op.Attr("members", op.Texts(&c.Members)),
-		op.Attr("holds", op.Share(&c.Holds)), op.Attr("notices", op.Span(&c.Notices, 0, time.Minute)),
+		op.Attr("patience_to", op.Number(&c.Patience[1], 0.01, 1)), op.Attr("impatient", op.Share(&c.Impatient)), op.Attr("members", op.StringList(&c.Members)),
+		op.Attr("holds", op.Share(&c.Holds)), op.Attr("notices", op.Duration(&c.Notices, 0, time.Minute)),
 		op.Check(func() error {
 			if c.Patience[0] > c.Patience[1] {
 				return fmt.Errorf("patience_from %v is over patience_to %v", c.Patience[0], c.Patience[1])
@@ -96,53 +96,53 @@
 
 func (l *Links) fields() []op.Field {
 	l.Checks = 1e4
-	return []op.Field{op.Must("life", op.Span(&l.Life, time.Second, 24*time.Hour)), op.Attr("renew", op.Span(&l.Renew, time.Second, 24*time.Hour)),
-		op.Attr("doubled", op.Share(&l.Doubled)), op.Attr("boxes", op.Span(&l.Boxes, time.Second, time.Hour)), op.Attr("checks", op.Number(&l.Checks, 1, 5e4))}
+	return []op.Field{op.RequiredAttr("life", op.Duration(&l.Life, time.Second, 24*time.Hour)), op.Attr("renew", op.Duration(&l.Renew, time.Second, 24*time.Hour)),
+		op.Attr("doubled", op.Share(&l.Doubled)), op.Attr("boxes", op.Duration(&l.Boxes, time.Second, time.Hour)), op.Attr("checks", op.Number(&l.Checks, 1, 5e4))}
 }
 
 func (f *Fair) fields() []op.Field {
 	*f = Fair{On: true, Longest: 2000}
-	return []op.Field{op.Attr("longest_wait", op.Span(&f.Longest, 0, 20*time.Second))}
+	return []op.Field{op.Attr("longest_wait", op.Duration(&f.Longest, 0, 20*time.Second))}
 }
 
 func (q *Quorum) fields() []op.Field {
 	*q = Quorum{On: true, Voters: 3, Beat: 50, Election: 400, Lease: 1200, Replace: 60_000}
-	return []op.Field{op.Attr("voters", op.Whole(&q.Voters, 1, 7)), op.Attr("beat", op.Span(&q.Beat, 10*time.Millisecond, time.Second)),
-		op.Attr("election", op.Span(&q.Election, 50*time.Millisecond, time.Minute)), op.Attr("lease", op.Span(&q.Lease, 100*time.Millisecond, time.Minute)),
-		op.Attr("replace", op.Span(&q.Replace, time.Second, time.Hour)), op.Attr("warm", op.Whole(&q.Warm, 0, 1000))}
+	return []op.Field{op.Attr("voters", op.Int(&q.Voters, 1, 7)), op.Attr("beat", op.Duration(&q.Beat, 10*time.Millisecond, time.Second)),
+		op.Attr("election", op.Duration(&q.Election, 50*time.Millisecond, time.Minute)), op.Attr("lease", op.Duration(&q.Lease, 100*time.Millisecond, time.Minute)),
+		op.Attr("replace", op.Duration(&q.Replace, time.Second, time.Hour)), op.Attr("warm", op.Int(&q.Warm, 0, 1000))}
 }
 
 func (p *Purges) fields() []op.Field {
 	*p = Purges{On: true, Delay: 5000, Skew: 100, Batch: 200}
-	return []op.Field{op.Attr("delay", op.Span(&p.Delay, 500*time.Millisecond, time.Hour)), op.Attr("skew", op.Span(&p.Skew, 0, time.Minute)),
-		op.Attr("rate", op.Number(&p.Rate, 0, 1e6)), op.Attr("batch", op.Whole(&p.Batch, 1, 8192)), op.Attr("fills", op.Number(&p.Fills, 0, 1e9))}
+	return []op.Field{op.Attr("delay", op.Duration(&p.Delay, 500*time.Millisecond, time.Hour)), op.Attr("skew", op.Duration(&p.Skew, 0, time.Minute)),
+		op.Attr("rate", op.Number(&p.Rate, 0, 1e6)), op.Attr("batch", op.Int(&p.Batch, 1, 8192)), op.Attr("fills", op.Number(&p.Fills, 0, 1e9))}
 }
 
 func (j *Job) fields() []op.Field {
-	return []op.Field{op.Must("at", op.Span(&j.At, 0, 24*time.Hour)), op.Attr("type", op.OneOf(&j.Type, "safe", "keyed", "unsafe")),
-		op.Attr("steps", op.Whole(&j.Steps, 1, 100_000)), op.Attr("window", op.Whole(&j.Window, 1, 256)), op.Attr("places", op.Whole(&j.Places, 0, 1024))}
+	return []op.Field{op.RequiredAttr("at", op.Duration(&j.At, 0, 24*time.Hour)), op.Attr("type", op.OneOf(&j.Type, "safe", "keyed", "unsafe")),
+		op.Attr("steps", op.Int(&j.Steps, 1, 100_000)), op.Attr("window", op.Int(&j.Window, 1, 256)), op.Attr("places", op.Int(&j.Places, 0, 1024))}
 }
 
 func (p *Phase) fields() []op.Field {
 	e := &p.Expect
-	return []op.Field{op.Must("for", op.Span(&p.For, 100*time.Millisecond, 24*time.Hour)), op.Must("rate", op.Number(&p.Rate, 0, 1e6)),
-		op.One("expect", func() []op.Field {
+	return []op.Field{op.RequiredAttr("for", op.Duration(&p.For, 100*time.Millisecond, 24*time.Hour)), op.RequiredAttr("rate", op.Number(&p.Rate, 0, 1e6)),
+		op.SingleBlock("expect", func() []op.Field {
 			return []op.Field{op.Attr("in_time", op.Share(&e.InTime)), op.Attr("throttled", op.Share(&e.Throttled)),
 				op.Attr("core_rate", op.Number(&e.CoreRate, 0, 1e9)), op.Attr("hits", op.Share(&e.Hits)),
-				op.Attr("hits_within", op.Span(&e.HitsWithin, 0, maxSpan)), op.Attr("renewals", op.Share(&e.Renewals)),
+				op.Attr("hits_within", op.Duration(&e.HitsWithin, 0, maxSpan)), op.Attr("renewals", op.Share(&e.Renewals)),
 				op.Attr("abandoned", op.Share(&e.Abandons))}
 		})}
 }
 
 func (e *Event) fields() []op.Field {
-	return []op.Field{op.Must("at", op.Span(&e.At, 0, 24*time.Hour)), op.Attr("for", op.Span(&e.For, time.Millisecond, 24*time.Hour)),
-		op.Attr("every", op.Span(&e.Every, time.Millisecond, 24*time.Hour)), op.Attr("times", op.Whole(&e.Times, 1, 10_000)),
-		op.Attr("on", op.OneOf(&e.On, eventTargets[e.Do]...)), op.Attr("name", op.Text(&e.Name)), op.Attr("share", op.Share(&e.Share)),
-		op.Attr("count", op.Whole(&e.Count, 1, 10_000)), op.Attr("factor", op.Number(&e.Factor, 0.001, 1e4)),
-		op.Attr("over", op.Span(&e.Over, 0, 24*time.Hour)), op.Attr("same_address", op.Flag(&e.SameAddress)),
-		op.Attr("delay", op.Span(&e.Delay, 0, maxSpan)), op.Attr("groups", op.Whole(&e.Groups, 1, 256)), op.Attr("by", op.OneOf(&e.By, "channel", "gateways")), op.Attr("club", op.Text(&e.Club)),
-		op.Attr("kiosks", op.Whole(&e.Kiosks, 1, 10_000)), op.Attr("member", op.Text(&e.Member)),
-		op.Attr("one_way", op.Flag(&e.OneWay)), op.Attr("disk", op.OneOf(&e.Disk, "kept", "lost", "old")),
+	return []op.Field{op.RequiredAttr("at", op.Duration(&e.At, 0, 24*time.Hour)), op.Attr("for", op.Duration(&e.For, time.Millisecond, 24*time.Hour)),
+		op.Attr("every", op.Duration(&e.Every, time.Millisecond, 24*time.Hour)), op.Attr("times", op.Int(&e.Times, 1, 10_000)),
+		op.Attr("on", op.OneOf(&e.On, eventTargets[e.Do]...)), op.Attr("name", op.String(&e.Name)), op.Attr("share", op.Share(&e.Share)),
+		op.Attr("count", op.Int(&e.Count, 1, 10_000)), op.Attr("factor", op.Number(&e.Factor, 0.001, 1e4)),
+		op.Attr("over", op.Duration(&e.Over, 0, 24*time.Hour)), op.Attr("same_address", op.Bool(&e.SameAddress)),
+		op.Attr("delay", op.Duration(&e.Delay, 0, maxSpan)), op.Attr("groups", op.Int(&e.Groups, 1, 256)), op.Attr("by", op.OneOf(&e.By, "channel", "gateways")), op.Attr("club", op.String(&e.Club)),
+		op.Attr("kiosks", op.Int(&e.Kiosks, 1, 10_000)), op.Attr("member", op.String(&e.Member)),
+		op.Attr("one_way", op.Bool(&e.OneWay)), op.Attr("disk", op.OneOf(&e.Disk, "kept", "lost", "old")),
 		op.Check(e.validate)}
 }
 
--- a/internal/rehearsal/script/script.go
+++ b/internal/rehearsal/script/script.go
@@ -216,16 +216,16 @@
 // Load reads a script and names it after its file. A script may name a site, a file next to it that holds the deployment, types
 // and clients of several scripts; the script's own settings override those of the site.
 func Load(path string) (*Script, error) {
-	text, err := operator.Read(path)
+	text, err := operator.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
 	s := defaults()
-	site, err := operator.Peek(text, path, "site")
+	site, err := operator.PeekString(text, path, "site")
 	if err == nil && site != "" {
 		site = filepath.Join(filepath.Dir(path), site)
 		var common []byte
-		if common, err = operator.Read(site); err == nil {
+		if common, err = operator.ReadFile(site); err == nil {
 			err = operator.Parse(common, site, s.siteFields()...)
 		}
 	}
@@ -253,7 +253,7 @@
 // siteFields are the blocks that a site may contain.
 func (s *Script) siteFields() []operator.Field {
 	var seen []string
-	return []operator.Field{operator.One("deployment", s.deployment), operator.One("clients", s.Clients.fields),
+	return []operator.Field{operator.SingleBlock("deployment", s.deployment), operator.SingleBlock("clients", s.Clients.fields),
 		operator.Block("type", []string{"name"}, func(labels []string, _ int) ([]operator.Field, error) {
 			if slices.Contains(seen, labels[0]) {
 				return nil, errors.New("stands twice")
@@ -273,10 +273,10 @@
 
 func (s *Script) parse(text []byte, file string) error {
 	site := ""
-	err := operator.Parse(text, file, append(s.siteFields(), operator.Attr("site", operator.Text(&site)),
-		operator.Must("about", operator.Text(&s.About)), operator.Attr("seed", operator.Whole(&s.Seed, 0, 1<<30)),
-		operator.One("links", s.Links.fields), operator.One("fair", s.Fair.fields), operator.One("quorum", s.Quorum.fields),
-		operator.One("purges", s.Purges.fields),
+	err := operator.Parse(text, file, append(s.siteFields(), operator.Attr("site", operator.String(&site)),
+		operator.RequiredAttr("about", operator.String(&s.About)), operator.Attr("seed", operator.Int(&s.Seed, 0, 1<<30)),
+		operator.SingleBlock("links", s.Links.fields), operator.SingleBlock("fair", s.Fair.fields), operator.SingleBlock("quorum", s.Quorum.fields),
+		operator.SingleBlock("purges", s.Purges.fields),
 		operator.Block("phase", []string{"name"}, func(labels []string, _ int) ([]operator.Field, error) {
 			p := Phase{Name: labels[0]}
 			if n := len(s.Phases); n > 0 {
