--- a/internal/rehearsal/auditor/auditor.go
+++ b/internal/rehearsal/auditor/auditor.go
@@ -62,9 +62,9 @@
 	writeChains  map[string]string          // by id of a write's link: the download by which it took effect
 	unavailable  map[int]map[string]float64 // by gateway and box: when the gateway learned that the box drains or is gone
 	purged       map[int]*purgeNotices
-	agreedPurges []world.Purging   // purges that the gateways agreed on
-	highestToken map[string]uint64 // by gateway and job
-	stepRuns     map[string]int    // by job and step, for steps that must not run twice
+	agreedPurges []world.PurgeAgreed // purges that the gateways agreed on
+	highestToken map[string]uint64   // by gateway and job
+	stepRuns     map[string]int      // by job and step, for steps that must not run twice
 }
 
 type purgeNotices struct {
@@ -76,7 +76,7 @@
 
 // download is the auditor's record of one request.
 type download struct {
-	world.Asked
+	world.RequestSent
 	answers   int
 	endedAt   float64 // when it ended for its client; negative: it has not
 	endReason string
@@ -112,8 +112,8 @@
 // See processes a fact.
 func (a *Auditor) See(f world.Fact) {
 	switch f := f.(type) {
-	case world.Asked:
-		a.downloads[f.ID] = &download{Asked: f, endedAt: -1}
+	case world.RequestSent:
+		a.downloads[f.ID] = &download{RequestSent: f, endedAt: -1}
 	case world.Answered:
 		a.answered(f)
 	case world.Ended:
@@ -126,15 +126,15 @@
 		if d := a.downloads[f.ID]; d != nil {
 			a.record(Links, f.At, d.Gateway, f.ID, f.Box, "came to a box without a link that is good there")
 		}
-	case world.Ran:
+	case world.WriteRan:
 		a.ran(f)
-	case world.Purging:
+	case world.PurgeAgreed:
 		a.agreedPurges = append(a.agreedPurges, f)
-	case world.Told:
+	case world.Notified:
 		a.notified(f)
-	case world.Pushed:
+	case world.ColdOverload:
 		a.record(Cold, f.At, -1, "", f.Box, "sent %.0f ms of work while it bears %.0f", f.Sent, f.Allowed)
-	case world.Effected:
+	case world.StepLogged:
 		a.effected(f)
 	case world.Restarted:
 		// A new process has no earlier state and receives all current notices again.
@@ -148,18 +148,18 @@
 }
 
 // effected checks one line of a gateway's log of job steps. Any step may arrive late and is then refused; a safe one may run again.
-func (a *Auditor) effected(f world.Effected) {
+func (a *Auditor) effected(f world.StepLogged) {
 	place, step := fmt.Sprint(f.Gateway, " ", f.Job), fmt.Sprint(f.Job, " ", f.Step)
 	switch {
-	case f.Newer > 0:
-		if f.Token >= f.Newer {
-			a.record(Work, f.At, f.Gateway, step, "", "refused under token %d for being older than %d", f.Token, f.Newer)
+	case f.NewerToken > 0:
+		if f.Token >= f.NewerToken {
+			a.record(Work, f.At, f.Gateway, step, "", "refused under token %d for being older than %d", f.Token, f.NewerToken)
 		}
 		return
 	case f.Token < a.highestToken[place]:
 		a.record(Work, f.At, f.Gateway, step, "", "happened under token %d of %s after token %d was seen there", f.Token, f.From, a.highestToken[place])
 	}
-	if a.highestToken[place] = max(a.highestToken[place], f.Token); f.Told || f.Again || f.Type == "safe" {
+	if a.highestToken[place] = max(a.highestToken[place], f.Token); f.TokenNotice || f.Repeated || f.Type == "safe" {
 		return
 	}
 	if a.stepRuns[step]++; a.stepRuns[step] > 1 {
@@ -205,7 +205,7 @@
 	if d.Forged && f.Status == 200 {
 		a.record(Links, f.At, f.Gateway, f.ID, "", "answered though its link is forged")
 	}
-	if f.Status == 200 && !f.Still {
+	if f.Status == 200 && !f.NotModified {
 		a.checkContent(d, f)
 	}
 }
@@ -234,8 +234,8 @@
 	}
 	a.checkAge(d.Gateway, d.Object, d.Group, d.ID, "", lastSent, createdAt, f.At)
 	for _, p := range a.agreedPurges {
-		if f.At > p.By+a.slack && createdAt < p.When-1 && (p.Object == d.Object || p.Object == "" && p.Group == d.Group) && (p.Club == "" || p.Club == d.Club) {
-			a.record(Purges, f.At, d.Gateway, d.ID, "", "answered by a copy %.0f ms older than a purge that the gateways agreed on, %.0f ms past its time", p.When-createdAt, f.At-p.By)
+		if f.At > p.Deadline+a.slack && createdAt < p.When-1 && (p.Object == d.Object || p.Object == "" && p.Group == d.Group) && (p.Club == "" || p.Club == d.Club) {
+			a.record(Purges, f.At, d.Gateway, d.ID, "", "answered by a copy %.0f ms older than a purge that the gateways agreed on, %.0f ms past its time", p.When-createdAt, f.At-p.Deadline)
 			return
 		}
 	}
@@ -312,30 +312,30 @@
 			p.answered = true
 			p.knownNotRun = f.Word == "LACK" || f.Word == "WAIT" || f.Word == "PAST"
 			if f.Copy {
-				a.checkAge(d.Gateway, d.Object, d.Group, d.ID, f.Box, p.At, f.Born, f.At)
+				a.checkAge(d.Gateway, d.Object, d.Group, d.ID, f.Box, p.At, f.CreatedAt, f.At)
 			}
 			return
 		}
 	}
 }
 
-func (a *Auditor) ran(f world.Ran) {
+func (a *Auditor) ran(f world.WriteRan) {
 	d := a.downloads[f.ID]
 	if d == nil {
 		return
 	}
-	if d.Chain != "" {
-		if first := a.writeChains[d.Chain]; first != "" && first != f.ID {
+	if d.LinkID != "" {
+		if first := a.writeChains[d.LinkID]; first != "" && first != f.ID {
 			a.record(Links, f.At, d.Gateway, f.ID, "", "its link took effect before, by %s", first)
 		}
-		a.writeChains[d.Chain] = f.ID
+		a.writeChains[d.LinkID] = f.ID
 	}
 	if d.runs++; d.runs > 1 && d.Repeat == "non-retriable" {
 		a.record(NoRepeat, f.At, d.Gateway, f.ID, "", "took effect %d times", d.runs)
 	}
 }
 
-func (a *Auditor) notified(f world.Told) {
+func (a *Auditor) notified(f world.Notified) {
 	if f.Box != "" {
 		if a.unavailable[f.Gateway] == nil {
 			a.unavailable[f.Gateway] = map[string]float64{}
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -116,7 +116,7 @@
 // See processes a fact.
 func (c *Counter) See(f world.Fact) {
 	switch f := f.(type) {
-	case world.Asked:
+	case world.RequestSent:
 		c.requestedAt[f.ID] = f.At
 		c.figures.Phases[c.phase(f.At)].Tries++
 	case world.Answered:
@@ -144,30 +144,30 @@
 			c.figures.Phases[i].Hits++
 		}
 		c.hits[i][second] = h
-	case world.Made:
+	case world.ObjectProduced:
 		i := c.phase(f.At)
 		c.figures.Phases[i].Core++
 		c.coreRequests[i][int(f.At/1000)]++
-	case world.Moved:
+	case world.BytesSent:
 		c.figures.Links[f.Link] += f.Bytes / 1e6
 		c.figures.Phases[c.phase(f.At)].Megabytes += f.Bytes / 1e6
-	case world.Effected:
+	case world.StepLogged:
 		if c.figures.Work == nil {
 			c.figures.Work = map[string]int{}
 		}
 		switch {
-		case f.Newer > 0:
+		case f.NewerToken > 0:
 			c.figures.Work["refused as late"]++
-		case f.Told:
+		case f.TokenNotice:
 			c.figures.Work["told of a grant"]++
-		case f.Again:
+		case f.Repeated:
 			c.figures.Work["had happened before"]++
 		default:
 			c.figures.Work["happened"]++
 		}
-	case world.Fell:
+	case world.Overloaded:
 		c.figures.Fell = append(c.figures.Fell, fmt.Sprintf("%.0f ms: %s", f.At, f.Box))
-	case world.Wanted:
+	case world.OperationEnded:
 		i := c.phase(f.Asked)
 		c.figures.Phases[i].count(f.Verdict)
 		c.figures.Types[f.Type].count(f.Verdict)
--- a/internal/rehearsal/sockets/channel.go
+++ b/internal/rehearsal/sockets/channel.go
@@ -77,7 +77,7 @@
 		for nc := range c.conns {
 			nc.Close()
 		}
-		state = world.Whole
+		state = world.Normal
 	}
 	c.state, c.since = state, time.Now()
 	c.notify()
@@ -117,7 +117,7 @@
 	for c.stage.ctx.Err() == nil {
 		c.mu.Lock()
 		var pending []byte
-		muted := c.state == world.Muted && connectedAt.Before(c.since)
+		muted := c.state == world.Silent && connectedAt.Before(c.since)
 		for ; !muted && next < len(c.events); next++ {
 			for range 1 + int(c.state/world.Repeating) {
 				pending = fmt.Appendf(pending, "id: %d\ndata: %s\n\n", next+1, c.events[next])
@@ -126,7 +126,7 @@
 		updated, sent := c.updated, next
 		c.mu.Unlock()
 		if len(pending) > 0 {
-			c.stage.postEvent(c.stage.now(), world.Heard{Gateway: c.gateway, Cursor: sent})
+			c.stage.postEvent(c.stage.now(), world.Delivered{Gateway: c.gateway, Cursor: sent})
 		} else if !muted {
 			pending = []byte(": still here\n")
 		}
--- a/internal/rehearsal/sockets/control.go
+++ b/internal/rehearsal/sockets/control.go
@@ -70,8 +70,8 @@
 	at := s.now()
 	for i, all := range s.EffectRecords(2 * time.Second) {
 		for _, e := range all {
-			s.Facts(world.Effected{At: at, Gateway: i, Step: e.Effect.Step, Job: e.Effect.Job, From: e.Effect.From, Type: e.Effect.Type.String(),
-				Token: e.Effect.Token, Newer: e.NewerToken, Again: e.Repeated, Told: e.FromLog})
+			s.Facts(world.StepLogged{At: at, Gateway: i, Step: e.Effect.Step, Job: e.Effect.Job, From: e.Effect.From, Type: e.Effect.Type.String(),
+				Token: e.Effect.Token, NewerToken: e.NewerToken, Repeated: e.Repeated, TokenNotice: e.FromLog})
 		}
 	}
 }
@@ -102,7 +102,7 @@
 
 // startPurge submits a purge to one gateway after another until one confirms that it was accepted, and reports as facts what
 // has to hold from then on.
-func (s *Stage) startPurge(a world.Withdraw) {
+func (s *Stage) startPurge(a world.SubmitPurge) {
 	p, accepted := purges.Purge{ID: a.ID, Objects: a.Objects, Groups: a.Groups}, sweep.PurgeReport{}
 	for i := 0; s.ctx.Err() == nil && accepted.Purge.ID == ""; i++ {
 		gateway := i % len(s.gateways)
@@ -124,7 +124,7 @@
 	}
 	epoch := float64(s.start.UnixMicro()) / 1000
 	s.Do(func(*world.World) {
-		f := world.Purging{Group: -1, When: accepted.Accepted - epoch, By: accepted.Effective - epoch}
+		f := world.PurgeAgreed{Group: -1, When: accepted.Accepted - epoch, Deadline: accepted.Effective - epoch}
 		for _, f.Object = range p.Objects {
 			s.Facts(f)
 		}
--- a/internal/rehearsal/sockets/endpoint.go
+++ b/internal/rehearsal/sockets/endpoint.go
@@ -123,7 +123,7 @@
 	at := c.stage.now()
 	c.stage.post(func() {
 		delete(c.stage.conns, c.id)
-		c.stage.apply(c.stage.world.Handle(at, world.Hung{Conn: c.id}))
+		c.stage.apply(c.stage.world.Handle(at, world.ConnClosed{Conn: c.id}))
 	})
 }
 
--- a/internal/rehearsal/sockets/maintenance_faults_test.go
+++ b/internal/rehearsal/sockets/maintenance_faults_test.go
@@ -50,7 +50,7 @@
 			return len(mc.outCount)
 		}
 		lose := func(on, name string, ms float64) {
-			mc.stage.Do(func(w *world.World) { w.Happen(script.Event{Do: "kill", On: on, Name: name, For: ms}) })
+			mc.stage.Do(func(w *world.World) { w.ApplyEvent(script.Event{Do: "kill", On: on, Name: name, For: ms}) })
 		}
 		mc.waitFor("two machines have gone out", func() bool { return departed() >= 2 })
 		lose("hub", mc.hubs[2], 2500)
--- a/internal/rehearsal/sockets/maintenance_test.go
+++ b/internal/rehearsal/sockets/maintenance_test.go
@@ -65,7 +65,7 @@
 		}
 	}, func(c *cluster) {
 		mc.cluster = c
-		_, events := c.stage.world.Known()
+		_, events := c.stage.world.ChannelEvents()
 		for _, e := range events {
 			if nodes, ok := e["nodes"].(map[string]any); ok {
 				for _, p := range nodes["endpoints"].([]any) {
@@ -245,11 +245,11 @@
 	node := strings.TrimPrefix(name, "m-")
 	mc.stage.Do(func(w *world.World) {
 		if slices.Contains(mc.boxes, node) {
-			w.Happen(script.Event{Do: "kill", On: "edge", Name: node, For: windowMillis})
+			w.ApplyEvent(script.Event{Do: "kill", On: "edge", Name: node, For: windowMillis})
 		} else if slices.Contains(mc.hubs, node) {
-			w.Happen(script.Event{Do: "kill", On: "hub", Name: node, For: windowMillis})
+			w.ApplyEvent(script.Event{Do: "kill", On: "hub", Name: node, For: windowMillis})
 		} else {
-			w.Happen(script.Event{Do: "restart", On: "gateway", Name: node, For: windowMillis})
+			w.ApplyEvent(script.Event{Do: "restart", On: "gateway", Name: node, For: windowMillis})
 		}
 	})
 }
@@ -342,7 +342,7 @@
 		mc.lost = 1
 		mc.mu.Unlock()
 		mc.stage.Do(func(w *world.World) {
-			w.Happen(script.Event{Do: "kill", On: "edge", Name: mc.boxes[5], For: 2500})
+			w.ApplyEvent(script.Event{Do: "kill", On: "edge", Name: mc.boxes[5], For: 2500})
 		})
 		mc.waitFor("the log shows the loss", func() bool {
 			return slices.ContainsFunc(mc.fleet().Machines, func(m machines.Machine) bool { return m.Degraded && m.Work == nil })
--- a/internal/rehearsal/sockets/process.go
+++ b/internal/rehearsal/sockets/process.go
@@ -206,7 +206,7 @@
 			delete(p.aborts, r.ID)
 			var e world.Event = toAnswer(p.number, r.ID, reply)
 			if err != nil && reply.Status == 0 {
-				e = world.Unanswered{ID: r.ID}
+				e = world.RequestFailed{ID: r.ID}
 			}
 			s.apply(s.world.Handle(at, e))
 		})
@@ -252,7 +252,7 @@
 	if err != nil {
 		refused := errors.Is(err, syscall.ECONNREFUSED)
 		at := s.now()
-		s.apply(s.world.Handle(at, world.Unanswered{ID: r.ID, Refused: refused}))
+		s.apply(s.world.Handle(at, world.RequestFailed{ID: r.ID, Refused: refused}))
 	}
 }
 
--- a/internal/rehearsal/sockets/purges_test.go
+++ b/internal/rehearsal/sockets/purges_test.go
@@ -63,10 +63,10 @@
 	pc.mu.Lock()
 	defer pc.mu.Unlock()
 	switch f := f.(type) {
-	case world.Asked:
+	case world.RequestSent:
 		pc.objects[f.ID], pc.groups[f.Object], pc.gateways[f.ID] = f.Object, f.Group, f.Gateway
 	case world.Answered:
-		if words := strings.Fields(f.Copy); f.Status == 200 && !f.Still && len(words) > 3 {
+		if words := strings.Fields(f.Copy); f.Status == 200 && !f.NotModified && len(words) > 3 {
 			copiedAt, _ := strconv.ParseFloat(words[3], 64)
 			pc.responses = append(pc.responses, response{f.At, copiedAt, pc.objects[f.ID], pc.gateways[f.ID]})
 		}
@@ -114,7 +114,7 @@
 	})
 	x := pc.purgeStatus(p.ID, at)
 	pc.stage.Do(func(*world.World) {
-		f := world.Purging{Group: -1, Club: p.Club, When: x.Accepted - pc.epoch(), By: x.Effective - pc.epoch()}
+		f := world.PurgeAgreed{Group: -1, Club: p.Club, When: x.Accepted - pc.epoch(), Deadline: x.Effective - pc.epoch()}
 		for _, f.Object = range p.Objects {
 			pc.audit.See(f)
 		}
--- a/internal/rehearsal/sockets/quorum_test.go
+++ b/internal/rehearsal/sockets/quorum_test.go
@@ -150,7 +150,7 @@
 // inject injects a fault on a gateway.
 func (c *cluster) inject(e script.Event) {
 	e.On = "gateway"
-	c.stage.Do(func(w *world.World) { w.Happen(e) })
+	c.stage.Do(func(w *world.World) { w.ApplyEvent(e) })
 }
 
 // leader returns the index of the gateway that leads in the newest term; -1 if there is none.
--- a/internal/rehearsal/sockets/sockets_test.go
+++ b/internal/rehearsal/sockets/sockets_test.go
@@ -140,7 +140,7 @@
 	audit, verdicts := auditor.New(s, Slack), map[world.Verdict]int{}
 	stage, err := New(s, Options{Binary: binary, Logs: t.TempDir(), Facts: func(f world.Fact) {
 		audit.See(f)
-		if f, ok := f.(world.Wanted); ok {
+		if f, ok := f.(world.OperationEnded); ok {
 			verdicts[f.Verdict]++
 		}
 	}})
--- a/internal/rehearsal/sockets/stage.go
+++ b/internal/rehearsal/sockets/stage.go
@@ -80,7 +80,7 @@
 		st.Addresses = func(string) string { return "127.0.0.1:0" }
 	}
 	st.ctx, st.stop = context.WithCancelCause(context.Background())
-	st.world = world.New(s, world.Options{Epoch: float64(st.start.UnixMicro()) / 1000, Thin: 16, Facts: o.Facts, Strangers: o.Binary == ""})
+	st.world = world.New(s, world.Options{Epoch: float64(st.start.UnixMicro()) / 1000, BodyDivisor: 16, OnFact: o.Facts, AcceptUnknown: o.Binary == ""})
 	st.relays = newRelays(st)
 	if s.Quorum.On {
 		err = st.relays.open(s.Gateways)
@@ -133,9 +133,9 @@
 func (s *Stage) Do(do func(w *world.World)) {
 	done := make(chan bool)
 	s.post(func() {
-		s.apply(s.world.Ring(s.now()))
+		s.apply(s.world.RunUntil(s.now()))
 		do(s.world)
-		s.apply(s.world.Ring(s.now()))
+		s.apply(s.world.RunUntil(s.now()))
 		close(done)
 	})
 	select {
@@ -183,13 +183,13 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	lastProgress := -math.MaxFloat64
-	s.apply(s.world.Ring(s.now())) // the initial actions: endpoints, gateways
+	s.apply(s.world.RunUntil(s.now())) // the initial actions: endpoints, gateways
 	for s.ctx.Err() == nil {
 		now := s.now()
 		due, ok := s.world.Next()
 		if ok && due <= now {
 			s.lateness.RecordValue(min(60_000_000, max(1, int64(1000*(now-due)))))
-			s.apply(s.world.Ring(now))
+			s.apply(s.world.RunUntil(now))
 			if due, ok = s.world.Next(); ok && due <= now {
 				continue
 			}
@@ -198,10 +198,10 @@
 			lastProgress = now
 			s.Progress(now, s.script.Length())
 		}
-		if s.world.Over() {
+		if s.world.Done() {
 			s.reportEffects()
 		}
-		if s.world.Over() || now > s.script.Length()+2*s.script.Longest()+10_000 {
+		if s.world.Done() || now > s.script.Length()+2*s.script.Longest()+10_000 {
 			s.stop(errFinished)
 			break
 		}
@@ -235,9 +235,9 @@
 		switch a := a.(type) {
 		case world.Listen:
 			s.listen(a.Address)
-		case world.Shut:
+		case world.Close:
 			if e := s.endpoints[a.Address]; e != nil {
-				e.close(a.Mute)
+				e.close(a.Drop)
 			}
 		case world.Refuse:
 			s.resetConn(a.Conn)
@@ -253,9 +253,9 @@
 			}
 		case world.Channel:
 			for _, p := range s.gateways {
-				p.channel.setState(a.How)
+				p.channel.setState(a.State)
 			}
-		case world.Ask:
+		case world.SendRequest:
 			s.gateways[a.Gateway].send(a.Request)
 		case world.Abort:
 			s.gateways[a.Gateway].abort(a.ID)
@@ -268,33 +268,33 @@
 			if err := s.gateways[a.Gateway].applyDiskFault(a.Disk); err != nil {
 				s.stop(err)
 			}
-		case world.Copy:
+		case world.CopyDisk:
 			if err := s.gateways[a.Gateway].copyStore(); err != nil {
 				s.stop(err)
 			}
-		case world.Fill:
+		case world.FillDisk:
 			if err := s.gateways[a.Gateway].fillDisk(a.Undo); err != nil {
 				s.stop(err)
 			}
-		case world.Work:
+		case world.SubmitJob:
 			s.spawn(func() { s.startJob(a.Job) })
-		case world.Withdraw:
+		case world.SubmitPurge:
 			s.spawn(func() { s.startPurge(a) })
 		case world.Freeze:
 			s.gateways[a.Gateway].freeze(!a.Thaw)
-		case world.Slow:
-			s.relays.setDelay(a.Some, len(s.gateways), time.Duration(a.By*float64(time.Millisecond)))
-		case world.Sever:
-			s.relays.reset(a.Some)
-		case world.Part:
-			s.relays.partition(a.Apart, len(s.gateways), a.OneWay, !a.Heal)
+		case world.DelayTraffic:
+			s.relays.setDelay(a.Gateways, len(s.gateways), time.Duration(a.Delay*float64(time.Millisecond)))
+		case world.ResetConns:
+			s.relays.reset(a.Gateways)
+		case world.Partition:
+			s.relays.partition(a.Gateways, len(s.gateways), a.OneWay, !a.Heal)
 		case world.Keys:
 			if err := s.writeKeys(a.Keys); err != nil {
 				s.stop(err)
 			}
-		case world.Term:
+		case world.Terminate:
 			s.gateways[a.Gateway].signal(syscall.SIGTERM)
-		case world.Hup:
+		case world.Reload:
 			if err := s.gateways[a.Gateway].reload(); err != nil {
 				s.stop(err)
 			}
@@ -324,7 +324,7 @@
 
 // knownEvents returns the events that a starting gateway is configured with, and the channel's cursor after them.
 func (s *Stage) knownEvents() (int, []map[string]any) {
-	cursor, events := s.world.Known()
+	cursor, events := s.world.ChannelEvents()
 	for i := range events {
 		events[i] = s.withRealAddresses(events[i])
 	}
@@ -415,7 +415,7 @@
 		if p.channel, err = newChannel(s, gateway); err == nil {
 			p.channel.events = old.events
 			old.listener.Close()
-			old.setState(world.Muted)
+			old.setState(world.Silent)
 		}
 	})
 	return err
@@ -440,7 +440,7 @@
 
 // toAnswer converts a response that a client got into an event of the world.
 func toAnswer(gateway int, id string, r clients.Response) world.Answer {
-	a := world.Answer{Gateway: gateway, ID: id, Status: r.Status, Still: r.Fields["X-Still"] == "1"}
+	a := world.Answer{Gateway: gateway, ID: id, Status: r.Status, NotModified: r.Fields["X-Still"] == "1"}
 	fmt.Sscan(r.Fields["X-Wait-Ms"], &a.Wait)
 	a.Ticket = r.Fields["X-Ticket"]
 	if _, token, ok := strings.Cut(r.Fields["Set-Cookie"], "="); ok {
--- a/internal/rehearsal/virtual/consensus_loss_test.go
+++ b/internal/rehearsal/virtual/consensus_loss_test.go
@@ -54,7 +54,7 @@
 				audit.See(f)
 				count.See(f)
 				if f, is := f.(world.Answered); is && delay > 0 && f.At > blindFrom+delay && f.At < blindFrom+blindFor {
-					if fields := strings.Fields(f.Copy); f.Status == 200 && !f.Still && len(fields) > 3 {
+					if fields := strings.Fields(f.Copy); f.Status == 200 && !f.NotModified && len(fields) > 3 {
 						if createdAt, err := strconv.ParseFloat(fields[3], 64); err == nil {
 							if checked++; createdAt < f.At-delay {
 								outdated++
--- a/internal/rehearsal/virtual/virtual.go
+++ b/internal/rehearsal/virtual/virtual.go
@@ -74,7 +74,7 @@
 	Options
 	script       *script.Script
 	world        *world.World
-	agenda       world.Agenda
+	agenda       world.EventQueue
 	now          float64
 	gateways     []*gatewayProcess
 	wires        map[int64]*wire
@@ -119,7 +119,7 @@
 		return Stats{}, errors.New("consensus groups, jobs, gateway freezes, network and disk faults can be rehearsed on sockets only")
 	}
 	d := &driver{Options: o, script: s, wires: map[int64]*wire{}, buffers: buffer.NewPool(1 << 34)}
-	d.world = world.New(s, world.Options{Epoch: epoch, Facts: o.Facts})
+	d.world = world.New(s, world.Options{Epoch: epoch, OnFact: o.Facts})
 	for i := range s.Gateways {
 		d.gateways = append(d.gateways, &gatewayProcess{d: d, number: i})
 	}
@@ -127,13 +127,13 @@
 		d.consensus = newReplicatedLog(d)
 	}
 	end := s.Length() + 2*s.Longest() + 10_000
-	for !d.world.Over() && d.now < end {
+	for !d.world.Done() && d.now < end {
 		at, ok := d.agenda.Next()
 		worldDue, worldOK := d.world.Next()
 		switch {
 		case worldOK && (!ok || worldDue < at):
 			d.now = worldDue
-			if err := d.execute(d.world.Ring(worldDue)); err != nil {
+			if err := d.execute(d.world.RunUntil(worldDue)); err != nil {
 				return d.stats, err
 			}
 		case ok:
@@ -182,8 +182,8 @@
 				return err
 			}
 		case world.Channel:
-			d.channelState = a.How
-		case world.Ask:
+			d.channelState = a.State
+		case world.SendRequest:
 			d.gateways[a.Gateway].sendRequest(a.Request)
 		case world.Abort:
 			if g := d.gateways[a.Gateway]; g.core != nil && g.callers[a.ID] != nil {
@@ -202,7 +202,7 @@
 			for _, g := range d.gateways {
 				d.updateKeys(g, a)
 			}
-		case world.Term:
+		case world.Terminate:
 			if g := d.gateways[a.Gateway]; g.core != nil {
 				g.core.StartShutdown()
 				g.terminatedAt = d.now
@@ -227,7 +227,7 @@
 	}
 	d.published = append(d.published, news)
 	takes := channelDelay
-	if d.channelState == world.Muted {
+	if d.channelState == world.Silent {
 		takes = mutedChannelDelay
 	}
 	for _, g := range d.gateways {
@@ -251,12 +251,12 @@
 			g.handle(gateway.ChannelEvent{News: n, At: g.d.unix()})
 		}
 	}
-	g.d.post(world.Heard{Gateway: g.number, Cursor: cursor})
+	g.d.post(world.Delivered{Gateway: g.number, Cursor: cursor})
 }
 
 func (g *gatewayProcess) start() error {
 	d := g.d
-	text, err := d.world.Configuration(g.number, "127.0.0.1:1", "127.0.0.1:2", d.world.Known, d.Faults.Settings)
+	text, err := d.world.Configuration(g.number, "127.0.0.1:1", "127.0.0.1:2", d.world.ChannelEvents, d.Faults.Settings)
 	if err != nil {
 		return err
 	}
@@ -264,7 +264,7 @@
 	if err != nil {
 		return err
 	}
-	cursor, _ := d.world.Known()
+	cursor, _ := d.world.ChannelEvents()
 	budget := gateway.NewBudget(c)
 	g.pool = caches.NewPool(caches.Limits{PullsPerConn: c.StreamsPerConn, IdleTimeout: c.IdleTimeout, Conns: budget.Caches, RequestLoad: c.Reports,
 		HealthChecks: c.Probing, AnswerTimeout: c.ConnectTimeout, GaugeName: footprint.LoadValueName}, g.dial(c.ConnectTimeout))
@@ -322,7 +322,7 @@
 // updateKeys makes a gateway load changed link keys after the delay of its file watch.
 func (d *driver) updateKeys(g *gatewayProcess, a world.Keys) {
 	core := g.core
-	d.agenda.Add(d.now+d.world.LinkTakes(g.number), func() {
+	d.agenda.Add(d.now+d.world.KeyReloadDelay(g.number), func() {
 		if ring, err := links.NewKeySet(a.Keys, nil); err == nil && g.core == core && core != nil {
 			g.handle(gateway.KeysReloaded{Ring: ring, Block: g.block})
 		}
@@ -394,14 +394,14 @@
 	for _, id := range slices.Sorted(maps.Keys(d.wires)) {
 		if w := d.wires[id]; w.g == g {
 			w.release()
-			d.post(world.Hung{Conn: id})
+			d.post(world.ConnClosed{Conn: id})
 		}
 	}
 }
 
 func (g *gatewayProcess) sendRequest(r world.Request) {
 	if g.core == nil {
-		g.d.post(world.Unanswered{ID: r.ID, Refused: true})
+		g.d.post(world.RequestFailed{ID: r.ID, Refused: true})
 		return
 	}
 	c := &caller{g: g, id: r.ID}
@@ -421,7 +421,7 @@
 	if a.NoResponse {
 		return
 	}
-	got := world.Answer{Gateway: c.g.number, ID: c.id, Status: a.Status, Wait: a.RetryAfter, Still: a.NotModified, Copy: Head(a.Body.Parts())}
+	got := world.Answer{Gateway: c.g.number, ID: c.id, Status: a.Status, Wait: a.RetryAfter, NotModified: a.NotModified, Copy: Head(a.Body.Parts())}
 	if a.Link != nil {
 		got.Token, got.Ticket = a.Link.Token, a.Link.Ticket
 	}
@@ -472,7 +472,7 @@
 		w.connectTimer = d.agenda.Add(d.now+within, func() {
 			if !w.connected && !w.closed {
 				w.fail()
-				d.post(world.Hung{Conn: w.id})
+				d.post(world.ConnClosed{Conn: w.id})
 			}
 		})
 		return w
@@ -518,7 +518,7 @@
 		w.g.d.post(world.Command{Conn: w.id, Verb: c.Verb, ID: c.ID, Fields: c.Fields, Body: c.Body})
 	}
 	if err != nil { // a box closes a connection on which it cannot parse a command
-		w.g.d.post(world.Hung{Conn: w.id})
+		w.g.d.post(world.ConnClosed{Conn: w.id})
 		w.g.d.runNext(w.fail)
 	}
 }
@@ -542,7 +542,7 @@
 func (w *wire) Close() {
 	if !w.closed {
 		w.release()
-		w.g.d.post(world.Hung{Conn: w.id})
+		w.g.d.post(world.ConnClosed{Conn: w.id})
 		w.notifyDown(w.connected)
 	}
 }
--- a/internal/rehearsal/virtual/work_order_test.go
+++ b/internal/rehearsal/virtual/work_order_test.go
@@ -107,7 +107,7 @@
 				s.Seed = int(seed) + 3
 				s.Events = nil
 				var boxes, clubs []string
-				_, events := world.New(s, world.Options{}).Known()
+				_, events := world.New(s, world.Options{}).ChannelEvents()
 				for _, e := range events {
 					if nodes, ok := e["nodes"].(map[string]any); ok {
 						for _, p := range nodes["endpoints"].([]any) {
--- a/internal/rehearsal/world/agenda.go
+++ b/internal/rehearsal/world/agenda.go
@@ -2,8 +2,8 @@
 
 import "container/heap"
 
-// Agenda is a queue of timed callbacks, ordered by due time and then by insertion order.
-type Agenda struct {
+// EventQueue is a queue of timed callbacks, ordered by due time and then by insertion order.
+type EventQueue struct {
 	entries  entries
 	sequence uint64
 }
@@ -17,7 +17,7 @@
 }
 
 // Add schedules a callback.
-func (a *Agenda) Add(at float64, do func()) *Entry {
+func (a *EventQueue) Add(at float64, do func()) *Entry {
 	a.sequence++
 	e := &Entry{at: at, sequence: a.sequence, run: do}
 	heap.Push(&a.entries, e)
@@ -25,7 +25,7 @@
 }
 
 // Move reschedules an entry; one that is no longer queued is queued again.
-func (a *Agenda) Move(e *Entry, at float64) {
+func (a *EventQueue) Move(e *Entry, at float64) {
 	if a.sequence++; e.index < 0 {
 		e.at, e.sequence = at, a.sequence
 		heap.Push(&a.entries, e)
@@ -38,14 +38,14 @@
 }
 
 // Remove cancels an entry; it does nothing if the entry is nil or no longer queued.
-func (a *Agenda) Remove(e *Entry) {
+func (a *EventQueue) Remove(e *Entry) {
 	if e != nil && e.index >= 0 {
 		heap.Remove(&a.entries, e.index)
 	}
 }
 
 // Next returns the time of the earliest entry, and false if the queue is empty.
-func (a *Agenda) Next() (float64, bool) {
+func (a *EventQueue) Next() (float64, bool) {
 	if len(a.entries) == 0 {
 		return 0, false
 	}
@@ -53,7 +53,7 @@
 }
 
 // Step runs the earliest entry.
-func (a *Agenda) Step() {
+func (a *EventQueue) Step() {
 	heap.Pop(&a.entries).(*Entry).run()
 }
 
--- a/internal/rehearsal/world/box.go
+++ b/internal/rehearsal/world/box.go
@@ -160,7 +160,7 @@
 		return
 	}
 	b.up = false
-	b.w.emit(Shut{Address: b.addr})
+	b.w.emit(Close{Address: b.addr})
 	for _, c := range slices.Sorted(maps.Keys(b.conns)) {
 		b.w.emit(Reset{Conn: c})
 		b.w.closeConn(c)
@@ -188,9 +188,9 @@
 		return
 	}
 	if informedSum := b.informedWork.Sum(w.now); b.role != core && b.warmFraction() < 1 && informedSum > limit {
-		w.report(Pushed{At: w.now, Box: b.id, Sent: informedSum, Allowed: limit})
+		w.report(ColdOverload{At: w.now, Box: b.id, Sent: informedSum, Allowed: limit})
 	}
-	w.report(Fell{At: w.now, Box: b.id})
+	w.report(Overloaded{At: w.now, Box: b.id})
 	b.sentWork.Clear()
 	b.informedWork.Clear()
 	b.stop()
@@ -397,7 +397,7 @@
 // produce is the core's side of a fill: it makes the object in its present version.
 func (b *box) produce(r *request, done func(*objectCopy)) {
 	w := b.w
-	w.report(Made{At: w.now})
+	w.report(ObjectProduced{At: w.now})
 	b.countWork(r.expectedWork(), true)
 	if !b.up || b.vanished || b.silent {
 		if b.up {
@@ -453,7 +453,7 @@
 			return
 		}
 		to.cpu.add(r.work, func() {
-			w.report(Ran{At: w.now, ID: r.id})
+			w.report(WriteRan{At: w.now, ID: r.id})
 			w.writeRuns[r.id]++
 			if w.random.uniform("lost", r.id, to.id) < to.loseShare {
 				return
@@ -484,7 +484,7 @@
 	f := Served{At: w.now, ID: r.id, Box: b.id, Word: word, Note: note}
 	if m != nil {
 		a.Fields = fmt.Sprintf("res=%s,sum=%s,t0=%.0f,%s", note, m.tag, w.epoch+m.createdAt, a.Fields)
-		if f.Born, f.Copy = m.createdAt, !r.typ.Write; r.cachedTag != "" && r.cachedTag == m.tag {
+		if f.CreatedAt, f.Copy = m.createdAt, !r.typ.Write; r.cachedTag != "" && r.cachedTag == m.tag {
 			a.Word, f.Word = "KEEP", "KEEP"
 		} else {
 			a.Body = w.copyBody(m, r)
--- a/internal/rehearsal/world/clients.go
+++ b/internal/rehearsal/world/clients.go
@@ -252,11 +252,11 @@
 		return
 	}
 	a := &openRequest{op: op, gateway: g.number, sentAt: w.now, Request: Request{ID: w.random.id("id", typ.Name, op.number, op.attempts, int(op.startedAt*1000)), Type: typ.Name,
-		Object: op.object, Part: op.part, Group: typ.group(w, op.object), Allow: allow, Club: op.member, Client: op.clientName(), Ticket: op.ticket}}
+		Object: op.object, Part: op.part, Group: typ.group(w, op.object), Timeout: allow, Club: op.member, Client: op.clientName(), Ticket: op.ticket}}
 	if typ.Write {
 		a.Body = 100
 	} else if c.Float64() < clients.Holds {
-		a.Mine = w.tag(key{op.object, op.part}, a.Group, w.now)
+		a.HeldTag = w.tag(key{op.object, op.part}, a.Group, w.now)
 	}
 	w.attachLink(op, &a.Request, g)
 	if !g.up { // the front end still routes to it, and the connection is refused
@@ -289,9 +289,9 @@
 		g.openRequests = map[string]*openRequest{}
 	}
 	g.openRequests[a.ID] = a
-	w.report(Asked{At: w.now, Expiry: w.now + a.Allow, Gateway: g.number, Repeat: a.op.typ.Repeat, First: first, Request: a.Request})
-	w.emit(Ask{Gateway: g.number, Request: a.Request})
-	a.expiryTimer = w.scheduleAfter(a.Allow+clientSlack, func() { w.requestFailed(a, "expired") })
+	w.report(RequestSent{At: w.now, Expiry: w.now + a.Timeout, Gateway: g.number, Repeat: a.op.typ.Repeat, First: first, Request: a.Request})
+	w.emit(SendRequest{Gateway: g.number, Request: a.Request})
+	a.expiryTimer = w.scheduleAfter(a.Timeout+clientSlack, func() { w.requestFailed(a, "expired") })
 }
 
 func (w *World) closeRequest(a *openRequest) {
@@ -376,7 +376,7 @@
 		}
 		return
 	}
-	w.report(Wanted{At: w.now, Asked: op.startedAt, Type: op.typ.Name, Member: op.member, Verdict: v, Tries: op.attempts})
+	w.report(OperationEnded{At: w.now, Asked: op.startedAt, Type: op.typ.Name, Member: op.member, Verdict: v, Tries: op.attempts})
 }
 
 // gatewayReady adds a gateway to the front end's routing.
--- a/internal/rehearsal/world/config.go
+++ b/internal/rehearsal/world/config.go
@@ -63,7 +63,7 @@
 
 // Params returns the FastCGI parameters that web servers send for a request.
 func Params(r Request) map[string]string {
-	p := map[string]string{"SCRIPT_NAME": "/invoke/" + r.Type, "HTTP_X_JOB_ID": r.ID, "HTTP_X_ALLOW_MS": strconv.Itoa(int(r.Allow)),
+	p := map[string]string{"SCRIPT_NAME": "/invoke/" + r.Type, "HTTP_X_JOB_ID": r.ID, "HTTP_X_ALLOW_MS": strconv.Itoa(int(r.Timeout)),
 		"HTTP_X_ITEM": r.Object, "HTTP_X_N": strconv.Itoa(r.Part), "HTTP_X_SHARD": strconv.Itoa(r.Group)}
 	if r.Token != "" {
 		p["QUERY_STRING"] = "URISigningPackage=" + r.Token
@@ -76,8 +76,8 @@
 			p[name] = v
 		}
 	}
-	if r.Mine != "" {
-		p["HTTP_X_MINE"] = r.Mine
+	if r.HeldTag != "" {
+		p["HTTP_X_MINE"] = r.HeldTag
 	}
 	return p
 }
--- a/internal/rehearsal/world/directory.go
+++ b/internal/rehearsal/world/directory.go
@@ -17,7 +17,7 @@
 
 type channelEvent struct {
 	event map[string]any
-	facts []Told // their time and gateway are set on delivery
+	facts []Notified // their time and gateway are set on delivery
 }
 
 func (l *directory) start(w *World) {
@@ -43,7 +43,7 @@
 func (l *directory) publish(w *World, whole bool, boxes ...*box) {
 	e := channelEvent{event: map[string]any{"nodes": map[string]any{"index": len(l.log) + 1, "snapshot": whole, "endpoints": w.endpoints(boxes)}}}
 	for _, b := range boxes {
-		e.facts = append(e.facts, Told{Box: b.id, State: b.state, Group: -1})
+		e.facts = append(e.facts, Notified{Box: b.id, State: b.state, Group: -1})
 		if b.listedCursor == 0 || b.state == "ready" {
 			b.listedCursor = len(l.log) + 1
 		}
@@ -118,7 +118,7 @@
 		} else {
 			notice["family"] = group
 		}
-		w.directory.add(w, channelEvent{event: map[string]any{"drop": notice}, facts: []Told{{Purged: object, Group: group, When: at}}})
+		w.directory.add(w, channelEvent{event: map[string]any{"drop": notice}, facts: []Notified{{Purged: object, Group: group, When: at}}})
 	})
 }
 
@@ -145,8 +145,8 @@
 	return w.random.id("tag", partKey.object, partKey.part, n)
 }
 
-// Known returns all channel events so far, in the format of a gateway's configuration.
-func (w *World) Known() (cursor int, events []map[string]any) {
+// ChannelEvents returns all channel events so far, in the format of a gateway's configuration.
+func (w *World) ChannelEvents() (cursor int, events []map[string]any) {
 	for _, e := range w.directory.log {
 		events = append(events, e.event)
 	}
--- a/internal/rehearsal/world/faults.go
+++ b/internal/rehearsal/world/faults.go
@@ -70,7 +70,7 @@
 		w.scheduleReturn(e, b)
 	case "vanish":
 		b.vanished = true
-		w.emit(Shut{Address: b.addr, Mute: true})
+		w.emit(Close{Address: b.addr, Drop: true})
 		b.updateCapacity()
 		w.scheduleAfter(3*w.script.List.Notices+w.directory.lag, func() { // silence is detected later than a closed connection
 			if b.vanished {
@@ -149,9 +149,9 @@
 		chosen = []*gateway{w.gateways[round%len(w.gateways)]}
 	}
 	if e.Do == "part" {
-		p := Part{OneWay: e.OneWay}
+		p := Partition{OneWay: e.OneWay}
 		for _, g := range chosen {
-			p.Apart = append(p.Apart, g.number)
+			p.Gateways = append(p.Gateways, g.number)
 		}
 		w.emit(p)
 		w.undoAfter(e, func() {
@@ -166,11 +166,11 @@
 			some = append(some, g.number)
 		}
 		if e.Do == "reset" {
-			w.emit(Sever{Some: some})
+			w.emit(ResetConns{Gateways: some})
 			return
 		}
-		w.emit(Slow{Some: some, By: e.Delay})
-		w.undoAfter(e, func() { w.emit(Slow{Some: some}) })
+		w.emit(DelayTraffic{Gateways: some, Delay: e.Delay})
+		w.undoAfter(e, func() { w.emit(DelayTraffic{Gateways: some}) })
 		return
 	}
 	for n, g := range chosen {
@@ -184,16 +184,16 @@
 			back := cmp.Or(e.For, 2000)
 			switch e.Do {
 			case "hup":
-				w.emit(Hup{Gateway: g.number})
+				w.emit(Reload{Gateway: g.number})
 			case "kill":
 				w.emit(Kill{Gateway: g.number, Disk: e.Disk})
 				w.gatewayExited(g, false)
 				w.scheduleAfter(back, func() { w.startGateway(g) })
 			case "copy":
-				w.emit(Copy{Gateway: g.number})
+				w.emit(CopyDisk{Gateway: g.number})
 			case "fill_disk":
-				w.emit(Fill{Gateway: g.number})
-				w.scheduleAfter(e.For, func() { w.emit(Fill{Gateway: g.number, Undo: true}) })
+				w.emit(FillDisk{Gateway: g.number})
+				w.scheduleAfter(e.For, func() { w.emit(FillDisk{Gateway: g.number, Undo: true}) })
 			case "freeze":
 				w.emit(Freeze{Gateway: g.number})
 				w.gatewayExited(g, false)
@@ -201,7 +201,7 @@
 			case "restart":
 				g.ending = true
 				g.routedUntil = w.now + 300
-				w.emit(Term{Gateway: g.number})
+				w.emit(Terminate{Gateway: g.number})
 				w.scheduleAfter(min(w.script.Longest(), 3000)+700+100, func() {
 					if g.up && g.ending { // the platform kills a process that does not end in time
 						w.emit(Kill{Gateway: g.number})
@@ -220,7 +220,7 @@
 		w.directory.lag += e.Delay
 		w.undoAfter(e, func() { w.directory.lag -= e.Delay })
 	case "purge":
-		withdrawal := Withdraw{ID: fmt.Sprintf("purge-%d-%.0f", e.Number, w.now)}
+		withdrawal := SubmitPurge{ID: fmt.Sprintf("purge-%d-%.0f", e.Number, w.now)}
 		for g := range e.Groups {
 			withdrawal.Groups = append(withdrawal.Groups, int64(w.random.hash("purged", e.Number, g)%256))
 		}
@@ -242,13 +242,13 @@
 			w.purge(o, -1)
 		}
 	case "break":
-		w.emit(Channel{How: Broken})
+		w.emit(Channel{State: Broken})
 	case "mute":
-		w.emit(Channel{How: Muted})
-		w.undoAfter(e, func() { w.emit(Channel{How: Whole}) })
+		w.emit(Channel{State: Silent})
+		w.undoAfter(e, func() { w.emit(Channel{State: Normal}) })
 	case "repeat":
-		w.emit(Channel{How: Repeating})
-		w.undoAfter(e, func() { w.emit(Channel{How: Whole}) })
+		w.emit(Channel{State: Repeating})
+		w.undoAfter(e, func() { w.emit(Channel{State: Normal}) })
 	case "traffic":
 		w.trafficFactors = append(w.trafficFactors, e.Factor)
 		w.undoAfter(e, func() {
--- a/internal/rehearsal/world/manual.go
+++ b/internal/rehearsal/world/manual.go
@@ -4,8 +4,8 @@
 
 // The methods in this file let tests and people control a deployment directly. They are called between events.
 
-// Happen applies an event of a script at once.
-func (w *World) Happen(e script.Event) { w.applyEvent(&e, 0) }
+// ApplyEvent applies an event of a script at once.
+func (w *World) ApplyEvent(e script.Event) { w.applyEvent(&e, 0) }
 
 // Purge makes all copies of an object outdated and announces that after the script's delay.
 func (w *World) Purge(object string) { w.purge(object, -1) }
@@ -23,8 +23,8 @@
 	return w.tag(key{object, part}, int(w.random.hash("group", object)%256), w.now)
 }
 
-// Ran returns how often a write took effect.
-func (w *World) Ran(id string) int { return w.writeRuns[id] }
+// WriteRuns returns how often a write took effect.
+func (w *World) WriteRuns(id string) int { return w.writeRuns[id] }
 
 // unknownRequest stands in for the client request behind a GET that no client of this world caused.
 func (w *World) unknownRequest(r *request, body int) *openRequest {
--- a/internal/rehearsal/world/messages.go
+++ b/internal/rehearsal/world/messages.go
@@ -27,21 +27,21 @@
 		Fields   map[string]string
 		Body     int // bytes
 	}
-	// Hung: the gateway closed a connection, or it broke.
-	Hung struct{ Conn int64 }
+	// ConnClosed: the gateway closed a connection, or it broke.
+	ConnClosed struct{ Conn int64 }
 	// Answer is a gateway's answer to a client.
 	Answer struct {
-		Gateway int
-		ID      string
-		Status  int
-		Wait    float64 // ms until the client should retry; 0: not given
-		Still   bool
-		Copy    string // first line of the body, which identifies the copy
-		Token   string // renewed link for the client
-		Ticket  string // to present when it comes back
+		Gateway     int
+		ID          string
+		Status      int
+		Wait        float64 // ms until the client should retry; 0: not given
+		NotModified bool
+		Copy        string // first line of the body, which identifies the copy
+		Token       string // renewed link for the client
+		Ticket      string // to present when it comes back
 	}
-	// Unanswered: a request's connection was refused, or ended before an answer.
-	Unanswered struct {
+	// RequestFailed: a request's connection was refused, or ended before an answer.
+	RequestFailed struct {
 		ID      string
 		Refused bool // the request was never accepted
 	}
@@ -52,8 +52,8 @@
 		Gateway int
 		Crashed bool
 	}
-	// Heard: a gateway has received the channel's events up to a cursor.
-	Heard struct {
+	// Delivered: a gateway has received the channel's events up to a cursor.
+	Delivered struct {
 		Gateway int
 		Cursor  int
 	}
@@ -76,10 +76,10 @@
 	}
 	// Listen makes a box reachable under an address; the driver may map it to any real one.
 	Listen struct{ Address string }
-	// Shut makes it unreachable: connections are refused or, if Mute, neither accepted nor refused.
-	Shut struct {
+	// Close makes it unreachable: connections are refused or, if Mute, neither accepted nor refused.
+	Close struct {
 		Address string
-		Mute    bool
+		Drop    bool
 	}
 	// Publish sends an event on the command channel to all gateways.
 	Publish struct {
@@ -87,9 +87,9 @@
 		Event  map[string]any
 	}
 	// Channel changes how the command channel behaves until the next such action.
-	Channel struct{ How ChannelState }
-	// Ask sends a client's request to a gateway.
-	Ask struct {
+	Channel struct{ State ChannelState }
+	// SendRequest sends a client's request to a gateway.
+	SendRequest struct {
 		Gateway int
 		Request
 	}
@@ -107,22 +107,22 @@
 		Gateway int
 		Disk    string // what remains of its consensus state: lost, or old (as of its last Copy); empty: all of it
 	}
-	// Copy saves a copy of the gateway's state on disk. Fill makes its disk full or, with Undo, writable again.
-	Copy struct{ Gateway int }
-	Fill struct {
+	// CopyDisk saves a copy of the gateway's state on disk. Fill makes its disk full or, with Undo, writable again.
+	CopyDisk struct{ Gateway int }
+	FillDisk struct {
 		Gateway int
 		Undo    bool
 	}
-	// Work submits a job for the whole fleet to the gateways.
-	Work struct{ Job script.Job }
-	// Withdraw asks the gateways to agree on a purge of objects or groups.
-	Withdraw struct {
+	// SubmitJob submits a job for the whole fleet to the gateways.
+	SubmitJob struct{ Job script.Job }
+	// SubmitPurge asks the gateways to agree on a purge of objects or groups.
+	SubmitPurge struct {
 		ID      string
 		Objects []string
 		Groups  []int64
 	}
-	Term struct{ Gateway int }
-	Hup  struct{ Gateway int }
+	Terminate struct{ Gateway int }
+	Reload    struct{ Gateway int }
 )
 
 // Freeze suspends a gateway's process, or resumes it.
@@ -131,30 +131,30 @@
 	Thaw    bool
 }
 
-// Part drops the traffic from some gateways to the others and, unless OneWay, back; Heal ends that.
-type Part struct {
-	Apart  []int
-	OneWay bool
-	Heal   bool
+// Partition drops the traffic from some gateways to the others and, unless OneWay, back; Heal ends that.
+type Partition struct {
+	Gateways []int
+	OneWay   bool
+	Heal     bool
 }
 
-// Slow delays traffic between some gateways and the others by so many ms; 0 ends that.
-type Slow struct {
-	Some []int
-	By   float64
+// DelayTraffic delays traffic between some gateways and the others by so many ms; 0 ends that.
+type DelayTraffic struct {
+	Gateways []int
+	Delay    float64
 }
 
-// Sever closes all connections between some gateways and the others; new ones can be opened.
-type Sever struct{ Some []int }
+// ResetConns closes all connections between some gateways and the others; new ones can be opened.
+type ResetConns struct{ Gateways []int }
 
 // ChannelState is how the command channel behaves.
 type ChannelState int
 
 // The channel's states.
 const (
-	Whole     ChannelState = iota
+	Normal    ChannelState = iota
 	Broken                 // its connections break once; new ones can be opened
-	Muted                  // its connections stay open, but nothing is sent
+	Silent                 // its connections stay open, but nothing is sent
 	Repeating              // it sends everything twice
 )
 
@@ -162,14 +162,14 @@
 type Request struct {
 	ID, Type, Object string
 	Part, Group      int
-	Allow            float64 // ms that the client waits
-	Mine             string  // tag of a copy that the client holds
+	Timeout          float64 // ms that the client waits
+	HeldTag          string  // tag of a copy that the client holds
 	Body             int     // size in bytes
 	Token            string  // signed link; empty: none
 	Club             string  // as the front end reports it
 	Client           string
 	Ticket           string // ticket of an appointment
-	Chain            string // id of a write's link: what must run only once
+	LinkID           string // id of a write's link: what must run only once
 	Source           string // client address that the front end reports
 	Forged           bool   // it must be rejected
 }
@@ -180,8 +180,8 @@
 
 // Facts, reported in the order in which they occur.
 type (
-	// Asked: a request was sent to a gateway.
-	Asked struct {
+	// RequestSent: a request was sent to a gateway.
+	RequestSent struct {
 		At, Expiry float64
 		Gateway    int
 		Repeat     string // whether it may run twice: retriable, deduped, non-retriable
@@ -209,20 +209,20 @@
 	}
 	// Served: a box ended a GET with a reply word; Born is when the core produced the copy.
 	Served struct {
-		At      float64
-		ID, Box string
-		Word    string
-		Note    string
-		Born    float64
-		Copy    bool
+		At        float64
+		ID, Box   string
+		Word      string
+		Note      string
+		CreatedAt float64
+		Copy      bool
 	}
-	// Ran: a write took effect.
-	Ran struct {
+	// WriteRan: a write took effect.
+	WriteRan struct {
 		At float64
 		ID string
 	}
-	// Told: a gateway learned of a box's state, or of a purge that took place at When.
-	Told struct {
+	// Notified: a gateway learned of a box's state, or of a purge that took place at When.
+	Notified struct {
 		At         float64
 		Gateway    int
 		Box, State string
@@ -230,21 +230,21 @@
 		Group      int    // -1: none
 		When       float64
 	}
-	// Purging: the gateways accepted a purge of their own. After By, no answer may come from a copy made before When.
-	Purging struct {
-		Object   string // empty: a whole group
-		Group    int
-		Club     string
-		When, By float64
+	// PurgeAgreed: the gateways accepted a purge of their own. After By, no answer may come from a copy made before When.
+	PurgeAgreed struct {
+		Object         string // empty: a whole group
+		Group          int
+		Club           string
+		When, Deadline float64
 	}
-	// Pushed: the load sent to a cold box in the last window exceeds its present capacity, and it fails.
-	Pushed struct {
+	// ColdOverload: the load sent to a cold box in the last window exceeds its present capacity, and it fails.
+	ColdOverload struct {
 		At            float64
 		Box           string
 		Sent, Allowed float64
 	}
-	// Fell: a box or the core failed from overload.
-	Fell struct {
+	// Overloaded: a box or the core failed from overload.
+	Overloaded struct {
 		At  float64
 		Box string
 	}
@@ -253,16 +253,16 @@
 		At      float64
 		ID, Box string
 	}
-	// Made: the core was asked to produce an object.
-	Made struct{ At float64 }
-	// Moved: bytes were sent over a link.
-	Moved struct {
+	// ObjectProduced: the core was asked to produce an object.
+	ObjectProduced struct{ At float64 }
+	// BytesSent: bytes were sent over a link.
+	BytesSent struct {
 		At    float64
 		Link  string
 		Bytes float64
 	}
-	// Wanted: a client's operation ended, over all its attempts.
-	Wanted struct {
+	// OperationEnded: a client's operation ended, over all its attempts.
+	OperationEnded struct {
 		At, Asked float64
 		Type      string
 		Member    string // member that the client belongs to
@@ -274,14 +274,14 @@
 		At      float64
 		Gateway int
 	}
-	// Effected is one line in a gateway's log of fleet-wide job steps that it ran, in the order of that log.
-	Effected struct {
-		At            float64
-		Gateway, Step int
-		Job, From     string
-		Type          string
-		Token, Newer  uint64 // Newer: the step was refused because this higher token was seen
-		Again, Told   bool   // Again: it had run before; Told: no step, only a notice of a token
+	// StepLogged is one line in a gateway's log of fleet-wide job steps that it ran, in the order of that log.
+	StepLogged struct {
+		At                    float64
+		Gateway, Step         int
+		Job, From             string
+		Type                  string
+		Token, NewerToken     uint64 // Newer: the step was refused because this higher token was seen
+		Repeated, TokenNotice bool   // Again: it had run before; Told: no step, only a notice of a token
 	}
 	// Down: a gateway's process ended. Crashed: without being told to.
 	Down struct {
--- a/internal/rehearsal/world/shared_resource.go
+++ b/internal/rehearsal/world/shared_resource.go
@@ -5,7 +5,7 @@
 // sharedResource divides a capacity among jobs (processor sharing): cores among downloads, a link among transfers. Jobs in
 // service get equal shares, limited to maxPerJob each; jobs beyond the slots wait in FIFO order.
 type sharedResource struct {
-	agenda              *Agenda
+	agenda              *EventQueue
 	now                 func() float64
 	capacity, maxPerJob float64 // work per ms: of all jobs, of one job
 	crowding            float64 // relative loss of capacity for each multiple of it that is requested
@@ -24,7 +24,7 @@
 	removed bool // it was cancelled
 }
 
-func newSharedResource(a *Agenda, now func() float64, capacity, maxPerJob float64, slots int) *sharedResource {
+func newSharedResource(a *EventQueue, now func() float64, capacity, maxPerJob float64, slots int) *sharedResource {
 	s := &sharedResource{agenda: a, now: now, capacity: capacity, maxPerJob: maxPerJob, slots: slots, updatedAt: now()}
 	s.timer = &Entry{index: -1, run: s.completeDue}
 	return s
--- a/internal/rehearsal/world/signed_links.go
+++ b/internal/rehearsal/world/signed_links.go
@@ -107,7 +107,7 @@
 		}
 		op.link = &heldLink{gateway: g.number, token: token, chain: c.ID, expiresAt: 1000*c.Expires - w.epoch - 100}
 	}
-	r.Token, r.Chain, r.Source = op.link.token, op.link.chain, "10.0.0."+string(rune('0'+op.number%10))
+	r.Token, r.LinkID, r.Source = op.link.token, op.link.chain, "10.0.0."+string(rune('0'+op.number%10))
 }
 
 // acceptsLink reports whether a GET carries a gateway's link that is valid for this box and part.
@@ -156,7 +156,7 @@
 	if g == nil || !g.up {
 		return
 	}
-	r := Request{ID: w.random.id("forged", n), Type: t.Name, Object: op.object, Group: t.group(w, op.object), Allow: t.Expiry, Forged: true}
+	r := Request{ID: w.random.id("forged", n), Type: t.Name, Object: op.object, Group: t.group(w, op.object), Timeout: t.Expiry, Forged: true}
 	w.attachLink(op, &r, g)
 	parts := strings.Split(r.Token, ".")
 	switch n % 4 {
@@ -180,8 +180,8 @@
 	w.sendRequest(&openRequest{op: op, gateway: g.number, sentAt: w.now, Request: r}, g, false)
 }
 
-// LinkTakes is the time in ms until a gateway has loaded changed keys.
-func (w *World) LinkTakes(gateway int) float64 {
+// KeyReloadDelay is the time in ms until a gateway has loaded changed keys.
+func (w *World) KeyReloadDelay(gateway int) float64 {
 	c := w.random.generator("keys", gateway, w.issuer.keysMade)
 	return cmp.Or(c.Float64()*500, 1)
 }
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -17,7 +17,7 @@
 	acceptUnknown  bool
 	bodyDivisor    int // body sizes on real sockets are divided by this; 0: only the first line
 	now            float64
-	agenda         Agenda
+	agenda         EventQueue
 	actions        []Action
 	onFact         func(Fact)
 	boxes          map[string]*box
@@ -51,16 +51,16 @@
 
 // Options are set by the driver.
 type Options struct {
-	Epoch float64    // Unix ms of the start
-	Thin  int        // body sizes are divided by this; 0: a body is one line
-	Facts func(Fact) // called for each fact; may be nil
-	// Strangers makes boxes accept requests that no client of this world sent, as if sent through the first gateway.
-	Strangers bool
+	Epoch       float64    // Unix ms of the start
+	BodyDivisor int        // body sizes are divided by this; 0: a body is one line
+	OnFact      func(Fact) // called for each fact; may be nil
+	// AcceptUnknown makes boxes accept requests that no client of this world sent, as if sent through the first gateway.
+	AcceptUnknown bool
 }
 
 // New creates a deployment; its initial actions are returned by the first call of Ring.
 func New(s *script.Script, o Options) *World {
-	w := &World{script: s, random: seededRandom(s.Seed), epoch: o.Epoch, bodyDivisor: o.Thin, acceptUnknown: o.Strangers, onFact: o.Facts, boxes: map[string]*box{},
+	w := &World{script: s, random: seededRandom(s.Seed), epoch: o.Epoch, bodyDivisor: o.BodyDivisor, acceptUnknown: o.AcceptUnknown, onFact: o.OnFact, boxes: map[string]*box{},
 		clubLinks: map[string]*sharedResource{}, hubOf: map[string]string{}, typesByName: map[string]*contentType{}, conns: map[int64]*conn{},
 		openRequests: map[string]*openRequest{}, writeRuns: map[string]int{}, objectPurges: map[string][]float64{}}
 	if w.onFact == nil {
@@ -92,7 +92,7 @@
 	}
 	w.startTraffic()
 	for _, j := range s.Jobs {
-		w.scheduleAt(j.At, func() { w.emit(Work{Job: j}) })
+		w.scheduleAt(j.At, func() { w.emit(SubmitJob{Job: j}) })
 	}
 	for _, e := range s.Events {
 		for i := range e.Times {
@@ -127,7 +127,7 @@
 func (w *World) emit(a Action)                              { w.actions = append(w.actions, a) }
 func (w *World) report(f Fact)                              { w.onFact(f) }
 func (w *World) reportTransfer(link string, bytes float64) {
-	w.report(Moved{At: w.now, Link: link, Bytes: bytes})
+	w.report(BytesSent{At: w.now, Link: link, Bytes: bytes})
 }
 func (w *World) core() *box { return w.boxes["core-1"] }
 
@@ -142,11 +142,11 @@
 // Next returns the time of the next scheduled callback, and false if there is none.
 func (w *World) Next() (float64, bool) { return w.agenda.Next() }
 
-// Over reports whether the traffic has ended and all operations are complete.
-func (w *World) Over() bool { return w.trafficEnded && w.openOperations == 0 }
+// Done reports whether the traffic has ended and all operations are complete.
+func (w *World) Done() bool { return w.trafficEnded && w.openOperations == 0 }
 
-// Ring runs everything that is due up to a time and returns the resulting actions.
-func (w *World) Ring(now float64) []Action {
+// RunUntil runs everything that is due up to a time and returns the resulting actions.
+func (w *World) RunUntil(now float64) []Action {
 	for {
 		at, ok := w.agenda.Next()
 		if !ok || at > now {
@@ -163,17 +163,17 @@
 
 // Handle runs what is due, processes an event, and returns the resulting actions.
 func (w *World) Handle(now float64, e Event) []Action {
-	before := w.Ring(now)
+	before := w.RunUntil(now)
 	switch e := e.(type) {
 	case Dialled:
 		w.handleDial(e)
 	case Command:
 		w.handleCommand(e)
-	case Hung:
+	case ConnClosed:
 		w.closeConn(e.Conn)
 	case Answer:
 		w.handleAnswer(e)
-	case Unanswered:
+	case RequestFailed:
 		if a := w.openRequests[e.ID]; a != nil {
 			w.requestFailed(a, map[bool]string{true: "refused", false: "broken"}[e.Refused])
 		}
@@ -182,7 +182,7 @@
 		w.gatewayReady(w.gateways[e.Gateway])
 	case Exited:
 		w.gatewayExited(w.gateways[e.Gateway], e.Crashed)
-	case Heard:
+	case Delivered:
 		w.directory.deliver(w, w.gateways[e.Gateway], e.Cursor)
 	}
 	out := append(before, w.actions...)
--- a/internal/rehearsal/world/world_test.go
+++ b/internal/rehearsal/world/world_test.go
@@ -22,7 +22,7 @@
 		}), 1, 12).Draw(t, "jobs")
 		slices.SortStableFunc(jobs, func(a, b *testJob) int { return int(a.at - b.at) })
 
-		var agenda Agenda
+		var agenda EventQueue
 		now := 0.0
 		s := newSharedResource(&agenda, func() float64 { return now }, capacity, maxPerJob, slots)
 		got := make([]float64, len(jobs))
@@ -149,22 +149,22 @@
 `
 
 // playUnanswered runs a world whose gateways never answer, and returns the first attempts of all operations.
-func playUnanswered(t *testing.T, gateways int) (asked []Asked) {
+func playUnanswered(t *testing.T, gateways int) (asked []RequestSent) {
 	s, err := script.Parse([]byte(twoClubs), "two.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Gateways = gateways
-	w := New(s, Options{Facts: func(f Fact) {
-		if f, ok := f.(Asked); ok && f.First {
+	w := New(s, Options{OnFact: func(f Fact) {
+		if f, ok := f.(RequestSent); ok && f.First {
 			asked = append(asked, f)
 		}
 	}})
 	for g := range gateways {
 		w.Handle(0, Ready{Gateway: g})
 	}
-	for at, ok := w.Next(); ok && !w.Over(); at, ok = w.Next() {
-		w.Ring(at)
+	for at, ok := w.Next(); ok && !w.Done(); at, ok = w.Next() {
+		w.RunUntil(at)
 	}
 	return asked
 }
