--- a/internal/gateway/links_test.go
+++ b/internal/gateway/links_test.go
@@ -119,7 +119,7 @@
 	w := links.Claims{ID: "w", Issued: now, Expires: now + 100, Write: true, Critical: links.CriticalWrite,
 		URI: links.Hash(links.URI(linkBase, "renewal", object, 0))}
 	token := issue(t, f, w)
-	s.world.Do(func(w *world.World) { w.ApplyEvent(script.Event{Do: "slow", On: "core", Factor: 30, For: 400}) })
+	s.world.Do(func(w *world.World) { w.ApplyEvent(script.Event{Kind: "slow", On: "core", Factor: 30, Duration: 400}) })
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	statuses := map[int]int{}
--- a/internal/gateway/serve_test.go
+++ b/internal/gateway/serve_test.go
@@ -215,7 +215,9 @@
 	}
 
 	// A write whose connection breaks may have run, so it is abandoned, neither sent again nor throttled.
-	s.world.Do(func(w *world.World) { w.ApplyEvent(script.Event{Do: "cut", On: "edge", Share: 1, Count: 2, For: 300}) })
+	s.world.Do(func(w *world.World) {
+		w.ApplyEvent(script.Event{Kind: "cut", On: "edge", Share: 1, Count: 2, Duration: 300})
+	})
 	sent := edgePulls()
 	if r, id := s.get("renewal", object, "one write", ""); r.Status != 500 || edgePulls() != sent+1 || timesRun(id) != 1 {
 		t.Errorf("write on a broken connection: status %d, sent %d times, ran %d times",
--- a/internal/rehearsal/script/fields.go
+++ b/internal/rehearsal/script/fields.go
@@ -18,14 +18,14 @@
 		op.SingleBlock("box", s.Box.fields), op.SingleBlock("hub", s.Hub.fields),
 		op.SingleBlock("core", func() []op.Field {
 			c := &s.Core
-			return []op.Field{op.Attr("capacity", op.Number(&c.Capacity, 0.1, 1e6)), op.Attr("answers", op.Duration(&c.Answers, 0, time.Minute)),
-				op.Attr("crowded", op.Number(&c.Crowded, 0, 100)), op.Attr("stops_at", op.Number(&c.StopsAt, 0, 1000)),
-				op.Attr("stops_for", op.Duration(&c.StopsFor, 0, maxSpan)), op.Attr("stops_push", op.Duration(&c.StopsPush, time.Millisecond, maxSpan))}
+			return []op.Field{op.Attr("capacity", op.Number(&c.Capacity, 0.1, 1e6)), op.Attr("answers", op.Duration(&c.Latency, 0, time.Minute)),
+				op.Attr("crowded", op.Number(&c.Congestion, 0, 100)), op.Attr("stops_at", op.Number(&c.OverloadMultiple, 0, 1000)),
+				op.Attr("stops_for", op.Duration(&c.RestartDelay, 0, maxSpan)), op.Attr("stops_push", op.Duration(&c.OverloadWindow, time.Millisecond, maxSpan))}
 		}),
 		op.SingleBlock("list", func() []op.Field {
 			l := &s.List
-			return []op.Field{op.Attr("told", op.Duration(&l.Told, 0, maxSpan)), op.Attr("notices", op.Duration(&l.Notices, 0, maxSpan)),
-				op.Attr("purges", op.Duration(&l.Purges, 0, maxSpan))}
+			return []op.Field{op.Attr("told", op.Duration(&l.AnnounceDelay, 0, maxSpan)), op.Attr("notices", op.Duration(&l.DetectionDelay, 0, maxSpan)),
+				op.Attr("purges", op.Duration(&l.PurgeDelay, 0, maxSpan))}
 		}),
 		op.SingleBlock("rules", func() []op.Field {
 			r := &s.Rules
@@ -44,8 +44,8 @@
 		op.Attr("cores_to", op.Number(&b.Cores[1], 0.1, 1e5)), op.Attr("slots", op.Int(&b.Slots, 1, 1e5)),
 		op.Attr("queue", op.Int(&b.Queue, 0, 1e5)), op.Attr("store", op.Size(&b.Store, 1, 1e15)),
 		op.Attr("cold_share", op.Share(&b.ColdShare)), op.Attr("cold_for", op.Duration(&b.ColdFor, 0, maxSpan)),
-		op.Attr("fall_multiple", op.Number(&b.FallMultiple, 1, 1e3)), op.Attr("fall_for", op.Duration(&b.FallFor, 100*time.Millisecond, time.Minute)),
-		op.Attr("fallen_for", op.Duration(&b.FallenFor, 0, maxSpan)), op.Attr("fills", op.Int(&b.Fills, 1, 1e5)),
+		op.Attr("fall_multiple", op.Number(&b.OverloadMultiple, 1, 1e3)), op.Attr("fall_for", op.Duration(&b.OverloadWindow, 100*time.Millisecond, time.Minute)),
+		op.Attr("fallen_for", op.Duration(&b.RestartDelay, 0, maxSpan)), op.Attr("fills", op.Int(&b.Fills, 1, 1e5)),
 		op.Attr("fill_timeout", op.Duration(&b.FillTimeout, time.Millisecond, time.Minute)),
 		op.Attr("report", op.Duration(&b.Report, 10*time.Millisecond, time.Minute)), op.Attr("probe", op.Duration(&b.Probe, 0, time.Second)),
 		op.Attr("errors", op.Share(&b.Errs)), op.Attr("held", op.Share(&b.Held)),
@@ -65,10 +65,10 @@
 		op.RequiredAttr("target", op.Duration(&t.Target, time.Millisecond, time.Minute)), op.Attr("stretch", op.Number(&t.Stretch, 0, 100)),
 		op.RequiredAttr("expiry", op.Duration(&t.Expiry, time.Millisecond, time.Minute)), op.Attr("fresh", op.Duration(&t.Fresh, 0, maxSpan)),
 		op.Attr("grace", op.Duration(&t.Grace, 0, maxSpan)), op.Attr("benefit", op.Number(&t.Benefit, 0.001, 1000)),
-		op.Attr("late", op.Share(&t.Late)), op.Attr("repeat", op.OneOf(&t.Repeat, "retriable", "deduped", "non-retriable")),
+		op.Attr("late", op.Share(&t.LateBenefit)), op.Attr("repeat", op.OneOf(&t.Repeat, "retriable", "deduped", "non-retriable")),
 		op.Attr("scope", op.OneOf(&t.Scope, "all", "zone", "cell")), op.Attr("window", op.Duration(&t.Window, 0, maxSpan)),
 		op.Attr("write", op.Bool(&t.Write)), op.Attr("objects", op.Int(&t.Objects, 1, 1e6)), op.Attr("skew", op.Number(&t.Skew, 0, 3)),
-		op.Attr("once", op.Share(&t.Once)), op.Attr("local", op.Share(&t.Local)), op.Attr("old_worth", op.Share(&t.OldWorth)),
+		op.Attr("once", op.Share(&t.Once)), op.Attr("local", op.Share(&t.Local)), op.Attr("old_worth", op.Share(&t.StaleBenefit)),
 		op.Check(func() error {
 			if t.Target > t.Expiry {
 				return fmt.Errorf("target of %v ms is past the expiry of %v ms", t.Target, t.Expiry)
@@ -83,9 +83,9 @@
 
 func (c *Clients) fields() []op.Field {
 	return []op.Field{op.Attr("retries", op.Int(&c.Retries, 0, 100)), op.Attr("wait", op.Duration(&c.Wait, 0, time.Minute)),
-		op.Attr("heeds", op.Share(&c.Heeds)), op.Attr("patience_from", op.Number(&c.Patience[0], 0.01, 1)),
+		op.Attr("heeds", op.Share(&c.HonorRetryAfter)), op.Attr("patience_from", op.Number(&c.Patience[0], 0.01, 1)),
 		op.Attr("patience_to", op.Number(&c.Patience[1], 0.01, 1)), op.Attr("impatient", op.Share(&c.Impatient)), op.Attr("members", op.StringList(&c.Members)),
-		op.Attr("holds", op.Share(&c.Holds)), op.Attr("notices", op.Duration(&c.Notices, 0, time.Minute)),
+		op.Attr("holds", op.Share(&c.Holds)), op.Attr("notices", op.Duration(&c.DetectionDelay, 0, time.Minute)),
 		op.Check(func() error {
 			if c.Patience[0] > c.Patience[1] {
 				return fmt.Errorf("patience_from %v is over patience_to %v", c.Patience[0], c.Patience[1])
@@ -135,12 +135,12 @@
 }
 
 func (e *Event) fields() []op.Field {
-	return []op.Field{op.RequiredAttr("at", op.Duration(&e.At, 0, 24*time.Hour)), op.Attr("for", op.Duration(&e.For, time.Millisecond, 24*time.Hour)),
+	return []op.Field{op.RequiredAttr("at", op.Duration(&e.At, 0, 24*time.Hour)), op.Attr("for", op.Duration(&e.Duration, time.Millisecond, 24*time.Hour)),
 		op.Attr("every", op.Duration(&e.Every, time.Millisecond, 24*time.Hour)), op.Attr("times", op.Int(&e.Times, 1, 10_000)),
-		op.Attr("on", op.OneOf(&e.On, eventTargets[e.Do]...)), op.Attr("name", op.String(&e.Name)), op.Attr("share", op.Share(&e.Share)),
+		op.Attr("on", op.OneOf(&e.On, eventTargets[e.Kind]...)), op.Attr("name", op.String(&e.Name)), op.Attr("share", op.Share(&e.Share)),
 		op.Attr("count", op.Int(&e.Count, 1, 10_000)), op.Attr("factor", op.Number(&e.Factor, 0.001, 1e4)),
-		op.Attr("over", op.Duration(&e.Over, 0, 24*time.Hour)), op.Attr("same_address", op.Bool(&e.SameAddress)),
-		op.Attr("delay", op.Duration(&e.Delay, 0, maxSpan)), op.Attr("groups", op.Int(&e.Groups, 1, 256)), op.Attr("by", op.OneOf(&e.By, "channel", "gateways")), op.Attr("club", op.String(&e.Club)),
+		op.Attr("over", op.Duration(&e.Spread, 0, 24*time.Hour)), op.Attr("same_address", op.Bool(&e.SameAddress)),
+		op.Attr("delay", op.Duration(&e.Delay, 0, maxSpan)), op.Attr("groups", op.Int(&e.Groups, 1, 256)), op.Attr("by", op.OneOf(&e.Announcer, "channel", "gateways")), op.Attr("club", op.String(&e.Club)),
 		op.Attr("kiosks", op.Int(&e.Kiosks, 1, 10_000)), op.Attr("member", op.String(&e.Member)),
 		op.Attr("one_way", op.Bool(&e.OneWay)), op.Attr("disk", op.OneOf(&e.Disk, "kept", "lost", "old")),
 		op.Check(e.validate)}
@@ -152,27 +152,27 @@
 		"once": "share", "lag": "delay", "storm": "kiosks club member", "purge": "share groups by", "replace": "over same_address", "drain": "over",
 		"kill": "over disk", "part": "one_way", "restart": "over", "forge": "factor"}
 	given := map[string]bool{"factor": e.Factor != 0, "delay": e.Delay != 0, "kiosks": e.Kiosks != 0, "club": e.Club != "",
-		"groups": e.Groups != 0, "over": e.Over != 0, "same_address": e.SameAddress, "member": e.Member != "",
-		"one_way": e.OneWay, "disk": e.Disk != "", "by": e.By != ""}
+		"groups": e.Groups != 0, "over": e.Spread != 0, "same_address": e.SameAddress, "member": e.Member != "",
+		"one_way": e.OneWay, "disk": e.Disk != "", "by": e.Announcer != ""}
 	for _, name := range []string{"factor", "delay", "kiosks", "club", "groups", "over", "same_address", "member", "one_way", "disk", "by"} {
-		if given[name] && !slices.Contains(strings.Fields(uses[e.Do]), name) {
-			return fmt.Errorf("%s takes no %s", e.Do, name)
+		if given[name] && !slices.Contains(strings.Fields(uses[e.Kind]), name) {
+			return fmt.Errorf("%s takes no %s", e.Kind, name)
 		}
 	}
 	switch {
-	case slices.Contains(needsDuration, e.Do) && e.For == 0:
-		return fmt.Errorf("%s needs for", e.Do)
-	case strings.HasPrefix(uses[e.Do], "factor") && e.Factor == 0:
-		return fmt.Errorf("%s needs factor", e.Do)
-	case slices.Contains([]string{"fail", "lose", "cut", "once", "large"}, e.Do) && e.Share == 0:
-		return fmt.Errorf("%s needs share", e.Do)
-	case e.Do == "lag" && e.Delay == 0, e.Do == "storm" && e.Kiosks == 0:
-		return fmt.Errorf("%s needs %s", e.Do, uses[e.Do])
+	case slices.Contains(needsDuration, e.Kind) && e.Duration == 0:
+		return fmt.Errorf("%s needs for", e.Kind)
+	case strings.HasPrefix(uses[e.Kind], "factor") && e.Factor == 0:
+		return fmt.Errorf("%s needs factor", e.Kind)
+	case slices.Contains([]string{"fail", "lose", "cut", "once", "large"}, e.Kind) && e.Share == 0:
+		return fmt.Errorf("%s needs share", e.Kind)
+	case e.Kind == "lag" && e.Delay == 0, e.Kind == "storm" && e.Kiosks == 0:
+		return fmt.Errorf("%s needs %s", e.Kind, uses[e.Kind])
 	case e.Times > 1 && e.Every == 0:
 		return errors.New("times needs every")
 	case e.Disk != "" && e.On != "gateway":
 		return fmt.Errorf("kill takes disk on a gateway, not on %s", e.On)
-	case e.Do == "purge" && (e.Groups == 0) == (e.Share == 0):
+	case e.Kind == "purge" && (e.Groups == 0) == (e.Share == 0):
 		return errors.New("purge needs groups or share")
 	}
 	return nil
--- a/internal/rehearsal/script/script.go
+++ b/internal/rehearsal/script/script.go
@@ -28,7 +28,7 @@
 	Link        float64 // bandwidth into each club, bytes a second
 	Box, Hub    Box
 	Core        Core
-	List        List
+	List        Directory
 	Rules       Rules
 	Limits      Limits
 	Types       []Type
@@ -51,37 +51,37 @@
 
 // Box describes edge caches or hubs.
 type Box struct {
-	Count         int
-	Cores         [2]float64 // drawn from this range
-	Slots, Queue  int        // jobs in service and waiting, for each core; 1 slot serves first come, first served
-	Store         float64    // bytes
-	ColdShare     float64    // share of its capacity right after a start
-	ColdFor       float64    // ms until it has its full capacity
-	FallMultiple  float64    // work above this multiple of its capacity
-	FallFor       float64    // sent over this many ms makes it fail
-	FallenFor     float64    // ms until it is back
-	Fills         int        // concurrent fills for each core
-	FillTimeout   float64
-	Report, Probe float64 // ms between load reports; work of one probe
-	Errs          float64 // share of downloads that fail transiently
-	Held          float64 // share of frequently requested objects that it holds at the start
+	Count            int
+	Cores            [2]float64 // drawn from this range
+	Slots, Queue     int        // jobs in service and waiting, for each core; 1 slot serves first come, first served
+	Store            float64    // bytes
+	ColdShare        float64    // share of its capacity right after a start
+	ColdFor          float64    // ms until it has its full capacity
+	OverloadMultiple float64    // work above this multiple of its capacity
+	OverloadWindow   float64    // sent over this many ms makes it fail
+	RestartDelay     float64    // ms until it is back
+	Fills            int        // concurrent fills for each core
+	FillTimeout      float64
+	Report, Probe    float64 // ms between load reports; work of one probe
+	Errs             float64 // share of downloads that fail transiently
+	Held             float64 // share of frequently requested objects that it holds at the start
 }
 
 // Core is the member core, which produces all objects and runs the writes.
 type Core struct {
-	Capacity  float64 // cores
-	Answers   float64 // latency in ms in addition to the work
-	Crowded   float64 // relative loss of capacity for each multiple of it that is requested
-	StopsAt   float64 // multiple of its capacity at which it fails; 0: never
-	StopsFor  float64
-	StopsPush float64 // ms over which that load is measured
+	Capacity         float64 // cores
+	Latency          float64 // latency in ms in addition to the work
+	Congestion       float64 // relative loss of capacity for each multiple of it that is requested
+	OverloadMultiple float64 // multiple of its capacity at which it fails; 0: never
+	RestartDelay     float64
+	OverloadWindow   float64 // ms over which that load is measured
 }
 
-// List is how gateways learn of boxes and purges.
-type List struct {
-	Told    float64 // ms from a change until it is announced
-	Notices float64 // ms until the loss of a box is detected
-	Purges  float64 // ms from a purge until it is announced
+// Directory is how gateways learn of boxes and purges.
+type Directory struct {
+	AnnounceDelay  float64 // ms from a change until it is announced
+	DetectionDelay float64 // ms until the loss of a box is detected
+	PurgeDelay     float64 // ms from a purge until it is announced
 }
 
 // Rules are the grace periods that the auditor allows the gateways, in ms.
@@ -92,32 +92,32 @@
 
 // Type is a content type.
 type Type struct {
-	Name                  string
-	Share                 float64 // of the downloads
-	Work, Spread          float64 // mean ms to send one; sigma of the log-normal distribution of sizes
-	Parts                 int
-	Gap                   float64 // ms between a client's requests for successive parts
-	Target, Stretch       float64
-	Expiry, Fresh, Grace  float64
-	Benefit, Late         float64
-	Repeat, Scope         string
-	Window                float64
-	Write                 bool
-	Objects               int
-	Skew                  float64 // exponent of Zipf's law
-	Once, Local, OldWorth float64 // shares of objects requested only once, at one club only; share of the benefit that an outdated copy has
+	Name                      string
+	Share                     float64 // of the downloads
+	Work, Spread              float64 // mean ms to send one; sigma of the log-normal distribution of sizes
+	Parts                     int
+	Gap                       float64 // ms between a client's requests for successive parts
+	Target, Stretch           float64
+	Expiry, Fresh, Grace      float64
+	Benefit, LateBenefit      float64
+	Repeat, Scope             string
+	Window                    float64
+	Write                     bool
+	Objects                   int
+	Skew                      float64 // exponent of Zipf's law
+	Once, Local, StaleBenefit float64 // shares of objects requested only once, at one club only; share of the benefit that an outdated copy has
 }
 
 // Clients is how clients behave.
 type Clients struct {
-	Retries   int
-	Wait      float64
-	Heeds     float64    // share that waits as long as Retry-After says
-	Patience  [2]float64 // range of the expiry that clients allow, as shares of the type's expiry
-	Impatient float64    // share that leaves early
-	Members   []string   // names of the members that clients belong to, as the front end reports them; none: their location
-	Holds     float64    // share that already holds a copy
-	Notices   float64    // ms until the front end notices that a gateway died
+	Retries         int
+	Wait            float64
+	HonorRetryAfter float64    // share that waits as long as Retry-After says
+	Patience        [2]float64 // range of the expiry that clients allow, as shares of the type's expiry
+	Impatient       float64    // share that leaves early
+	Members         []string   // names of the members that clients belong to, as the front end reports them; none: their location
+	Holds           float64    // share that already holds a copy
+	DetectionDelay  float64    // ms until the front end notices that a gateway died
 }
 
 // Links is how clients use signed links; off if Life is 0.
@@ -170,24 +170,24 @@
 
 // Event is a fault or another scheduled event. The meaning of a field depends on Do; Line is its line in the script.
 type Event struct {
-	Do             string
-	Line           int
-	Number         int // position among the events; keys the random draws, so that an added comment changes nothing
-	At, For, Every float64
-	Times          int
-	On, Name       string // kind of its targets, or the name of one
-	Share, Factor  float64
-	Count          int
-	Over           float64 // ms over which its targets are spread
-	SameAddress    bool
-	Delay          float64
-	Groups         int
-	Club           string
-	Kiosks         int
-	Member         string // member that kiosks belong to
-	OneWay         bool   // only outgoing traffic of the chosen gateways is cut
-	By             string // who announces a purge: channel or gateways
-	Disk           string // state of a killed gateway: kept, lost, or old (as of the last copy)
+	Kind                string
+	Line                int
+	Number              int // position among the events; keys the random draws, so that an added comment changes nothing
+	At, Duration, Every float64
+	Times               int
+	On, Name            string // kind of its targets, or the name of one
+	Share, Factor       float64
+	Count               int
+	Spread              float64 // ms over which its targets are spread
+	SameAddress         bool
+	Delay               float64
+	Groups              int
+	Club                string
+	Kiosks              int
+	Member              string // member that kiosks belong to
+	OneWay              bool   // only outgoing traffic of the chosen gateways is cut
+	Announcer           string // who announces a purge: channel or gateways
+	Disk                string // state of a killed gateway: kept, lost, or old (as of the last copy)
 }
 
 // The kinds of events, with their possible targets (the first is the default), and those that need a duration.
@@ -260,7 +260,7 @@
 			}
 			seen = append(seen, labels[0])
 			t := Type{Name: labels[0], Parts: 1, Spread: 0.5, Target: 500, Expiry: 3000, Benefit: 1, Repeat: "retriable",
-				Scope: "all", Window: 5000, Objects: 2000, Skew: 1, OldWorth: 0.7}
+				Scope: "all", Window: 5000, Objects: 2000, Skew: 1, StaleBenefit: 0.7}
 			i := slices.IndexFunc(s.Types, func(t Type) bool { return t.Name == labels[0] })
 			if i < 0 {
 				s.Types, i = append(s.Types, t), len(s.Types)
@@ -296,7 +296,7 @@
 			if eventTargets[labels[0]] == nil {
 				return nil, fmt.Errorf("is none of %s", strings.Join(EventKinds(), ", "))
 			}
-			s.Events = append(s.Events, Event{Do: labels[0], Line: line, Number: len(s.Events), On: eventTargets[labels[0]][0], Times: 1})
+			s.Events = append(s.Events, Event{Kind: labels[0], Line: line, Number: len(s.Events), On: eventTargets[labels[0]][0], Times: 1})
 			return s.Events[len(s.Events)-1].fields(), nil
 		}),
 		operator.Check(s.validate))...)
@@ -339,19 +339,19 @@
 	}
 	for _, e := range s.Events {
 		if e.At >= s.Length() {
-			return fmt.Errorf("event %s of line %d comes at %v ms, past the end at %v ms", e.Do, e.Line, e.At, s.Length())
+			return fmt.Errorf("event %s of line %d comes at %v ms, past the end at %v ms", e.Kind, e.Line, e.At, s.Length())
 		}
-		if !s.Quorum.On && (slices.Contains([]string{"part", "copy", "fill_disk", "delay", "reset"}, e.Do) || e.Disk != "") {
-			return fmt.Errorf("event %s of line %d needs the block quorum", e.Do, e.Line)
+		if !s.Quorum.On && (slices.Contains([]string{"part", "copy", "fill_disk", "delay", "reset"}, e.Kind) || e.Disk != "") {
+			return fmt.Errorf("event %s of line %d needs the block quorum", e.Kind, e.Line)
 		}
-		if e.By == "gateways" && !s.Purges.On {
-			return fmt.Errorf("event %s of line %d needs the block purges", e.Do, e.Line)
+		if e.Announcer == "gateways" && !s.Purges.On {
+			return fmt.Errorf("event %s of line %d needs the block purges", e.Kind, e.Line)
 		}
-		if s.Links.Life == 0 && slices.Contains([]string{"forge", "rotate", "withdraw"}, e.Do) {
-			return fmt.Errorf("event %s of line %d needs the block links", e.Do, e.Line)
+		if s.Links.Life == 0 && slices.Contains([]string{"forge", "rotate", "withdraw"}, e.Kind) {
+			return fmt.Errorf("event %s of line %d needs the block links", e.Kind, e.Line)
 		}
 		if e.Club != "" && !slices.Contains(s.Clubs, e.Club) {
-			return fmt.Errorf("event %s of line %d: no club %q", e.Do, e.Line, e.Club)
+			return fmt.Errorf("event %s of line %d: no club %q", e.Kind, e.Line, e.Club)
 		}
 	}
 	return nil
@@ -363,8 +363,8 @@
 	return last.From + last.For
 }
 
-// Longest is the longest expiry, in ms.
-func (s *Script) Longest() float64 {
+// LongestExpiry is the longest expiry, in ms.
+func (s *Script) LongestExpiry() float64 {
 	longest := 0.0
 	for _, t := range s.Types {
 		longest = max(longest, t.Expiry)
@@ -374,12 +374,12 @@
 
 func defaults() *Script {
 	return &Script{Seed: 1, Clubs: []string{"club"}, Gateways: 3, Flow: 9.5e6, Near: 7, Far: 30, Link: 100e6,
-		Box: Box{Count: 10, Cores: [2]float64{5, 8}, Slots: 4, Queue: 5, Store: 4e9, ColdShare: 0.3, ColdFor: 12_000, FallMultiple: 3,
-			FallFor: 3000, FallenFor: 60_000, Fills: 5, FillTimeout: 2500, Report: 400, Probe: 0.3},
-		Hub: Box{Count: 2, Cores: [2]float64{30, 30}, Slots: 100, Queue: 20, Store: 12e9, ColdShare: 0.1, ColdFor: 18_000, FallMultiple: 2,
-			FallFor: 3000, FallenFor: 60_000, Fills: 100, FillTimeout: 2500, Report: 400, Probe: 0.3},
-		Core: Core{Capacity: 40, Answers: 25, Crowded: 0.3, StopsFor: 6000, StopsPush: 3000},
-		List: List{Told: 500, Notices: 2000, Purges: 300}, Rules: Rules{DrainGrace: 250, PurgeGrace: 500, PurgeSettles: 6000},
+		Box: Box{Count: 10, Cores: [2]float64{5, 8}, Slots: 4, Queue: 5, Store: 4e9, ColdShare: 0.3, ColdFor: 12_000, OverloadMultiple: 3,
+			OverloadWindow: 3000, RestartDelay: 60_000, Fills: 5, FillTimeout: 2500, Report: 400, Probe: 0.3},
+		Hub: Box{Count: 2, Cores: [2]float64{30, 30}, Slots: 100, Queue: 20, Store: 12e9, ColdShare: 0.1, ColdFor: 18_000, OverloadMultiple: 2,
+			OverloadWindow: 3000, RestartDelay: 60_000, Fills: 100, FillTimeout: 2500, Report: 400, Probe: 0.3},
+		Core: Core{Capacity: 40, Latency: 25, Congestion: 0.3, RestartDelay: 6000, OverloadWindow: 3000},
+		List: Directory{AnnounceDelay: 500, DetectionDelay: 2000, PurgeDelay: 300}, Rules: Rules{DrainGrace: 250, PurgeGrace: 500, PurgeSettles: 6000},
 		Limits:  Limits{MemoryMB: 192, Sockets: 1024},
-		Clients: Clients{Retries: 1, Wait: 200, Heeds: 0.8, Patience: [2]float64{0.6, 1}, Notices: 2000}}
+		Clients: Clients{Retries: 1, Wait: 200, HonorRetryAfter: 0.8, Patience: [2]float64{0.6, 1}, DetectionDelay: 2000}}
 }
--- a/internal/rehearsal/script/script_test.go
+++ b/internal/rehearsal/script/script_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Length() != 5000 || len(s.Events) != 2 || s.Events[0].Do != "drain" || s.Events[1].Factor != 3 || s.Types[0].Work != 10 {
+	if s.Length() != 5000 || len(s.Events) != 2 || s.Events[0].Kind != "drain" || s.Events[1].Factor != 3 || s.Types[0].Work != 10 {
 		t.Errorf("read as %+v", s)
 	}
 	for _, c := range [][3]string{
--- a/internal/rehearsal/sockets/maintenance_faults_test.go
+++ b/internal/rehearsal/sockets/maintenance_faults_test.go
@@ -50,7 +50,7 @@
 			return len(mc.outCount)
 		}
 		lose := func(on, name string, ms float64) {
-			mc.stage.Do(func(w *world.World) { w.ApplyEvent(script.Event{Do: "kill", On: on, Name: name, For: ms}) })
+			mc.stage.Do(func(w *world.World) { w.ApplyEvent(script.Event{Kind: "kill", On: on, Name: name, Duration: ms}) })
 		}
 		mc.waitFor("two machines have gone out", func() bool { return departed() >= 2 })
 		lose("hub", mc.hubs[2], 2500)
@@ -87,7 +87,7 @@
 		t.Run(silent, func(t *testing.T) {
 			runMaintenance(t, "  most = 1\n  drain = \"700ms\"\n  silent = \""+silent+"\"\n", func(mc *machineCluster) {
 				name := "m-" + mc.boxes[0]
-				mc.inject(script.Event{Do: "delay", Name: mc.names[4], For: 4000, Delay: 800})
+				mc.inject(script.Event{Kind: "delay", Name: mc.names[4], Duration: 4000, Delay: 800})
 				mc.requestMaintenance(name)
 				why := ""
 				mc.waitFor("a machine with the reason "+reason, func() bool {
@@ -112,7 +112,7 @@
 func TestRequestsFromBothSidesOfPartition(t *testing.T) {
 	runMaintenance(t, "  most = 1\n  drain = \"6s\"\n", func(mc *machineCluster) {
 		name, other := "m-"+mc.boxes[0], "m-"+mc.boxes[1]
-		mc.inject(script.Event{Do: "part", Name: mc.names[0], For: 2500})
+		mc.inject(script.Event{Kind: "part", Name: mc.names[0], Duration: 2500})
 		submit := func(machine string, from int) bool {
 			err, ok := mc.submitOrder(maintenance.Submit, maintenance.CommandData{Request: &maintenance.Request{ID: "r-" + machine, Machine: machine, Duration: windowMillis}}, from)
 			return err == nil && ok
--- a/internal/rehearsal/sockets/maintenance_test.go
+++ b/internal/rehearsal/sockets/maintenance_test.go
@@ -245,11 +245,11 @@
 	node := strings.TrimPrefix(name, "m-")
 	mc.stage.Do(func(w *world.World) {
 		if slices.Contains(mc.boxes, node) {
-			w.ApplyEvent(script.Event{Do: "kill", On: "edge", Name: node, For: windowMillis})
+			w.ApplyEvent(script.Event{Kind: "kill", On: "edge", Name: node, Duration: windowMillis})
 		} else if slices.Contains(mc.hubs, node) {
-			w.ApplyEvent(script.Event{Do: "kill", On: "hub", Name: node, For: windowMillis})
+			w.ApplyEvent(script.Event{Kind: "kill", On: "hub", Name: node, Duration: windowMillis})
 		} else {
-			w.ApplyEvent(script.Event{Do: "restart", On: "gateway", Name: node, For: windowMillis})
+			w.ApplyEvent(script.Event{Kind: "restart", On: "gateway", Name: node, Duration: windowMillis})
 		}
 	})
 }
@@ -332,7 +332,7 @@
 			defer close(frozen)
 			for end := time.Now().Add(20 * time.Second); !mc.stage.ProcessStopped(old) && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 			}
-			mc.inject(script.Event{Do: "freeze", Name: mc.names[old], For: 5000})
+			mc.inject(script.Event{Kind: "freeze", Name: mc.names[old], Duration: 5000})
 		}()
 		mc.requestMaintenance(requested...)
 		<-frozen
@@ -342,7 +342,7 @@
 		mc.lost = 1
 		mc.mu.Unlock()
 		mc.stage.Do(func(w *world.World) {
-			w.ApplyEvent(script.Event{Do: "kill", On: "edge", Name: mc.boxes[5], For: 2500})
+			w.ApplyEvent(script.Event{Kind: "kill", On: "edge", Name: mc.boxes[5], Duration: 2500})
 		})
 		mc.waitFor("the log shows the loss", func() bool {
 			return slices.ContainsFunc(mc.fleet().Machines, func(m machines.Machine) bool { return m.Degraded && m.Work == nil })
@@ -372,8 +372,8 @@
 		mc.neverReturn[first] = true
 		mc.requestMaintenance(first)
 		mc.waitFor(first+" is overdue", func() bool { return stage(first) == "overdue" })
-		mc.inject(script.Event{Do: "part", Name: mc.names[0], For: 4000})
-		mc.inject(script.Event{Do: "part", Name: mc.names[1], For: 4000, OneWay: true})
+		mc.inject(script.Event{Kind: "part", Name: mc.names[0], Duration: 4000})
+		mc.inject(script.Event{Kind: "part", Name: mc.names[1], Duration: 4000, OneWay: true})
 		o := maintenance.CommandData{At: float64(time.Now().UnixMilli()), Request: &maintenance.Request{ID: "r-" + rest[0], Machine: rest[0], Duration: windowMillis}}
 		r, err := mc.stage.Call(0, drive.Query{Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: maintenance.Submit, Data: canon.Encode(o)}}, 1500*time.Millisecond)
 		if err == nil && r.Error == "" {
@@ -389,7 +389,7 @@
 			return false
 		})
 		for _, g := range mc.names {
-			mc.inject(script.Event{Do: "kill", Name: g, For: 800})
+			mc.inject(script.Event{Kind: "kill", Name: g, Duration: 800})
 		}
 		mc.waitAllIn(2, rest...)
 		if s := stage(first); s != "overdue" {
--- a/internal/rehearsal/sockets/owner_test.go
+++ b/internal/rehearsal/sockets/owner_test.go
@@ -96,7 +96,7 @@
 	c.mu.Lock()
 	c.failpoints[gateway] = fmt.Sprintf("failpoints {\n  %s = [%q]\n}\n", action, point)
 	c.mu.Unlock()
-	c.inject(script.Event{Do: "hup", Name: c.names[gateway]})
+	c.inject(script.Event{Kind: "hup", Name: c.names[gateway]})
 	c.waitFor("the failpoint is in force", func() bool { return armedCount() > before })
 	c.mu.Lock()
 	delete(c.failpoints, gateway)
@@ -191,7 +191,7 @@
 				c.startDrill("work", x.typ, 30, 3, 3)
 				c.waitForFailpoint(old)
 				first := c.waitForJob("work", "granted", func(j owner.Report) bool { return j.Owner == c.names[old] })
-				c.inject(script.Event{Do: "freeze", Name: c.names[old], For: 4000})
+				c.inject(script.Event{Kind: "freeze", Name: c.names[old], Duration: 4000})
 				next := c.waitForJob("work", "another gateway is the owner", func(j owner.Report) bool { return j.Token > first.Token })
 				if next.Owner == first.Owner && next.Incarnation == first.Incarnation {
 					t.Errorf("the frozen owner %s was granted the job again", next.Owner)
@@ -230,7 +230,7 @@
 			return
 		}
 		if l >= 0 {
-			c.inject(script.Event{Do: "kill", Name: c.names[l], For: 100})
+			c.inject(script.Event{Kind: "kill", Name: c.names[l], Duration: 100})
 			c.waitForReports("a new leader is elected", func(all []*quorum.Report) bool { x := leader(all); return x >= 0 && all[x].Term > before[l].Term })
 		}
 	}
@@ -248,9 +248,9 @@
 		const steps = 1500
 		c.startDrill("work", owner.Keyed, steps, 100, 4) // executed at all others, never at the owner itself
 		c.waitForFailpoint(old)
-		c.inject(script.Event{Do: "freeze", Name: c.names[old], For: 3500})
+		c.inject(script.Event{Kind: "freeze", Name: c.names[old], Duration: 3500})
 		next := c.waitForJob("work", "another gateway is the owner", func(j owner.Report) bool { return j.Owner != "" && j.Owner != c.names[old] })
-		c.inject(script.Event{Do: "kill", Name: next.Owner, For: 500})
+		c.inject(script.Event{Kind: "kill", Name: next.Owner, Duration: 500})
 		c.waitForReports("the old owner has rejoined", c.converged)
 		all := c.finishJob("work")
 		c.checkSteps(all, "work", steps, true)
@@ -335,7 +335,7 @@
 			c.armFailpoint(victim, "kill", where, 1)
 			c.startDrill(name, owner.Unsafe, 12, 3, 2)
 			c.waitForFailpoint(victim)
-			c.inject(script.Event{Do: "start", Name: c.names[victim]})
+			c.inject(script.Event{Kind: "start", Name: c.names[victim]})
 			c.waitForReports("all converged after "+where, c.converged)
 			c.checkSteps(c.finishJob(name), name, 12, true)
 		}
@@ -349,7 +349,7 @@
 		before := c.waitForReports("all converged", c.converged)
 		c.startDrill("rolling", owner.Unsafe, 300, 2, 5)
 		for i := range c.names {
-			c.inject(script.Event{Do: "restart", Name: c.names[i], For: 100})
+			c.inject(script.Event{Kind: "restart", Name: c.names[i], Duration: 100})
 			c.waitForReports("converged after a restart", func(all []*quorum.Report) bool {
 				return c.converged(all) && all[i].Incarnation > before[i].Incarnation
 			})
@@ -360,7 +360,7 @@
 		l := leader(c.waitForReports("a leader", func(all []*quorum.Report) bool { return leader(all) >= 0 }))
 		for i := range 3 {
 			if i != (l+1)%3 {
-				c.inject(script.Event{Do: "kill", Name: c.names[i], For: 1500})
+				c.inject(script.Event{Kind: "kill", Name: c.names[i], Duration: 1500})
 			}
 		}
 		c.waitForReports("there is no leader", func(all []*quorum.Report) bool { return leader(all) < 0 })
@@ -372,7 +372,7 @@
 			if j.Owner == "" {
 				break
 			}
-			c.inject(script.Event{Do: "kill", Name: j.Owner, For: 150})
+			c.inject(script.Event{Kind: "kill", Name: j.Owner, Duration: 150})
 			c.waitForReports("converged after a kill", c.converged)
 		}
 		c.checkSteps(c.finishJob("twice"), "twice", 300, true)
@@ -389,11 +389,11 @@
 			c.startDrill(name, typ, 200, 3, 3)
 			j := c.waitForJob(name, "begun", func(j owner.Report) bool { return j.Done > 5 })
 			if j.Owner != "" {
-				c.inject(script.Event{Do: "delay", Name: j.Owner, For: 2500, Delay: 3000})
+				c.inject(script.Event{Kind: "delay", Name: j.Owner, Duration: 2500, Delay: 3000})
 			}
 			for range 3 {
 				if j = c.job(name); j.Owner != "" {
-					c.inject(script.Event{Do: "reset", Name: j.Owner})
+					c.inject(script.Event{Kind: "reset", Name: j.Owner})
 				}
 				time.Sleep(300 * time.Millisecond) // spaces the faults; nothing depends on it
 			}
@@ -420,25 +420,25 @@
 			injected, lost := fmt.Sprintf("%d:", n), -1
 			for range 1 + int(2*seed.Float64()) {
 				x := int(seed.Float64() * 5)
-				e := script.Event{Name: c.names[x], For: 300 + 2500*seed.Float64()}
+				e := script.Event{Name: c.names[x], Duration: 300 + 2500*seed.Float64()}
 				switch k := int(seed.Float64() * 7); k {
 				case 0:
-					e.Do = "kill"
+					e.Kind = "kill"
 				case 1:
-					e.Do = "freeze"
+					e.Kind = "freeze"
 				case 2:
-					e.Do = "part"
+					e.Kind = "part"
 				case 3:
-					e.Do, e.OneWay = "part", true
+					e.Kind, e.OneWay = "part", true
 				case 4:
-					e.Do, e.For = "restart", 100
+					e.Kind, e.Duration = "restart", 100
 				case 5:
-					e.Do, e.Disk = "kill", "lost"
+					e.Kind, e.Disk = "kill", "lost"
 				case 6:
-					c.inject(script.Event{Do: "copy", Name: e.Name})
-					e.Do, e.Disk = "kill", "old"
+					c.inject(script.Event{Kind: "copy", Name: e.Name})
+					e.Kind, e.Disk = "kill", "old"
 				}
-				injected += fmt.Sprintf(" %s %s %s %.0f ms", e.Do, e.Name, e.Disk, e.For)
+				injected += fmt.Sprintf(" %s %s %s %.0f ms", e.Kind, e.Name, e.Disk, e.Duration)
 				if c.inject(e); e.Disk != "" { // a lost disk has to be compensated before the next one is lost
 					lost = x
 					break
@@ -493,7 +493,7 @@
 						}
 					}
 					at := time.Now()
-					c.inject(script.Event{Do: do, Name: j.Owner, For: 5000}) // longer than an election and a lease, otherwise the owner is not declared lost
+					c.inject(script.Event{Kind: do, Name: j.Owner, Duration: 5000}) // longer than an election and a lease, otherwise the owner is not declared lost
 					for c.job(name).Token == j.Token {
 						time.Sleep(2 * time.Millisecond)
 					}
--- a/internal/rehearsal/sockets/purges_test.go
+++ b/internal/rehearsal/sockets/purges_test.go
@@ -146,9 +146,9 @@
 	runPurgeCluster(t, nil, purges.Limits{Delay: 2500, Skew: 100, Batch: 500, MaxBounds: 1000}, func(pc *purgeCluster) {
 		pc.waitFor("clients have requested enough objects", func() bool { return len(pc.requestedObjects(3)) >= 15 })
 		objects, cutOff, sendCut, frozen := pc.requestedObjects(1), 4, 3, 0
-		pc.inject(script.Event{Do: "part", Name: pc.names[cutOff], For: 9000})
-		pc.inject(script.Event{Do: "part", Name: pc.names[sendCut], For: 9000, OneWay: true})
-		pc.inject(script.Event{Do: "freeze", Name: pc.names[frozen], For: 4000})
+		pc.inject(script.Event{Kind: "part", Name: pc.names[cutOff], Duration: 9000})
+		pc.inject(script.Event{Kind: "part", Name: pc.names[sendCut], Duration: 9000, OneWay: true})
+		pc.inject(script.Event{Kind: "freeze", Name: pc.names[frozen], Duration: 4000})
 		x := pc.acceptPurge(purges.Purge{ID: "class-7", Objects: objects}, 1)
 		when, by := x.Accepted-pc.epoch(), x.Effective-pc.epoch()
 		if x.Effective != x.Accepted+pc.limits.Delay {
@@ -187,10 +187,10 @@
 		first := pc.waitForJob(sweep.BatchJob, "owned", func(j owner.Report) bool { return j.Owner != "" })
 		sent := func(n int) func() bool { return func() bool { return pc.purgeStatus("long", 1).Published >= n } }
 		pc.waitFor("four batches are sent", sent(4))
-		pc.inject(script.Event{Do: "freeze", Name: first.Owner, For: 4000})
+		pc.inject(script.Event{Kind: "freeze", Name: first.Owner, Duration: 4000})
 		pc.waitFor("the purge continues", sent(8))
 		lost := (pc.index(first.Owner) + 1) % 5
-		pc.inject(script.Event{Do: "kill", Name: pc.names[lost], For: 300, Disk: "lost"})
+		pc.inject(script.Event{Kind: "kill", Name: pc.names[lost], Duration: 300, Disk: "lost"})
 		pc.waitFor("the purge continues without one gateway", sent(12))
 		newer := pc.acceptPurge(purges.Purge{ID: "newer", Groups: []int64{int64(pc.groups[objects[20]])}, Club: ""}, 2)
 		pc.acceptPurge(purges.Purge{ID: "stopped", Objects: objects[:6]}, 2)
@@ -202,7 +202,7 @@
 			t.Errorf("cancelled purge: %+v", x)
 		}
 		for _, g := range pc.names {
-			pc.inject(script.Event{Do: "kill", Name: g, For: 300})
+			pc.inject(script.Event{Kind: "kill", Name: g, Duration: 300})
 		}
 		pc.waitForReports("all converged", pc.converged)
 		pc.waitFor("all batches are sent", sent(24))
--- a/internal/rehearsal/sockets/quorum_test.go
+++ b/internal/rehearsal/sockets/quorum_test.go
@@ -204,7 +204,7 @@
 	runCluster(t, nil, func(c *cluster) {
 		before := c.waitForReports("all converged", c.converged)
 		old := leader(before)
-		c.inject(script.Event{Do: "freeze", Name: c.names[old], For: 4000})
+		c.inject(script.Event{Kind: "freeze", Name: c.names[old], Duration: 4000})
 		c.waitForReports("another gateway leads and reports the old leader as silent", func(all []*quorum.Report) bool {
 			l := leader(all)
 			return all[old] == nil && l >= 0 && all[l].Term > before[old].Term && member(all[l], c.names[old]).State == "silent"
@@ -223,7 +223,7 @@
 		before := c.waitForReports("all converged", c.converged)
 		old := leader(before)
 		lost, cut := (old+1)%3, (old+2)%3
-		c.inject(script.Event{Do: "kill", Name: c.names[lost], For: 500, Disk: "lost"})
+		c.inject(script.Event{Kind: "kill", Name: c.names[lost], Duration: 500, Disk: "lost"})
 		back := c.waitForReports("the voter without its disk follows under a new identity", func(all []*quorum.Report) bool {
 			r := all[lost]
 			return r != nil && r.Identity != before[lost].Identity && r.Role == "follower" && r.Incarnation > before[lost].Incarnation
@@ -231,10 +231,10 @@
 		if back[lost].Cluster != before[lost].Cluster {
 			t.Errorf("it belongs to cluster %x instead of %x", back[lost].Cluster, before[lost].Cluster)
 		}
-		c.inject(script.Event{Do: "part", Name: c.names[cut], For: 3000, OneWay: true})
+		c.inject(script.Event{Kind: "part", Name: c.names[cut], Duration: 3000, OneWay: true})
 		c.waitForReports("no leader with two voters, one of which can't send", func(all []*quorum.Report) bool { return leader(all) < 0 })
 		c.waitForReports("all converged after the cut is healed", c.converged)
-		c.inject(script.Event{Do: "restart", Name: c.names[cut]})
+		c.inject(script.Event{Kind: "restart", Name: c.names[cut]})
 		after := c.waitForReports("all converged after a restart", func(all []*quorum.Report) bool {
 			return c.converged(all) && all[cut].Incarnation > before[cut].Incarnation
 		})
@@ -251,7 +251,7 @@
 		before := c.waitForReports("all converged", c.converged)
 		old := leader(before)
 		lost, next := (old+1)%3, (old+2)%3
-		c.inject(script.Event{Do: "kill", Name: c.names[lost], For: 50_000, Disk: "lost"})
+		c.inject(script.Event{Kind: "kill", Name: c.names[lost], Duration: 50_000, Disk: "lost"})
 		replaced := c.waitForReports("another gateway replaces the lost voter", func(all []*quorum.Report) bool {
 			n := 0
 			for i, r := range all {
@@ -261,7 +261,7 @@
 			}
 			return n == 3 && leader(all) >= 0
 		})
-		c.inject(script.Event{Do: "kill", Name: c.names[next], For: 50_000})
+		c.inject(script.Event{Kind: "kill", Name: c.names[next], Duration: 50_000})
 		c.waitForReports("two of three voters commit a loss", func(all []*quorum.Report) bool {
 			l := leader(all)
 			return l >= 0 && l != next && all[l].Term >= replaced[leader(replaced)].Term && member(all[l], c.names[next]).State == "silent"
--- a/internal/rehearsal/sockets/stage.go
+++ b/internal/rehearsal/sockets/stage.go
@@ -201,7 +201,7 @@
 		if s.world.Done() {
 			s.reportEffects()
 		}
-		if s.world.Done() || now > s.script.Length()+2*s.script.Longest()+10_000 {
+		if s.world.Done() || now > s.script.Length()+2*s.script.LongestExpiry()+10_000 {
 			s.stop(errFinished)
 			break
 		}
--- a/internal/rehearsal/sockets/store_test.go
+++ b/internal/rehearsal/sockets/store_test.go
@@ -18,9 +18,9 @@
 		l := leader(before)
 		back := (l + 1) % 3
 		c.startDrill("work", owner.Unsafe, 400, 4, 2)
-		c.inject(script.Event{Do: "copy", Name: c.names[back]})
+		c.inject(script.Event{Kind: "copy", Name: c.names[back]})
 		c.waitForJob("work", "further than the copied state", func(j owner.Report) bool { return j.Done > 20 })
-		c.inject(script.Event{Do: "kill", Name: c.names[back], For: 200, Disk: "old"})
+		c.inject(script.Event{Kind: "kill", Name: c.names[back], Duration: 200, Disk: "old"})
 		after := c.waitForReports("it rejoins under a new identity, and there are three voters", func(all []*quorum.Report) bool {
 			r := all[back]
 			return r != nil && r.Identity != before[back].Identity && r.Incarnation > before[back].Incarnation && hasVoters(all, 3)
@@ -31,12 +31,12 @@
 			}
 		}
 		full := leader(c.waitForReports("a leader", func(all []*quorum.Report) bool { return leader(all) >= 0 }))
-		c.inject(script.Event{Do: "fill_disk", Name: c.names[full], For: 60_000})
+		c.inject(script.Event{Kind: "fill_disk", Name: c.names[full], Duration: 60_000})
 		c.startDrill("more", owner.Unsafe, 40, 4, 2)
 		c.waitForReports("it reports its full disk, and another gateway leads", func(all []*quorum.Report) bool {
 			return all[full] != nil && all[full].Role == "broken" && leader(all) >= 0
 		})
-		c.inject(script.Event{Do: "kill", Name: c.names[full], For: 100})
+		c.inject(script.Event{Kind: "kill", Name: c.names[full], Duration: 100})
 		c.waitForReports("all converged after its restart", c.converged)
 		c.checkSteps(c.finishJob("work"), "work", 400, true)
 		c.checkSteps(c.finishJob("more"), "more", 40, true)
@@ -53,17 +53,17 @@
 		job := c.waitForJob("work", "begun", func(j owner.Report) bool { return j.Done > 10 && j.Token > 0 })
 		for i := range 3 {
 			if i != rest {
-				c.inject(script.Event{Do: "kill", Name: c.names[i], For: 3_600_000, Disk: "lost"})
+				c.inject(script.Event{Kind: "kill", Name: c.names[i], Duration: 3_600_000, Disk: "lost"})
 			}
 		}
 		c.waitForReports("there is no leader", func(all []*quorum.Report) bool { return all[rest] != nil && leader(all) < 0 })
-		c.inject(script.Event{Do: "kill", Name: c.names[rest], For: 3_600_000})
+		c.inject(script.Event{Kind: "kill", Name: c.names[rest], Duration: 3_600_000})
 		c.waitFor("its process has exited", func() bool { return c.stage.ProcessExited(rest) })
 		out, err := exec.Command(debugBinary, "quorum", "recover", "--yes", c.stage.gateways[rest].storePath()).CombinedOutput()
 		if err != nil {
 			t.Fatalf("%v: %s", err, out)
 		}
-		c.inject(script.Event{Do: "start", Name: c.names[rest]})
+		c.inject(script.Event{Kind: "start", Name: c.names[rest]})
 		c.waitForReports("the remaining gateways have joined the new cluster", func(all []*quorum.Report) bool {
 			joined := 0
 			for _, r := range all {
@@ -75,7 +75,7 @@
 		})
 		for i := range 3 {
 			if i != rest {
-				c.inject(script.Event{Do: "start", Name: c.names[i]})
+				c.inject(script.Event{Kind: "start", Name: c.names[i]})
 			}
 		}
 		c.waitForReports("all converged, and there are three voters", func(all []*quorum.Report) bool { return c.converged(all) && hasVoters(all, 3) })
--- a/internal/rehearsal/virtual/virtual.go
+++ b/internal/rehearsal/virtual/virtual.go
@@ -114,7 +114,7 @@
 // Run plays a script to its end.
 func Run(s *script.Script, o Options) (Stats, error) {
 	if slices.ContainsFunc(s.Events, func(e script.Event) bool {
-		return slices.Contains([]string{"freeze", "part", "copy", "fill_disk", "delay", "reset"}, e.Do) || e.Disk != ""
+		return slices.Contains([]string{"freeze", "part", "copy", "fill_disk", "delay", "reset"}, e.Kind) || e.Disk != ""
 	}) || len(s.Jobs) > 0 || s.Quorum.On && s.Quorum.Warm == 0 {
 		return Stats{}, errors.New("consensus groups, jobs, gateway freezes, network and disk faults can be rehearsed on sockets only")
 	}
@@ -126,7 +126,7 @@
 	if s.Quorum.On {
 		d.consensus = newReplicatedLog(d)
 	}
-	end := s.Length() + 2*s.Longest() + 10_000
+	end := s.Length() + 2*s.LongestExpiry() + 10_000
 	for !d.world.Done() && d.now < end {
 		at, ok := d.agenda.Next()
 		worldDue, worldOK := d.world.Next()
--- a/internal/rehearsal/virtual/work_order_test.go
+++ b/internal/rehearsal/virtual/work_order_test.go
@@ -160,11 +160,11 @@
 					s.Phases = append(s.Phases, script.Phase{Name: fmt.Sprint("n", at), From: at, For: 10_000, Rate: 150})
 				}
 				for _, name := range slices.Sorted(maps.Keys(outAt)) {
-					s.Events = append(s.Events, script.Event{Do: "drain", Times: 1, On: "edge", Name: name, At: outAt[name] - drainTime, For: drainTime + workTime, Number: len(s.Events)},
-						script.Event{Do: "kill", Times: 1, On: "edge", Name: name, At: outAt[name], For: workTime, Number: len(s.Events) + 1})
+					s.Events = append(s.Events, script.Event{Kind: "drain", Times: 1, On: "edge", Name: name, At: outAt[name] - drainTime, Duration: drainTime + workTime, Number: len(s.Events)},
+						script.Event{Kind: "kill", Times: 1, On: "edge", Name: name, At: outAt[name], Duration: workTime, Number: len(s.Events) + 1})
 				}
 				if lost != "" {
-					s.Events = append(s.Events, script.Event{Do: "kill", Times: 1, On: "edge", Name: lost, At: lossAt, For: lossDuration, Number: len(s.Events)})
+					s.Events = append(s.Events, script.Event{Kind: "kill", Times: 1, On: "edge", Name: lost, At: lossAt, Duration: lossDuration, Number: len(s.Events)})
 				}
 				r, audit, _ := runScript(t, s, Faults{})
 				if !r.Outcome.Holds {
--- a/internal/rehearsal/world/box.go
+++ b/internal/rehearsal/world/box.go
@@ -105,10 +105,10 @@
 	}
 	b.cpu = newSharedResource(&w.agenda, w.clock, cores, maxPerJob, slots)
 	if r == core {
-		b.cpu.crowding = w.script.Core.Crowded
+		b.cpu.crowding = w.script.Core.Congestion
 	}
 	b.store = newStore(spec.Store)
-	b.sentWork, b.informedWork = newRecentSum(spec.FallFor), newRecentSum(spec.FallFor)
+	b.sentWork, b.informedWork = newRecentSum(spec.OverloadWindow), newRecentSum(spec.OverloadWindow)
 	w.boxes[id] = b
 	w.boxOrder = append(w.boxOrder, b)
 	return b
@@ -175,9 +175,9 @@
 // should not have sent that much.
 func (b *box) countWork(work float64, senderKnows bool) {
 	w := b.w
-	multiple, span := b.spec.FallMultiple, b.spec.FallFor
+	multiple, span := b.spec.OverloadMultiple, b.spec.OverloadWindow
 	if b.role == core {
-		multiple, span = w.script.Core.StopsAt, w.script.Core.StopsPush
+		multiple, span = w.script.Core.OverloadMultiple, w.script.Core.OverloadWindow
 	}
 	b.sentWork.Add(w.now, work)
 	if senderKnows {
@@ -194,9 +194,9 @@
 	b.sentWork.Clear()
 	b.informedWork.Clear()
 	b.stop()
-	restartDelay := b.spec.FallenFor
+	restartDelay := b.spec.RestartDelay
 	if b.role == core {
-		restartDelay = w.script.Core.StopsFor
+		restartDelay = w.script.Core.RestartDelay
 	}
 	if restartDelay > 0 {
 		w.scheduleRestart(b, restartDelay)
@@ -408,7 +408,7 @@
 	}
 	m := &objectCopy{key: r.key, group: r.typ.group(w, r.key.object), typ: r.typ, createdAt: w.now, size: r.bytes}
 	m.tag = w.tag(m.key, m.group, m.createdAt)
-	b.cpu.add(r.work, func() { w.scheduleAfter(w.script.Core.Answers, func() { done(m) }) })
+	b.cpu.add(r.work, func() { w.scheduleAfter(w.script.Core.Latency, func() { done(m) }) })
 }
 
 // transferFill sends a fill over the link into a club.
@@ -458,7 +458,7 @@
 			if w.random.uniform("lost", r.id, to.id) < to.loseShare {
 				return
 			}
-			w.scheduleAfter(hop+w.script.Core.Answers, func() {
+			w.scheduleAfter(hop+w.script.Core.Latency, func() {
 				if !timedOut && b.up {
 					w.agenda.Remove(r.timer)
 					j := b.cpu.add(r.work, func() {
--- a/internal/rehearsal/world/clients.go
+++ b/internal/rehearsal/world/clients.go
@@ -72,7 +72,7 @@
 func (w *World) startTraffic() {
 	factor := 1.0
 	for _, e := range w.script.Events {
-		if e.Do == "traffic" {
+		if e.Kind == "traffic" {
 			factor *= max(1, e.Factor)
 		}
 	}
@@ -189,7 +189,7 @@
 func (w *World) largestFactor() float64 {
 	largest := 1.0
 	for _, e := range w.script.Events {
-		if e.Do == "large" {
+		if e.Kind == "large" {
 			largest = max(largest, e.Factor)
 		}
 	}
@@ -340,7 +340,7 @@
 		w.finish(op, verdict)
 	case answer.Status == 429 || answer.Status == 503:
 		wait := w.script.Clients.Wait
-		if w.random.uniform("heeds", op.typ.Name, op.number, op.attempts) < w.script.Clients.Heeds {
+		if w.random.uniform("heeds", op.typ.Name, op.number, op.attempts) < w.script.Clients.HonorRetryAfter {
 			wait = max(wait, answer.Wait)
 		}
 		w.retry(op, Throttled, wait, true)
@@ -394,7 +394,7 @@
 	w.report(Down{At: w.now, Gateway: g.number, Crashed: crashed})
 	terminated := g.ending
 	if g.routedUntil = 0; !terminated {
-		g.routedUntil = w.now + w.script.Clients.Notices
+		g.routedUntil = w.now + w.script.Clients.DetectionDelay
 	}
 	g.up, g.ready, g.ending = false, false, false
 	var open []*openRequest
--- a/internal/rehearsal/world/config.go
+++ b/internal/rehearsal/world/config.go
@@ -40,9 +40,9 @@
 	var pieces, writes, fresh, grace, old []any
 	for _, t := range s.Types {
 		classes = append(classes, map[string]any{"name": t.Name, "promise": t.Target, "aim_stretch": t.Stretch, "hard_limit": t.Expiry,
-			"effect": repeat[t.Repeat], "key_scope": t.Scope, "key_ttl": t.Window, "worth": t.Benefit, "late_worth": t.Late})
+			"effect": repeat[t.Repeat], "key_scope": t.Scope, "key_ttl": t.Window, "worth": t.Benefit, "late_worth": t.LateBenefit})
 		pieces, writes = append(pieces, t.Parts > 1), append(writes, t.Write)
-		fresh, grace, old = append(fresh, t.Fresh), append(grace, t.Grace), append(old, t.OldWorth)
+		fresh, grace, old = append(fresh, t.Fresh), append(grace, t.Grace), append(old, t.StaleBenefit)
 	}
 	return name, seed, map[string]any{
 		"azs": zones, "zone": g.zone, "index": number, "replicas_of_me": len(w.gateways), "kinds": []any{"box", "hub", "core"},
@@ -51,13 +51,13 @@
 			"can_join": false, "class_write": writes, "in_pieces": pieces, "max_age": fresh, "grace_for": grace, "class_stale_worth": old,
 			"one_flow_kb_per_s": s.Flow / 1000, "seats_by_zone": seats, "attached_to": attached, "pipe_kb_per_s": pipes,
 			"purge_settles": s.Rules.PurgeSettles, "heed_within": s.Rules.PurgeGrace, "parent_cold_from": s.Hub.ColdShare,
-			"upper_cold": s.Hub.ColdFor, "upper_fall_multiple": s.Hub.FallMultiple, "origin_stops_at": s.Core.StopsAt,
-			"origin_fall": s.Core.StopsPush},
+			"upper_cold": s.Hub.ColdFor, "upper_fall_multiple": s.Hub.OverloadMultiple, "origin_stops_at": s.Core.OverloadMultiple,
+			"origin_fall": s.Core.OverloadWindow},
 		"permissions": map[string]any{"cancel": true, "probing": true, "second_copies": true, "retry_after": true, "max_retry_after": 500,
 			"send_cap": 8, "max_open": 20_000, "streams_per_conn": 32, "connect_timeout": 400, "keepalive": 30_000},
 		"report": map[string]any{"how": "answers", "fields": []any{"inflight", "util"}},
 		"rules": map[string]any{"answer_slack": 8, "drain_grace": s.Rules.DrainGrace, "cold_share": s.Box.ColdShare, "cold": s.Box.ColdFor,
-			"fall": s.Box.FallFor, "fall_multiple": s.Box.FallMultiple},
+			"fall": s.Box.OverloadWindow, "fall_multiple": s.Box.OverloadMultiple},
 	}
 }
 
--- a/internal/rehearsal/world/directory.go
+++ b/internal/rehearsal/world/directory.go
@@ -87,7 +87,7 @@
 		w.scheduleAfter(delay, func() { b.start(false) })
 		return
 	}
-	w.scheduleAfter(w.script.List.Notices+w.directory.lag, func() {
+	w.scheduleAfter(w.script.List.DetectionDelay+w.directory.lag, func() {
 		if !b.up {
 			b.state = "gone"
 			w.directory.publish(w, false, b)
@@ -99,7 +99,7 @@
 		}
 		b.state = "ready"
 		b.start(true)
-		w.publishLater(w.script.List.Told, b)
+		w.publishLater(w.script.List.AnnounceDelay, b)
 	})
 }
 
@@ -111,7 +111,7 @@
 	} else {
 		w.groupPurges[group] = append(w.groupPurges[group], at)
 	}
-	w.scheduleAfter(w.script.List.Purges+w.directory.lag, func() {
+	w.scheduleAfter(w.script.List.PurgeDelay+w.directory.lag, func() {
 		notice := map[string]any{"when": int64(w.epoch + at)}
 		if object != "" {
 			notice["id"] = object
--- a/internal/rehearsal/world/faults.go
+++ b/internal/rehearsal/world/faults.go
@@ -21,7 +21,7 @@
 	case roles[e.On] > edge || e.On == "edge":
 		targets := w.targets(e, round)
 		for n, b := range targets {
-			w.scheduleAfter(float64(n)*e.Over/float64(len(targets)), func() { w.applyToBox(e, b, n) })
+			w.scheduleAfter(float64(n)*e.Spread/float64(len(targets)), func() { w.applyToBox(e, b, n) })
 		}
 	default:
 		w.applyElsewhere(e)
@@ -44,7 +44,7 @@
 		return cmp.Compare(w.random.hash("pick", e.Number, round, id(a)), w.random.hash("pick", e.Number, round, id(b)))
 	})
 	n := 1
-	shares := !slices.Contains([]string{"fail", "lose", "cut"}, e.Do) && e.Share > 0
+	shares := !slices.Contains([]string{"fail", "lose", "cut"}, e.Kind) && e.Share > 0
 	if e.Count > 0 {
 		n = e.Count
 	} else if shares {
@@ -55,8 +55,8 @@
 
 // undoAfter reverts an event after its duration, if it has one.
 func (w *World) undoAfter(e *script.Event, undo func()) {
-	if e.For > 0 {
-		w.scheduleAfter(e.For, undo)
+	if e.Duration > 0 {
+		w.scheduleAfter(e.Duration, undo)
 	}
 }
 
@@ -64,7 +64,7 @@
 	if !b.up {
 		return
 	}
-	switch e.Do {
+	switch e.Kind {
 	case "kill":
 		b.stop()
 		w.scheduleReturn(e, b)
@@ -72,7 +72,7 @@
 		b.vanished = true
 		w.emit(Close{Address: b.addr, Drop: true})
 		b.updateCapacity()
-		w.scheduleAfter(3*w.script.List.Notices+w.directory.lag, func() { // silence is detected later than a closed connection
+		w.scheduleAfter(3*w.script.List.DetectionDelay+w.directory.lag, func() { // silence is detected later than a closed connection
 			if b.vanished {
 				b.state = "gone"
 				w.directory.publish(w, false, b)
@@ -82,7 +82,7 @@
 			b.stop()
 			b.state = "ready"
 			b.start(true)
-			w.publishLater(w.script.List.Told, b)
+			w.publishLater(w.script.List.AnnounceDelay, b)
 		})
 	case "silent":
 		b.silent = true
@@ -105,11 +105,11 @@
 		b.cutShare += e.Share
 		w.undoAfter(e, func() { b.cutShare -= e.Share })
 	case "drain":
-		w.publishLater(w.script.List.Told, b)
+		w.publishLater(w.script.List.AnnounceDelay, b)
 		b.state = "draining"
 		w.undoAfter(e, func() {
 			b.state = "ready"
-			w.publishLater(w.script.List.Told, b)
+			w.publishLater(w.script.List.AnnounceDelay, b)
 		})
 	case "replace":
 		b.stop()
@@ -123,19 +123,19 @@
 		kind := map[role]string{edge: "edge", hub: "hub"}[b.role]
 		c := w.newBox(numberedID(kind, w.lastID), addr, b.zone, b.role, b.cores, b.cell, b.spec)
 		c.start(true)
-		w.publishLater(w.script.List.Told, b, c)
+		w.publishLater(w.script.List.AnnounceDelay, b, c)
 	}
 }
 
 // scheduleReturn restarts a stopped box when the event's duration is over; without a duration it stays away.
 func (w *World) scheduleReturn(e *script.Event, b *box) {
-	if e.For > 0 {
-		w.scheduleRestart(b, e.For)
+	if e.Duration > 0 {
+		w.scheduleRestart(b, e.Duration)
 		return
 	}
 	if b.role != core {
 		b.state = "gone"
-		w.publishLater(w.script.List.Notices, b)
+		w.publishLater(w.script.List.DetectionDelay, b)
 	}
 }
 
@@ -148,7 +148,7 @@
 	if e.Times > 1 && e.Name == "" && e.Count == 0 && e.Share == 0 { // one gateway after another
 		chosen = []*gateway{w.gateways[round%len(w.gateways)]}
 	}
-	if e.Do == "part" {
+	if e.Kind == "part" {
 		p := Partition{OneWay: e.OneWay}
 		for _, g := range chosen {
 			p.Gateways = append(p.Gateways, g.number)
@@ -160,12 +160,12 @@
 		})
 		return
 	}
-	if e.Do == "delay" || e.Do == "reset" {
+	if e.Kind == "delay" || e.Kind == "reset" {
 		var some []int
 		for _, g := range chosen {
 			some = append(some, g.number)
 		}
-		if e.Do == "reset" {
+		if e.Kind == "reset" {
 			w.emit(ResetConns{Gateways: some})
 			return
 		}
@@ -174,15 +174,15 @@
 		return
 	}
 	for n, g := range chosen {
-		w.scheduleAfter(float64(n)*e.Over/float64(len(chosen)), func() {
-			if e.Do == "start" && !g.up {
+		w.scheduleAfter(float64(n)*e.Spread/float64(len(chosen)), func() {
+			if e.Kind == "start" && !g.up {
 				w.startGateway(g)
 			}
 			if !g.up {
 				return
 			}
-			back := cmp.Or(e.For, 2000)
-			switch e.Do {
+			back := cmp.Or(e.Duration, 2000)
+			switch e.Kind {
 			case "hup":
 				w.emit(Reload{Gateway: g.number})
 			case "kill":
@@ -193,29 +193,29 @@
 				w.emit(CopyDisk{Gateway: g.number})
 			case "fill_disk":
 				w.emit(FillDisk{Gateway: g.number})
-				w.scheduleAfter(e.For, func() { w.emit(FillDisk{Gateway: g.number, Undo: true}) })
+				w.scheduleAfter(e.Duration, func() { w.emit(FillDisk{Gateway: g.number, Undo: true}) })
 			case "freeze":
 				w.emit(Freeze{Gateway: g.number})
 				w.gatewayExited(g, false)
-				w.scheduleAfter(e.For, func() { w.thawGateway(g) })
+				w.scheduleAfter(e.Duration, func() { w.thawGateway(g) })
 			case "restart":
 				g.ending = true
 				g.routedUntil = w.now + 300
 				w.emit(Terminate{Gateway: g.number})
-				w.scheduleAfter(min(w.script.Longest(), 3000)+700+100, func() {
+				w.scheduleAfter(min(w.script.LongestExpiry(), 3000)+700+100, func() {
 					if g.up && g.ending { // the platform kills a process that does not end in time
 						w.emit(Kill{Gateway: g.number})
 						w.gatewayExited(g, false)
 					}
 				})
-				w.scheduleAfter(max(back, min(w.script.Longest(), 3000)+900), func() { w.startGateway(g) })
+				w.scheduleAfter(max(back, min(w.script.LongestExpiry(), 3000)+900), func() { w.startGateway(g) })
 			}
 		})
 	}
 }
 
 func (w *World) applyElsewhere(e *script.Event) {
-	switch e.Do {
+	switch e.Kind {
 	case "lag":
 		w.directory.lag += e.Delay
 		w.undoAfter(e, func() { w.directory.lag -= e.Delay })
@@ -231,7 +231,7 @@
 				}
 			}
 		}
-		if e.By == "gateways" {
+		if e.Announcer == "gateways" {
 			w.emit(withdrawal)
 			return
 		}
@@ -267,7 +267,7 @@
 			}
 		})
 	case "forge":
-		w.scheduleForgery(e, 0, w.now+e.For)
+		w.scheduleForgery(e, 0, w.now+e.Duration)
 	case "rotate":
 		w.rotateKeys(links.Verifying)
 	case "withdraw":
@@ -280,7 +280,7 @@
 				i = (i + 1) % len(w.types)
 			}
 			op := &operation{number: 1<<40 + e.Number<<24 + n<<12, typ: w.types[i], object: w.random.id("object", i, n%5), club: club, member: cmp.Or(e.Member, club), startedAt: w.now,
-				deadline: w.now + w.types[i].Expiry, kiosk: true, stopAt: w.now + e.For}
+				deadline: w.now + w.types[i].Expiry, kiosk: true, stopAt: w.now + e.Duration}
 			w.sendAttempt(op)
 		}
 	}
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -77,7 +77,7 @@
 	for i := range s.Hub.Count {
 		w.addBox("hub", fmt.Sprintf("hub-%d", i%hubs), 0)
 	}
-	c := &script.Box{Cores: [2]float64{s.Core.Capacity, s.Core.Capacity}, Slots: 1, Queue: 1, Store: 0, ColdShare: 1, FallFor: s.Core.StopsPush,
+	c := &script.Box{Cores: [2]float64{s.Core.Capacity, s.Core.Capacity}, Slots: 1, Queue: 1, Store: 0, ColdShare: 1, OverloadWindow: s.Core.OverloadWindow,
 		Fills: 1, FillTimeout: s.Hub.FillTimeout, Report: s.Hub.Report, Probe: s.Hub.Probe}
 	w.newBox("core-1", w.nextAddress(), "hub-0", core, s.Core.Capacity, 0, c).start(false)
 	for i := range s.Gateways {
