--- a/cmd/poppymill/rehearse.go
+++ b/cmd/poppymill/rehearse.go
@@ -72,7 +72,7 @@
 	}
 	counter, audit := report.New(s), auditor.New(s, slack)
 	observe := func(f world.Fact) {
-		audit.See(f)
+		audit.Observe(f)
 		counter.See(f)
 	}
 	if cmd.Bool("virtual") {
--- a/internal/rehearsal/auditor/auditor.go
+++ b/internal/rehearsal/auditor/auditor.go
@@ -109,8 +109,8 @@
 // retention is how long an ended download is remembered, in ms: pulls that are sent too late are sent soon after the end.
 const retention = 20_000.0
 
-// See processes a fact.
-func (a *Auditor) See(f world.Fact) {
+// Observe processes a fact.
+func (a *Auditor) Observe(f world.Fact) {
 	switch f := f.(type) {
 	case world.RequestSent:
 		a.downloads[f.ID] = &download{RequestSent: f, endedAt: -1}
--- a/internal/rehearsal/sockets/owner_test.go
+++ b/internal/rehearsal/sockets/owner_test.go
@@ -143,7 +143,7 @@
 			if e.Effect.Job != name {
 				continue
 			}
-			c.audit.See(world.StepLogged{Gateway: i, Step: e.Effect.Step, Job: e.Effect.Job, From: e.Effect.From, Type: e.Effect.Type.String(),
+			c.audit.Observe(world.StepLogged{Gateway: i, Step: e.Effect.Step, Job: e.Effect.Job, From: e.Effect.From, Type: e.Effect.Type.String(),
 				Token: e.Effect.Token, NewerToken: e.NewerToken, Repeated: e.Repeated, TokenNotice: e.FromLog})
 		}
 	}
--- a/internal/rehearsal/sockets/purges_test.go
+++ b/internal/rehearsal/sockets/purges_test.go
@@ -116,12 +116,12 @@
 	pc.stage.Do(func(*world.World) {
 		f := world.PurgeAgreed{Group: -1, Club: p.Club, When: x.Accepted - pc.epoch(), Deadline: x.Effective - pc.epoch()}
 		for _, f.Object = range p.Objects {
-			pc.audit.See(f)
+			pc.audit.Observe(f)
 		}
 		f.Object = ""
 		for _, g := range p.Groups {
 			f.Group = int(g)
-			pc.audit.See(f)
+			pc.audit.Observe(f)
 		}
 	})
 	return x
--- a/internal/rehearsal/sockets/quorum_test.go
+++ b/internal/rehearsal/sockets/quorum_test.go
@@ -80,7 +80,7 @@
 	audit := auditor.New(s, Slack)
 	c := &cluster{t: t, audit: audit, failpoints: map[int]string{}, logDir: gatewayLogDir(t)}
 	facts := func(f world.Fact) {
-		if audit.See(f); c.onFact != nil {
+		if audit.Observe(f); c.onFact != nil {
 			c.onFact(f)
 		}
 	}
--- a/internal/rehearsal/sockets/sockets_test.go
+++ b/internal/rehearsal/sockets/sockets_test.go
@@ -139,7 +139,7 @@
 	}
 	audit, verdicts := auditor.New(s, Slack), map[world.Verdict]int{}
 	stage, err := New(s, Options{Binary: binary, Logs: t.TempDir(), Facts: func(f world.Fact) {
-		audit.See(f)
+		audit.Observe(f)
 		if f, ok := f.(world.OperationEnded); ok {
 			verdicts[f.Verdict]++
 		}
--- a/internal/rehearsal/virtual/consensus_loss_test.go
+++ b/internal/rehearsal/virtual/consensus_loss_test.go
@@ -51,7 +51,7 @@
 			}
 			count, audit, outdated, checked := report.New(s), auditor.New(s, 0), 0, 0
 			o.Facts = func(f world.Fact) {
-				audit.See(f)
+				audit.Observe(f)
 				count.See(f)
 				if f, is := f.(world.Answered); is && delay > 0 && f.At > blindFrom+delay && f.At < blindFrom+blindFor {
 					if fields := strings.Fields(f.Copy); f.Status == 200 && !f.NotModified && len(fields) > 3 {
--- a/internal/rehearsal/virtual/virtual_test.go
+++ b/internal/rehearsal/virtual/virtual_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	count, audit := report.New(s), auditor.New(s, 0)
 	stats, err := Run(s, Options{Faults: faults, Facts: func(f world.Fact) {
-		audit.See(f)
+		audit.Observe(f)
 		count.See(f)
 	}})
 	if err != nil {
