--- a/cmd/poppymill/rehearse.go
+++ b/cmd/poppymill/rehearse.go
@@ -73,7 +73,7 @@
 	counter, audit := report.New(s), auditor.New(s, slack)
 	observe := func(f world.Fact) {
 		audit.Observe(f)
-		counter.See(f)
+		counter.Observe(f)
 	}
 	if cmd.Bool("virtual") {
 		_, err = virtual.Run(s, virtual.Options{Facts: observe})
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -113,8 +113,8 @@
 	return len(c.script.Phases) - 1
 }
 
-// See processes a fact.
-func (c *Counter) See(f world.Fact) {
+// Observe processes a fact.
+func (c *Counter) Observe(f world.Fact) {
 	switch f := f.(type) {
 	case world.RequestSent:
 		c.requestedAt[f.ID] = f.At
--- a/internal/rehearsal/virtual/consensus_loss_test.go
+++ b/internal/rehearsal/virtual/consensus_loss_test.go
@@ -52,7 +52,7 @@
 			count, audit, outdated, checked := report.New(s), auditor.New(s, 0), 0, 0
 			o.Facts = func(f world.Fact) {
 				audit.Observe(f)
-				count.See(f)
+				count.Observe(f)
 				if f, is := f.(world.Answered); is && delay > 0 && f.At > blindFrom+delay && f.At < blindFrom+blindFor {
 					if fields := strings.Fields(f.Copy); f.Status == 200 && !f.NotModified && len(fields) > 3 {
 						if createdAt, err := strconv.ParseFloat(fields[3], 64); err == nil {
--- a/internal/rehearsal/virtual/virtual_test.go
+++ b/internal/rehearsal/virtual/virtual_test.go
@@ -24,7 +24,7 @@
 	count, audit := report.New(s), auditor.New(s, 0)
 	stats, err := Run(s, Options{Faults: faults, Facts: func(f world.Fact) {
 		audit.Observe(f)
-		count.See(f)
+		count.Observe(f)
 	}})
 	if err != nil {
 		t.Fatal(err)
