--- a/internal/rehearsal/auditor/auditor.go
+++ b/internal/rehearsal/auditor/auditor.go
@@ -16,18 +16,18 @@
 
 // The rules.
 const (
-	OneAnswer Rule = iota // exactly one final answer before expiry, and nothing sent after it
-	NoRepeat              // no effect twice
-	Drains                // no new pulls after the grace period that follows the notice of a drain or a loss
-	Cold                  // the gateways together don't overload a cold box
-	Purges                // no answer from an older copy after the grace period that follows the notice of a purge
-	Links                 // only requests with a valid link are accepted, and no link runs twice what must run only once
-	Alive                 // no gateway ends without being told to
-	Work                  // at each gateway the tokens of a job never decrease, and no step runs twice unless it is safe
-	Rules
+	OneAnswer         Rule = iota // exactly one final answer before expiry, and nothing sent after it
+	NoDuplicateEffect             // no effect twice
+	Drains                        // no new pulls after the grace period that follows the notice of a drain or a loss
+	ColdOverload                  // the gateways together don't overload a cold box
+	Purges                        // no answer from an older copy after the grace period that follows the notice of a purge
+	Links                         // only requests with a valid link are accepted, and no link runs twice what must run only once
+	NoCrash                       // no gateway ends without being told to
+	Work                          // at each gateway the tokens of a job never decrease, and no step runs twice unless it is safe
+	NumRules
 )
 
-var ruleNames = [Rules]string{"one answer", "no effect twice", "drains and losses", "cold boxes", "purges", "links", "gateways stay up", "owned work"}
+var ruleNames = [NumRules]string{"one answer", "no effect twice", "drains and losses", "cold boxes", "purges", "links", "gateways stay up", "owned work"}
 
 func (r Rule) String() string { return ruleNames[r] }
 
@@ -52,8 +52,8 @@
 
 // Auditor checks a rehearsal's facts in the order in which they occur.
 type Auditor struct {
-	Found        [Rules][]Finding
-	Counts       [Rules]int
+	Found        [NumRules][]Finding
+	Counts       [NumRules]int
 	rules        script.Rules
 	types        map[string]script.Type
 	slack        float64 // ms that a real machine and network may add to a time
@@ -133,7 +133,7 @@
 	case world.Notified:
 		a.notified(f)
 	case world.ColdOverload:
-		a.record(Cold, f.At, -1, "", f.Box, "sent %.0f ms of work while it bears %.0f", f.Sent, f.Allowed)
+		a.record(ColdOverload, f.At, -1, "", f.Box, "sent %.0f ms of work while it bears %.0f", f.Sent, f.Allowed)
 	case world.StepLogged:
 		a.effected(f)
 	case world.Restarted:
@@ -142,7 +142,7 @@
 		delete(a.purged, f.Gateway)
 	case world.Down:
 		if f.Crashed {
-			a.record(Alive, f.At, f.Gateway, "", "", "it ended, and nobody had told it to")
+			a.record(NoCrash, f.At, f.Gateway, "", "", "it ended, and nobody had told it to")
 		}
 	}
 }
@@ -198,7 +198,7 @@
 	if f.Status == 429 || f.Status == 503 {
 		for _, p := range d.pulls {
 			if d.Repeat == "non-retriable" && !p.knownNotRun {
-				a.record(NoRepeat, f.At, f.Gateway, f.ID, p.Box, "told to try again though a pull may have run")
+				a.record(NoDuplicateEffect, f.At, f.Gateway, f.ID, p.Box, "told to try again though a pull may have run")
 			}
 		}
 	}
@@ -291,7 +291,7 @@
 		deduped := d.Repeat == "deduped" && f.At < p.At+t.Window &&
 			(t.Scope == "all" || t.Scope == "zone" && p.Zone == f.Zone || t.Scope == "cell" && p.Zone == f.Zone && p.Cell == f.Cell)
 		if !deduped {
-			a.record(NoRepeat, f.At, f.Gateway, f.ID, f.Box, "sent again though its pull to %s may have run", p.Box)
+			a.record(NoDuplicateEffect, f.At, f.Gateway, f.ID, f.Box, "sent again though its pull to %s may have run", p.Box)
 		}
 	}
 	d.pulls = append(d.pulls, &pull{Pulled: f})
@@ -331,7 +331,7 @@
 		a.writeChains[d.LinkID] = f.ID
 	}
 	if d.runs++; d.runs > 1 && d.Repeat == "non-retriable" {
-		a.record(NoRepeat, f.At, d.Gateway, f.ID, "", "took effect %d times", d.runs)
+		a.record(NoDuplicateEffect, f.At, d.Gateway, f.ID, "", "took effect %d times", d.runs)
 	}
 }
 
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -206,7 +206,7 @@
 // Report completes the figures and compares them with the expectations.
 func (c *Counter) Report(a *auditor.Auditor) *Report {
 	r := &Report{Outcome: Outcome{Script: c.script.Name, Seed: c.script.Seed, Holds: true, Rules: []Verdict{}, Expectations: []Verdict{}}}
-	for rule := range auditor.Rules {
+	for rule := range auditor.NumRules {
 		r.Outcome.Rules = append(r.Outcome.Rules, Verdict{rule.String(), a.Holds(rule)})
 		r.Outcome.Holds = r.Outcome.Holds && a.Holds(rule)
 		for _, f := range a.Found[rule] {
--- a/internal/rehearsal/sockets/quorum_test.go
+++ b/internal/rehearsal/sockets/quorum_test.go
@@ -116,7 +116,7 @@
 	if worst := float64(stage.lateness.Max()) / 1000; worst > maxLateness {
 		t.Skipf("the event loop was up to %.0f ms late: the outcome of downloads does not count", worst) // as for every rehearsal
 	}
-	for r := range auditor.Rules {
+	for r := range auditor.NumRules {
 		if !audit.Holds(r) {
 			t.Errorf("%v: %v", r, audit.Found[r])
 		}
--- a/internal/rehearsal/sockets/sockets_test.go
+++ b/internal/rehearsal/sockets/sockets_test.go
@@ -172,7 +172,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for r := range auditor.Rules {
+	for r := range auditor.NumRules {
 		if !audit.Holds(r) {
 			t.Errorf("%v: %v", r, audit.Found[r])
 		}
--- a/internal/rehearsal/virtual/consensus_loss_test.go
+++ b/internal/rehearsal/virtual/consensus_loss_test.go
@@ -74,7 +74,7 @@
 			if outdated > 0 || delay > 0 && checked < 500 {
 				t.Errorf("delay %.0f: %d older copies of %d answered while all were blind", delay, outdated, checked)
 			}
-			for rule := range auditor.Rules {
+			for rule := range auditor.NumRules {
 				if !audit.Holds(rule) {
 					t.Errorf("delay %.0f: %v: %v", delay, rule, audit.Found[rule])
 				}
--- a/internal/rehearsal/virtual/virtual_test.go
+++ b/internal/rehearsal/virtual/virtual_test.go
@@ -160,7 +160,7 @@
 		rule   auditor.Rule
 		faults Faults
 	}{
-		{"nothing", auditor.Rules, Faults{}},
+		{"nothing", auditor.NumRules, Faults{}},
 		{"answers twice", auditor.OneAnswer, Faults{Answers: func(a world.Answer) []world.Answer {
 			if everyNth(50) {
 				return []world.Answer{a, a}
@@ -179,7 +179,7 @@
 			}
 			return []world.Answer{a}
 		}}},
-		{"takes what may have run for what did not", auditor.NoRepeat, Faults{Reply: func(r world.Reply) world.Reply {
+		{"takes what may have run for what did not", auditor.NoDuplicateEffect, Faults{Reply: func(r world.Reply) world.Reply {
 			if r.Word == "BROKE" {
 				r.Word = "WAIT"
 			}
@@ -189,7 +189,7 @@
 			return !slices.ContainsFunc(n.Nodes, func(n channel.Node) bool { return n.State == router.Draining })
 		}}},
 		{"ignores a purge", auditor.Purges, Faults{News: func(n channel.Event) bool { return !n.Purge }}},
-		{"floods a cold hub", auditor.Cold, Faults{Settings: func(s map[string]any) {
+		{"floods a cold hub", auditor.ColdOverload, Faults{Settings: func(s map[string]any) {
 			extra := s["extra"].(map[string]any)
 			extra["parent_cold_from"], extra["upper_cold"] = 1.0, 0.0
 		}}},
@@ -199,7 +199,7 @@
 			return true
 		}}},
 		{"signs nothing for boxes", auditor.Links, Faults{Links: func(s *links.Settings) bool { s.NodeLinkLifetime = 0; return true }}},
-		{"ends by itself", auditor.Alive, Faults{Crash: func(g int, now float64) bool { return g == 1 && now > 3000 && now < 3200 }}},
+		{"ends by itself", auditor.NoCrash, Faults{Crash: func(g int, now float64) bool { return g == 1 && now > 3000 && now < 3200 }}},
 	} {
 		n = 0
 		s, err := script.Parse([]byte(smallScript), "small.hcl")
@@ -207,14 +207,14 @@
 			t.Fatal(err)
 		}
 		_, audit, _ := runScript(t, s, c.faults)
-		for r := range auditor.Rules {
+		for r := range auditor.NumRules {
 			if found := audit.Counts[r] > 0; found != (r == c.rule) {
 				t.Errorf("%s: %d findings on %v: %v", c.name, audit.Counts[r], r, audit.Found[r][:min(2, len(audit.Found[r]))])
 			}
 		}
-		if c.rule < auditor.Rules && len(audit.Found[c.rule]) > 0 {
+		if c.rule < auditor.NumRules && len(audit.Found[c.rule]) > 0 {
 			f := audit.Found[c.rule][0]
-			placed := f.At > 0 && f.What != "" && (c.rule == auditor.Cold && f.Box != "" || c.rule == auditor.Alive && f.Gateway == 1 || f.ID != "" && f.Gateway >= 0)
+			placed := f.At > 0 && f.What != "" && (c.rule == auditor.ColdOverload && f.Box != "" || c.rule == auditor.NoCrash && f.Gateway == 1 || f.ID != "" && f.Gateway >= 0)
 			if !placed || !strings.Contains(fmt.Sprint(f), "ms") {
 				t.Errorf("%s: a finding that names too little: %v", c.name, f)
 			}
