--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 
 	"poppymill/internal/canon"
-	"poppymill/internal/chance"
+	"poppymill/internal/prng"
 )
 
 // apply encodes and applies a command.
@@ -468,7 +468,7 @@
 
 // largeFleet is a state with n machines in clubs of ten and a request for each of them.
 func largeFleet(n int) *State {
-	b, c := New(), chance.Source(5)
+	b, c := New(), prng.Source(5)
 	i := Inventory{Version: 1, Limits: Limits{MaxMachines: 12, PerClub: 1, Boxes: 0.2, Reserve: 0.1, DrainTimeout: 10_000, WarmTimeout: 60_000}}
 	for x := range n {
 		m := Machine{Name: fmt.Sprintf("m%04d", x), Club: fmt.Sprint("club", x/10), Zone: fmt.Sprint("z", x%7), Capacity: 5 + 10*c.Float64()}
@@ -575,7 +575,7 @@
 
 // Compares the end of the plan with the best over all orders on small cases, and logs the average and worst ratio.
 func TestPlanAgainstOptimum(t *testing.T) {
-	c := chance.Source(11)
+	c := prng.Source(11)
 	worst, sum, n := 0.0, 0.0, 0
 	for range 60 {
 		b := newTestBook(t, Limits{MaxMachines: 2, PerClub: 1, PerZone: 1, WarmTimeout: 10})
--- a/internal/maintenance/simulation_test.go
+++ b/internal/maintenance/simulation_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"poppymill/internal/canon"
-	"poppymill/internal/chance"
+	"poppymill/internal/prng"
 )
 
 // simulation runs the maintenance windows of a night in virtual time: 300 gateways and 200 edge caches, each on a machine of its own in
@@ -16,7 +16,7 @@
 type simulation struct {
 	t              *testing.T
 	b              *State
-	random         chance.Source
+	random         prng.Source
 	now            float64
 	returnAt       map[string]float64            // by machine that is out
 	ackAt          map[string]map[string]float64 // by draining machine and gateway
@@ -129,7 +129,7 @@
 
 // newSimulation returns a simulation, and the least time that the limits allow for its requests.
 func newSimulation(t *testing.T, seed uint64) (*simulation, float64) {
-	sim := &simulation{t: t, b: New(), random: chance.Source(seed), now: 1000, returnAt: map[string]float64{}, ackAt: map[string]map[string]float64{}, lostUntil: map[string]float64{}}
+	sim := &simulation{t: t, b: New(), random: prng.Source(seed), now: 1000, returnAt: map[string]float64{}, ackAt: map[string]map[string]float64{}, lostUntil: map[string]float64{}}
 	i := Inventory{Version: 1, Limits: Limits{MaxMachines: 6, PerClub: 1, PerZone: 3, Reserve: 0.1, BeginTimeout: 60_000, DrainTimeout: 30_000, WarmTimeout: 60_000, Overdue: 2, Grace: 1000}}
 	for x := range 500 {
 		m := Machine{Name: fmt.Sprintf("m%03d", x), Club: fmt.Sprint("club-", x%30), Zone: fmt.Sprint("z", x%5)}
--- a/internal/chance/chance.go
+++ b/internal/prng/chance.go
@@ -1,6 +1,6 @@
-// Package chance is the pseudo-random number generator of all decisions. It is seeded, so that the same events lead to
+// Package prng is the pseudo-random number generator of all decisions. It is seeded, so that the same events lead to
 // the same actions.
-package chance
+package prng
 
 // Source is a multiply-with-carry generator. The low 32 bits are its state, the high 32 bits the carry; its value at the
 // start is the seed.
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"poppymill/internal/canon"
-	"poppymill/internal/chance"
+	"poppymill/internal/prng"
 )
 
 // Node is one gateway's part in the replicated log: a raft voter or learner, or a follower outside raft. It must be
@@ -20,7 +20,7 @@
 type Node struct {
 	settings         Settings
 	now              float64
-	rng              chance.Source
+	rng              prng.Source
 	nonce            uint64 // drawn for this process
 	id               Identity
 	founding         *Founding
@@ -117,7 +117,7 @@
 
 // New returns a node with the state of its store. Each process must draw a nonce of its own.
 func New(settings Settings, store Store, books map[string]StateMachine, nonce uint64, now float64) (*Node, error) {
-	n := &Node{settings: settings, now: now, rng: chance.Source((settings.Seed^nonce)>>1 | 1), nonce: nonce, id: store.Identity, founding: store.Founding,
+	n := &Node{settings: settings, now: now, rng: prng.Source((settings.Seed^nonce)>>1 | 1), nonce: nonce, id: store.Identity, founding: store.Founding,
 		members: newMembers(settings.MaxMembers), books: books, emptyFounders: map[string]founderHello{}, lastRenewal: map[uint64]float64{},
 		pendingRenewals: map[uint64]Renewal{}, proposedByLeader: map[leaderProposal]float64{}, peerNames: map[uint64]string{}, foreignPeers: map[string]bool{}, renewAt: now, joinAt: now,
 		starts: store.Starts + 1, highWaterMarks: map[uint64]HighWaterMark{}, retiring: map[string]bool{}}
--- a/internal/quorum/recover.go
+++ b/internal/quorum/recover.go
@@ -7,7 +7,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"poppymill/internal/chance"
+	"poppymill/internal/prng"
 )
 
 // TokenAllocator is a Book that gives out numbers which must be higher than all given out before, also when those are
@@ -44,7 +44,7 @@
 	case store.Snapshot.GetMetadata().GetIndex() == 0:
 		return Record{}, report, errors.New("the store holds nothing of the log: its gateway never voted")
 	}
-	n := &Node{settings: Settings{Name: store.Identity.Name}, rng: chance.Source(nonce>>1 | 1), id: store.Identity, founding: store.Founding, members: newMembers(maxListed), books: books,
+	n := &Node{settings: Settings{Name: store.Identity.Name}, rng: prng.Source(nonce>>1 | 1), id: store.Identity, founding: store.Founding, members: newMembers(maxListed), books: books,
 		peerNames: map[uint64]string{}, lastRenewal: map[uint64]float64{}}
 	meta := store.Snapshot.GetMetadata()
 	if err := n.restoreState(store.Snapshot.GetData(), meta.GetIndex()); err != nil {
--- a/internal/quorum/sim_test.go
+++ b/internal/quorum/sim_test.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"poppymill/internal/canon"
-	"poppymill/internal/chance"
+	"poppymill/internal/prng"
 )
 
 // sim runs gateways in virtual time: one event queue, seeded randomness, and disks that keep only what was synced.
@@ -22,7 +22,7 @@
 	now             float64
 	lastID          int
 	queue           eventQueue
-	chance          chance.Source
+	chance          prng.Source
 	gateways        map[string]*simGateway
 	names           []string
 	cut             map[[2]string]bool // links cut, as {from, to}
@@ -153,7 +153,7 @@
 
 // newSim returns voters v0, v1 ... and followers f0, f1 ..., spread over three clubs, none of them started.
 func newSim(t *testing.T, seed uint64, voters, followers int) *sim {
-	s := &sim{t: t, chance: chance.Source(seed*2 + 1), gateways: map[string]*simGateway{}, cut: map[[2]string]bool{}, delay: [2]float64{1, 5}, committed: map[uint64]string{}, frames: map[string]int{}}
+	s := &sim{t: t, chance: prng.Source(seed*2 + 1), gateways: map[string]*simGateway{}, cut: map[[2]string]bool{}, delay: [2]float64{1, 5}, committed: map[uint64]string{}, frames: map[string]int{}}
 	for range 4 {
 		s.chance.Uint32()
 	}
--- a/internal/rehearsal/sockets/owner_test.go
+++ b/internal/rehearsal/sockets/owner_test.go
@@ -12,11 +12,11 @@
 	"time"
 
 	"poppymill/internal/canon"
-	"poppymill/internal/chance"
 	"poppymill/internal/failpoint"
 	"poppymill/internal/owner"
 	owned "poppymill/internal/owner/drive"
 	"poppymill/internal/owner/place"
+	"poppymill/internal/prng"
 	"poppymill/internal/quorum"
 	"poppymill/internal/quorum/drive"
 	"poppymill/internal/rehearsal/script"
@@ -406,7 +406,7 @@
 // Random faults from a fixed seed, one after another and some at once, while jobs of each type run: 6 rounds, or as many as
 // POPPYMILL_TEST_FAULTS says for a long run. All jobs must finish, and no step may run twice that must not.
 func TestSeededFaults(t *testing.T) {
-	faults, seed := 6, chance.Source(77)
+	faults, seed := 6, prng.Source(77)
 	fmt.Sscan(os.Getenv("POPPYMILL_TEST_FAULTS"), &faults)
 	runCluster(t, func(s *script.Script) {
 		s.Types[0].Expiry, s.Quorum.Replace = 1000, 4000
--- a/internal/rehearsal/virtual/work_order_test.go
+++ b/internal/rehearsal/virtual/work_order_test.go
@@ -9,8 +9,8 @@
 	"testing"
 
 	"poppymill/internal/canon"
-	"poppymill/internal/chance"
 	"poppymill/internal/maintenance"
+	"poppymill/internal/prng"
 	"poppymill/internal/rehearsal/script"
 	"poppymill/internal/rehearsal/world"
 )
@@ -117,7 +117,7 @@
 						}
 					}
 				}
-				lost, random := "", chance.Source(seed*2+1)
+				lost, random := "", prng.Source(seed*2+1)
 				if loss {
 					lost = boxes[len(boxes)-1]
 				}
--- a/router/ring.go
+++ b/router/ring.go
@@ -1,6 +1,6 @@
 package router
 
-import "poppymill/internal/chance"
+import "poppymill/internal/prng"
 
 // Ring sums samples over a sliding window of time, in a ring of buckets of equal width.
 type Ring struct {
@@ -46,4 +46,4 @@
 }
 
 // Chance is the seeded random generator of the router.
-type Chance = chance.Source
+type Chance = prng.Source
