--- a/cmd/poppymill/agent.go
+++ b/cmd/poppymill/agent.go
@@ -16,7 +16,7 @@
 	"github.com/sirupsen/logrus"
 	"github.com/urfave/cli/v3"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/maintenance"
 	machines "poppymill/internal/maintenance/drive"
 	"poppymill/internal/quorum"
@@ -161,7 +161,7 @@
 func (a *agent) submit(ctx context.Context, kind string, token uint64) error {
 	var m machines.Machine
 	err := a.query(ctx, drive.Query{Subject: "machine", Name: a.name, Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: kind,
-		Data: canon.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), Machine: a.name, Token: token})}}, &m)
+		Data: codec.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), Machine: a.name, Token: token})}}, &m)
 	if err != nil && (strings.Contains(err.Error(), maintenance.ErrPendingAcks.Error()) || strings.Contains(err.Error(), "limit: ")) {
 		a.log.WithField("why", err).Debug("the machine may not go out yet")
 		return nil
--- a/cmd/poppymill/job.go
+++ b/cmd/poppymill/job.go
@@ -14,7 +14,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/owner"
 	jobs "poppymill/internal/owner/drive"
 	"poppymill/internal/owner/place"
@@ -182,7 +182,7 @@
 	if cmd.Args().Len() == args && name == "" {
 		return usageError(fmt.Errorf("job %s: NAME is empty", cmd.Name))
 	}
-	r, err := queryJobs(ctx, cmd, args, drive.Query{Subject: "job", Name: name, Command: &quorum.Command{StateMachine: jobs.StateMachineName, Kind: kind, Data: canon.Encode(data)}})
+	r, err := queryJobs(ctx, cmd, args, drive.Query{Subject: "job", Name: name, Command: &quorum.Command{StateMachine: jobs.StateMachineName, Kind: kind, Data: codec.Encode(data)}})
 	if err != nil {
 		return err
 	}
@@ -255,7 +255,7 @@
 		return r.Report, err
 	}
 	command := func(kind string, c owner.Claim) *quorum.Command {
-		return &quorum.Command{StateMachine: jobs.StateMachineName, Kind: kind, Data: canon.Encode(c)}
+		return &quorum.Command{StateMachine: jobs.StateMachineName, Kind: kind, Data: codec.Encode(c)}
 	}
 	var j owner.Report
 	report, err := query(address, drive.Query{Subject: "job", Name: name, Command: command(owner.Fence, owner.Claim{Job: name})}, &j)
--- a/cmd/poppymill/machines.go
+++ b/cmd/poppymill/machines.go
@@ -14,7 +14,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/maintenance"
 	machines "poppymill/internal/maintenance/drive"
 	"poppymill/internal/quorum"
@@ -209,7 +209,7 @@
 		request := maintenance.Request{ID: id, Machine: name, Duration: float64(cmd.Duration("for").Milliseconds()), Deadline: by, NotBefore: notBefore, Reason: cmd.String("why")}
 		var m machines.Machine
 		_, err := sendMachinesQuery(ctx, cmd, drive.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: maintenance.Submit,
-			Data: canon.Encode(maintenance.CommandData{At: float64(now.UnixMilli()), Request: &request})}}, &m)
+			Data: codec.Encode(maintenance.CommandData{At: float64(now.UnixMilli()), Request: &request})}}, &m)
 		if err != nil {
 			failed++
 			fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
@@ -225,7 +225,7 @@
 
 func machinesCancel(ctx context.Context, cmd *cli.Command) error {
 	_, err := queryMachines(ctx, cmd, 2, drive.Query{Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: maintenance.Cancel,
-		Data: canon.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), ID: cmd.Args().Get(1)})}}, nil)
+		Data: codec.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), ID: cmd.Args().Get(1)})}}, nil)
 	return err
 }
 
@@ -235,7 +235,7 @@
 		var m machines.Machine
 		name := cmd.Args().Get(1)
 		_, err := queryMachines(ctx, cmd, 2, drive.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: kind,
-			Data: canon.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), Machine: name, Token: cmd.Uint64("token")})}}, &m)
+			Data: codec.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), Machine: name, Token: cmd.Uint64("token")})}}, &m)
 		if err != nil {
 			return err
 		}
--- a/cmd/poppymill/purge.go
+++ b/cmd/poppymill/purge.go
@@ -13,7 +13,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/purges"
 	purgesdrive "poppymill/internal/purges/drive"
 	"poppymill/internal/quorum"
@@ -58,7 +58,7 @@
 		}
 	}
 	o.At = float64(time.Now().UnixMilli())
-	r, err := drive.SendQuery(ctx, address, drive.Query{Command: &quorum.Command{StateMachine: purgesdrive.StateMachineName, Kind: kind, Data: canon.Encode(o)}})
+	r, err := drive.SendQuery(ctx, address, drive.Query{Command: &quorum.Command{StateMachine: purgesdrive.StateMachineName, Kind: kind, Data: codec.Encode(o)}})
 	switch {
 	case err != nil:
 		return cli.Exit(fmt.Sprintf("purge %s: %s: %v; the command may have been accepted: repeat it with the same id", cmd.Name, address, err), 1)
--- a/internal/canon/canon.go
+++ b/internal/codec/codec.go
@@ -1,6 +1,6 @@
-// Package canon encodes values as CBOR in its deterministic form (RFC 8949, section 4.2): equal values have equal
+// Package codec encodes values as CBOR in its deterministic form (RFC 8949, section 4.2): equal values have equal
 // encodings, so states can be compared by their bytes. Decoding is limited in size and nesting.
-package canon
+package codec
 
 import (
 	"errors"
--- a/internal/gateway/prefetch.go
+++ b/internal/gateway/prefetch.go
@@ -7,8 +7,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"poppymill/internal/canon"
 	"poppymill/internal/clients"
+	"poppymill/internal/codec"
 	"poppymill/internal/footprint"
 	"poppymill/internal/owner"
 	owned "poppymill/internal/owner/drive"
@@ -95,13 +95,13 @@
 func warmHandler(p *poster) owned.Handler {
 	return owned.Handler{Type: owner.Safe, Check: func(j owner.Job) error {
 		var w owner.WarmData
-		if err := canon.Decode(j.Data, &w); err != nil || w.Node == "" || w.Each < 1 {
+		if err := codec.Decode(j.Data, &w); err != nil || w.Node == "" || w.Each < 1 {
 			return errors.New("data: names no node to be filled")
 		}
 		return nil
 	}, Do: func(e place.Effect, done func(owner.Outcome)) {
 		var w owner.WarmData
-		if canon.Decode(e.Data, &w) != nil {
+		if codec.Decode(e.Data, &w) != nil {
 			done(owner.Uncertain)
 			return
 		}
--- a/internal/maintenance/drive/coordinator.go
+++ b/internal/maintenance/drive/coordinator.go
@@ -12,7 +12,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/failpoint"
 	"poppymill/internal/maintenance"
 	"poppymill/internal/owner"
@@ -168,7 +168,7 @@
 		return
 	}
 	y.inFlight[key] = y.now + 1000
-	y.council.Propose(quorum.Command{StateMachine: StateMachineName, Kind: kind, Data: canon.Encode(content)}, func(o quorum.Outcome) {
+	y.council.Propose(quorum.Command{StateMachine: StateMachineName, Kind: kind, Data: codec.Encode(content)}, func(o quorum.Outcome) {
 		delete(y.inFlight, key)
 		if o.Err != nil && !errors.Is(o.Err, quorum.ErrGivenUp) && !errors.Is(o.Err, quorum.ErrBusy) {
 			y.inFlight[key] = y.now + checkEvery // rejected when applied: the next check decides whether to propose it again
@@ -213,7 +213,7 @@
 		y.propose(maintenance.SetInventory, "", y.block.Inventory)
 	}
 	if !y.crew.IsRunning(Schedule) {
-		y.council.Propose(quorum.Command{StateMachine: owned.StateMachineName, Kind: owner.Start, Data: canon.Encode(owner.Job{Name: Schedule, Kind: owned.KindHold, Steps: 1, Window: 1})}, func(quorum.Outcome) {})
+		y.council.Propose(quorum.Command{StateMachine: owned.StateMachineName, Kind: owner.Start, Data: codec.Encode(owner.Job{Name: Schedule, Kind: owned.KindHold, Steps: 1, Window: 1})}, func(quorum.Outcome) {})
 	}
 	if voters := y.council.Voters(); len(voters) > 0 && !slices.Equal(voters, y.state.Voters) {
 		y.propose(maintenance.SetVoters, "", maintenance.CommandData{Names: voters})
@@ -285,7 +285,7 @@
 	switch c.Kind {
 	case maintenance.Submit, maintenance.Cancel, maintenance.Withdraw, maintenance.Drain, maintenance.Leave, maintenance.Return, maintenance.SetPeak:
 		var o maintenance.CommandData
-		if err := canon.Decode(c.Data, &o); err != nil {
+		if err := codec.Decode(c.Data, &o); err != nil {
 			return err
 		}
 		if !y.block.On {
--- a/internal/maintenance/interleavings_test.go
+++ b/internal/maintenance/interleavings_test.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"testing"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 )
 
 // model is one state of a small fleet: three machines with requests, a limit on concurrent outages, three gateways that each follow the log
@@ -103,7 +103,7 @@
 // apply commits a command, and the agent that proposed it acts on the result.
 func (s *model) apply(x message) {
 	x.order.At = s.b.Now
-	result := s.b.Apply(1, x.kind, canon.Encode(x.order))
+	result := s.b.Apply(1, x.kind, codec.Encode(x.order))
 	if w, ok := result.(Window); ok && x.kind == Leave && w.Stage == OutOfService {
 		s.gone[x.order.Machine] = true
 	}
@@ -207,7 +207,7 @@
 	if s.remaining.losses > 0 {
 		add("an edge cache is lost", func(c *model) {
 			c.remaining.losses--
-			c.b.Apply(1, SetLost, canon.Encode(CommandData{At: c.b.Now, Names: []string{"e1"}}))
+			c.b.Apply(1, SetLost, codec.Encode(CommandData{At: c.b.Now, Names: []string{"e1"}}))
 		})
 	}
 	return states, events
@@ -285,7 +285,7 @@
 	}
 	b.Voters = modelGateways[:2]
 	for _, m := range append([]string{"m2"}, modelMachines...)[:requests] { // m2 has a gateway
-		b.Apply(1, Submit, canon.Encode(CommandData{Request: &Request{ID: m, Machine: m, Duration: 100}}))
+		b.Apply(1, Submit, codec.Encode(CommandData{Request: &Request{ID: m, Machine: m, Duration: 100}}))
 	}
 	first := &model{b: b, gone: map[string]bool{}, remaining: remaining, maxInFlight: maxInFlight}
 	seen := map[string]bool{first.key(): true}
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -12,13 +12,13 @@
 
 	"pgregory.net/rapid"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/prng"
 )
 
 // apply encodes and applies a command.
 func (b *State) apply(t interface{ Fatalf(string, ...any) }, kind string, content any) any {
-	return b.Apply(1, kind, canon.Encode(content))
+	return b.Apply(1, kind, codec.Encode(content))
 }
 
 // testInventory is a site of two clubs. Each has a machine with a gateway and an edge cache, one with two edge caches and one with only a
@@ -479,10 +479,10 @@
 		}
 		i.Machines = append(i.Machines, m)
 	}
-	b.Apply(1, SetInventory, canon.Encode(i))
+	b.Apply(1, SetInventory, codec.Encode(i))
 	for x := range n / 10 {
 		for h := range 24 {
-			b.Apply(1, SetPeak, canon.Encode(CommandData{Club: fmt.Sprint("club", x), Hour: h, Peak: 40 + 20*c.Float64()}))
+			b.Apply(1, SetPeak, codec.Encode(CommandData{Club: fmt.Sprint("club", x), Hour: h, Peak: 40 + 20*c.Float64()}))
 		}
 	}
 	for x, m := range i.Machines {
@@ -490,7 +490,7 @@
 		if x%4 == 0 {
 			r.Deadline = 24 * hourMillis * (0.02 + 0.15*c.Float64())
 		}
-		b.Apply(uint64(x), Submit, canon.Encode(CommandData{At: 1, Request: &r}))
+		b.Apply(uint64(x), Submit, codec.Encode(CommandData{At: 1, Request: &r}))
 	}
 	return b
 }
@@ -532,7 +532,7 @@
 	// A request whose deadline can be met precedes one that misses it, which precedes one without a deadline.
 	b = newTestBook(t, Limits{MaxMachines: 1, DrainTimeout: 10, WarmTimeout: 10})
 	for i, r := range []Request{{ID: "none", Machine: "amber-2", Duration: 100}, {ID: "late", Machine: "birch-2", Duration: 200, Deadline: 205}, {ID: "soon", Machine: "amber-1", Duration: 100, Deadline: 300}} {
-		if err, ok := b.Apply(uint64(i+1), Submit, canon.Encode(CommandData{At: 1, Request: &r})).(error); ok {
+		if err, ok := b.Apply(uint64(i+1), Submit, codec.Encode(CommandData{At: 1, Request: &r})).(error); ok {
 			t.Fatal(err)
 		}
 	}
@@ -582,7 +582,7 @@
 		var works []*Window
 		for i, m := range b.Inventory.Machines[:6] {
 			r := Request{ID: m.Name, Machine: m.Name, Duration: 20 + float64(int(100*c.Float64()))}
-			if err, ok := b.Apply(uint64(i+1), Submit, canon.Encode(CommandData{At: 1, Request: &r})).(error); ok {
+			if err, ok := b.Apply(uint64(i+1), Submit, codec.Encode(CommandData{At: 1, Request: &r})).(error); ok {
 				t.Fatal(err)
 			}
 			works = append(works, b.Windows[m.Name])
--- a/internal/maintenance/simulation_test.go
+++ b/internal/maintenance/simulation_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/prng"
 )
 
@@ -28,7 +28,7 @@
 // apply applies a command at the current time.
 func (sim *simulation) apply(kind string, o CommandData) any {
 	o.At = sim.now
-	return sim.b.Apply(uint64(sim.now), kind, canon.Encode(o))
+	return sim.b.Apply(uint64(sim.now), kind, codec.Encode(o))
 }
 
 // run simulates until no request is open, and returns the time, or infinity after 48 hours.
@@ -140,7 +140,7 @@
 		}
 		i.Machines = append(i.Machines, m)
 	}
-	if r := sim.b.Apply(1, SetInventory, canon.Encode(i)); r != nil {
+	if r := sim.b.Apply(1, SetInventory, codec.Encode(i)); r != nil {
 		t.Fatal(r)
 	}
 	for x := range 300 {
--- a/internal/maintenance/state.go
+++ b/internal/maintenance/state.go
@@ -7,7 +7,7 @@
 	"reflect"
 	"slices"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 )
 
 // State is the state machine's state: everything that the applied commands have produced.
@@ -148,13 +148,13 @@
 func (b *State) Apply(index uint64, kind string, data []byte) any {
 	if kind == SetInventory {
 		var i Inventory
-		if canon.Decode(data, &i) != nil {
+		if codec.Decode(data, &i) != nil {
 			return ErrMalformed
 		}
 		return b.setInventory(i)
 	}
 	var o CommandData
-	if canon.Decode(data, &o) != nil || len(o.Names) > maxNames || o.At != o.At || o.At < 0 || o.At > 1e15 {
+	if codec.Decode(data, &o) != nil || len(o.Names) > maxNames || o.At != o.At || o.At < 0 || o.At > 1e15 {
 		return ErrMalformed
 	}
 	b.Now = max(b.Now, o.At)
@@ -448,13 +448,13 @@
 }
 
 // Save encodes the state deterministically: equal states have equal bytes.
-func (b *State) Save() []byte { return canon.Encode(b) }
+func (b *State) Save() []byte { return codec.Encode(b) }
 
 // Load replaces the state by a saved one; nil data empties it.
 func (b *State) Load(data []byte) error {
 	loaded := New()
 	if data != nil {
-		if err := canon.Decode(data, loaded); err != nil {
+		if err := codec.Decode(data, loaded); err != nil {
 			return fmt.Errorf("machines: %w", err)
 		}
 		if loaded.Windows == nil || loaded.Gateways == nil || loaded.Lost == nil || loaded.Peaks == nil {
--- a/internal/owner/agent_test.go
+++ b/internal/owner/agent_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 )
 
 // agentHarness feeds log entries to an agent.
@@ -15,7 +15,7 @@
 
 func (h *agentHarness) agree(kind string, c any) {
 	h.index++
-	h.agent.State.Apply(h.index, kind, canon.Encode(c))
+	h.agent.State.Apply(h.index, kind, codec.Encode(c))
 }
 func (h *agentHarness) member(name string, w Member) {
 	h.index++
@@ -78,11 +78,11 @@
 	if !a.Idle() {
 		t.Error("not idle with nothing in flight")
 	}
-	if r := a.State.Apply(99, Grant, canon.Encode(Claim{Job: "j", Name: "a", Incarnation: 1})); r != ErrMemberAbsent {
+	if r := a.State.Apply(99, Grant, codec.Encode(Claim{Job: "j", Name: "a", Incarnation: 1})); r != ErrMemberAbsent {
 		t.Errorf("granted while leaving: %v", r)
 	}
 	h.member("a", Member{Incarnation: 2, Present: true})
-	if _, ok := a.State.Apply(100, Grant, canon.Encode(Claim{Job: "j", Name: "a", Incarnation: 2})).(Job); !ok {
+	if _, ok := a.State.Apply(100, Grant, codec.Encode(Claim{Job: "j", Name: "a", Incarnation: 2})).(Job); !ok {
 		t.Error("its next process can't be granted a job")
 	}
 }
--- a/internal/owner/drive/crew.go
+++ b/internal/owner/drive/crew.go
@@ -13,7 +13,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/failpoint"
 	"poppymill/internal/owner"
 	"poppymill/internal/owner/place"
@@ -192,9 +192,9 @@
 			case owner.Grant:
 				failpoint.Here(failpoint.Granting)
 			}
-			data := canon.Encode(a.Claim)
+			data := codec.Encode(a.Claim)
 			if a.Job != nil {
-				data = canon.Encode(a.Job)
+				data = codec.Encode(a.Job)
 			}
 			c.council.Propose(quorum.Command{StateMachine: StateMachineName, Kind: a.Kind, Data: data}, func(o quorum.Outcome) {
 				// Any other error means that this process may no longer propose; a retry would not help.
@@ -226,7 +226,7 @@
 	}
 	if to := do.Job.ExecutingGateway(do.Step); to != "" && to != c.followed.Name {
 		e.Data = nil
-		c.council.Send(to, quorum.Frame{Kind: quorum.KindEffect, Data: canon.Encode(e)}, func() { ended(owner.NotRun) })
+		c.council.Send(to, quorum.Frame{Kind: quorum.KindEffect, Data: codec.Encode(e)}, func() { ended(owner.NotRun) })
 		return
 	}
 	c.place.Do(e, func(r place.Result) { ended(r.End) })
@@ -236,7 +236,7 @@
 func (c *Runner) handleFrame(asked agreement.PeerRequest) {
 	if asked.Frame.Kind == quorum.KindEffectResult {
 		var r place.Result
-		if canon.Decode(asked.Frame.Data, &r) == nil && r.End >= owner.Ran && r.End <= owner.Refused {
+		if codec.Decode(asked.Frame.Data, &r) == nil && r.End >= owner.Ran && r.End <= owner.Refused {
 			if r.End != owner.Ran {
 				c.log.WithFields(logrus.Fields{"job": r.Job, "step": r.Step, "token": r.Token, "place": asked.From}).Warn("jobs: step not confirmed as run: " + r.Why)
 			}
@@ -245,10 +245,10 @@
 		return
 	}
 	var e place.Effect
-	if canon.Decode(asked.Frame.Data, &e) != nil {
+	if codec.Decode(asked.Frame.Data, &e) != nil {
 		return
 	}
-	answer := func(r place.Result) { asked.Answer(quorum.Frame{Kind: quorum.KindEffectResult, Data: canon.Encode(r)}) }
+	answer := func(r place.Result) { asked.Answer(quorum.Frame{Kind: quorum.KindEffectResult, Data: codec.Encode(r)}) }
 	refusal := place.Result{Job: e.Job, Token: e.Token, Step: e.Step, End: owner.NotRun}
 	switch {
 	case c.followed.Incarnation == 0:
@@ -269,7 +269,7 @@
 	switch command.Kind {
 	case owner.Start:
 		var j owner.Job
-		if err := canon.Decode(command.Data, &j); err != nil {
+		if err := codec.Decode(command.Data, &j); err != nil {
 			return err
 		}
 		return c.check(j)
--- a/internal/owner/drive/crew_test.go
+++ b/internal/owner/drive/crew_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/operator"
 	"poppymill/internal/owner"
 	"poppymill/internal/owner/place"
@@ -31,9 +31,9 @@
 	send := func(e place.Effect) place.Result {
 		t.Helper()
 		results := make(chan place.Result, 1)
-		c.Handle(0, agreement.PeerRequest{From: "g", Frame: quorum.Frame{Kind: quorum.KindEffect, Data: canon.Encode(e)}, Answer: func(f quorum.Frame) {
+		c.Handle(0, agreement.PeerRequest{From: "g", Frame: quorum.Frame{Kind: quorum.KindEffect, Data: codec.Encode(e)}, Answer: func(f quorum.Frame) {
 			var r place.Result
-			if err := canon.Decode(f.Data, &r); err != nil {
+			if err := codec.Decode(f.Data, &r); err != nil {
 				t.Error(err)
 			}
 			results <- r
@@ -63,7 +63,7 @@
 		{owner.Start, owner.Job{Kind: "warm", Type: owner.Unsafe}, "type: steps of warm are safe"}, {owner.Start, owner.Job{Kind: KindDrill, Gateways: []string{"z"}}, `places: 0: no gateway "z"`},
 		{owner.Start, owner.Job{Kind: KindDrill}, ""}, {owner.Stop, owner.Claim{}, ""},
 	} {
-		err := c.CheckCommand(quorum.Command{StateMachine: StateMachineName, Kind: x.kind, Data: canon.Encode(x.data)})
+		err := c.CheckCommand(quorum.Command{StateMachine: StateMachineName, Kind: x.kind, Data: codec.Encode(x.data)})
 		if got := ""; err != nil {
 			if got = err.Error(); x.want == "" || !strings.Contains(got, x.want) {
 				t.Errorf("%s %+v: %s, want %s", x.kind, x.data, got, x.want)
--- a/internal/owner/interleavings_test.go
+++ b/internal/owner/interleavings_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 )
 
 // model is one state of a small fleet: three members, up to two jobs of one step each, one executing gateway, and
@@ -223,7 +223,7 @@
 		})
 	}
 	for x := range s.proposals {
-		commit := func(n *model) { n.add(entry{kind: n.proposals[x].kind, data: canon.Encode(n.proposals[x].claim)}) }
+		commit := func(n *model) { n.add(entry{kind: n.proposals[x].kind, data: codec.Encode(n.proposals[x].claim)}) }
 		branch(-1, func(n *model) { commit(n); n.proposals = slices.Delete(n.proposals, x, x+1) })
 		branch(duplicates, commit) // arrives once more, later
 		branch(losses, func(n *model) { n.proposals = slices.Delete(n.proposals, x, x+1) })
@@ -235,7 +235,7 @@
 		for _, name := range memberNames {
 			if w := s.full.Workers[name]; w.Present {
 				branch(grants, func(n *model) {
-					n.add(entry{kind: Grant, data: canon.Encode(Claim{Job: j.Name, Name: name, Incarnation: w.Incarnation})})
+					n.add(entry{kind: Grant, data: codec.Encode(Claim{Job: j.Name, Name: name, Incarnation: w.Incarnation})})
 				})
 			}
 		}
@@ -298,7 +298,7 @@
 		}
 		jobs := []string{"j", "k"}[:len(c.types)]
 		for i, name := range jobs {
-			initial.add(entry{kind: Start, data: canon.Encode(Job{Name: name, Kind: "x", Steps: 1, Type: c.types[i], Window: 1})})
+			initial.add(entry{kind: Start, data: codec.Encode(Job{Name: name, Kind: "x", Steps: 1, Type: c.types[i], Window: 1})})
 		}
 		for i, name := range memberNames {
 			initial.members = append(initial.members, memberModel{incarnation: uint64(i + 1), applied: len(initial.log), book: initial.full, executor: &Executor{Name: name, Incarnation: uint64(i + 1)}})
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 )
 
 // simulation is a small fleet: one log, members that apply it with random delay, and an executing gateway that
@@ -36,7 +36,7 @@
 }
 
 func (p *simulation) agree(kind string, data any) {
-	text := canon.Encode(data)
+	text := codec.Encode(data)
 	p.log = append(p.log, func(b *StateMachine, index uint64) { b.Apply(index, kind, text) })
 }
 
@@ -221,28 +221,28 @@
 		b, g := New(4), NewTokenChecker(4)
 		b.ApplyMember(1, "a", Member{Incarnation: 1, Present: true})
 		b.ApplyMember(2, "b", Member{Incarnation: 2, Present: true})
-		b.Apply(3, Start, canon.Encode(Job{Name: "j", Kind: "k", Steps: 3, Type: typ, Window: 1}))
-		b.Apply(4, Grant, canon.Encode(Claim{Job: "j", Name: "a", Incarnation: 1}))
+		b.Apply(3, Start, codec.Encode(Job{Name: "j", Kind: "k", Steps: 3, Type: typ, Window: 1}))
+		b.Apply(4, Grant, codec.Encode(Claim{Job: "j", Name: "a", Incarnation: 1}))
 		a := &Executor{Name: "a", Incarnation: 1}
 		actions := a.Sync(0, b)
 		if typ == Unsafe {
 			ask := actions[0].(Propose)
-			b.Apply(5, ask.Kind, canon.Encode(ask.Claim))
+			b.Apply(5, ask.Kind, codec.Encode(ask.Claim))
 			actions = a.Sync(0, b)
 		}
 		held := actions[0].(SendEffect) // frozen before it sends this
-		if r := b.Apply(6, Grant, canon.Encode(Claim{Job: "j", Name: "b", Incarnation: 2})); r != ErrHasOwner {
+		if r := b.Apply(6, Grant, codec.Encode(Claim{Job: "j", Name: "b", Incarnation: 2})); r != ErrHasOwner {
 			t.Errorf("%v: a second owner while the first is present: %v", typ, r)
 		}
 		b.ApplyMember(7, "a", Member{Incarnation: 1, Losses: 1})
-		if r := b.Apply(8, Grant, canon.Encode(Claim{Job: "j", Name: "b", Incarnation: 2})); r.(Job).Token <= held.Token {
+		if r := b.Apply(8, Grant, codec.Encode(Claim{Job: "j", Name: "b", Incarnation: 2})); r.(Job).Token <= held.Token {
 			t.Errorf("%v: token %d after %d", typ, r.(Job).Token, held.Token)
 		}
 		next := &Executor{Name: "b", Incarnation: 2}
 		step := -1
 		for _, x := range next.Sync(0, b) {
 			if ask, ok := x.(Propose); ok {
-				b.Apply(9, ask.Kind, canon.Encode(ask.Claim))
+				b.Apply(9, ask.Kind, codec.Encode(ask.Claim))
 				for _, x := range next.Sync(0, b) {
 					step = x.(SendEffect).Step
 				}
@@ -260,7 +260,7 @@
 		if _, doubt := b.Jobs["j"].Uncertain[held.Step]; doubt != (typ == Unsafe) || typ == Unsafe && step == held.Step {
 			t.Errorf("%v: a step that may have run: new owner sends step %d; uncertain: %t", typ, step, doubt)
 		}
-		if r := b.Apply(10, Complete, canon.Encode(Claim{Job: "j", Token: held.Token, Step: held.Step})); (r == ErrStaleToken) != (typ != Unsafe) {
+		if r := b.Apply(10, Complete, codec.Encode(Claim{Job: "j", Token: held.Token, Step: held.Step})); (r == ErrStaleToken) != (typ != Unsafe) {
 			t.Errorf("%v: late report of the old owner: %v", typ, r)
 		}
 	}
@@ -274,12 +274,12 @@
 		b.ApplyMember(uint64(i+1), name, Member{Incarnation: uint64(i + 1), Present: true})
 	}
 	for i := range 6 {
-		b.Apply(uint64(10+i), Start, canon.Encode(Job{Name: fmt.Sprint("j", i), Kind: "k", Steps: 1, Window: 1}))
+		b.Apply(uint64(10+i), Start, codec.Encode(Job{Name: fmt.Sprint("j", i), Kind: "k", Steps: 1, Window: 1}))
 	}
 	load := map[string]int{}
 	for i, c := range p.Plan(0, b) {
 		load[c.Name]++
-		b.Apply(uint64(20+i), Grant, canon.Encode(c))
+		b.Apply(uint64(20+i), Grant, codec.Encode(c))
 	}
 	if fmt.Sprint(load) != "map[a:2 b:2 c:2]" {
 		t.Errorf("spread %v", load)
@@ -288,7 +288,7 @@
 	for loss := uint64(1); loss <= 5; loss++ {
 		b.ApplyMember(100+loss, "a", Member{Incarnation: 1, Losses: loss})
 		for _, c := range p.Plan(at, b) {
-			b.Apply(110+loss, Grant, canon.Encode(c))
+			b.Apply(110+loss, Grant, codec.Encode(c))
 		}
 		b.ApplyMember(120+loss, "a", Member{Incarnation: 1, Present: true, Losses: loss})
 		p.Plan(at, b)
@@ -299,14 +299,14 @@
 			}
 		}
 		holdDown := min(8000, 1000*float64(uint64(1)<<(loss-1)))
-		b.Apply(130+loss, Start, canon.Encode(Job{Name: name, Kind: "k", Steps: 1, Window: 1}))
+		b.Apply(130+loss, Start, codec.Encode(Job{Name: name, Kind: "k", Steps: 1, Window: 1}))
 		if c := p.Plan(at+holdDown-1, b); len(c) != 1 || c[0].Name == "a" {
 			t.Errorf("after %d losses, within %.0f ms: %v", loss, holdDown, c)
 		}
 		if c := p.Plan(at+holdDown, b); len(c) != 1 || c[0].Name != "a" {
 			t.Errorf("after %d losses and %.0f ms: %v", loss, holdDown, c)
 		}
-		b.Apply(140+loss, Stop, canon.Encode(Claim{Job: name}))
+		b.Apply(140+loss, Stop, codec.Encode(Claim{Job: name}))
 		at += holdDown + 1
 	}
 }
@@ -318,7 +318,7 @@
 	for i, name := range []string{"a", "b", "c"} {
 		b.ApplyMember(uint64(i+1), name, Member{Incarnation: uint64(i + 1), Present: true, Losses: uint64(3 + (i+1)%3)}) // a 4, b 5, c 3
 	}
-	b.Apply(10, Start, canon.Encode(Job{Name: "j", Kind: "k", Steps: 1, Window: 1}))
+	b.Apply(10, Start, codec.Encode(Job{Name: "j", Kind: "k", Steps: 1, Window: 1}))
 	if c := p.Plan(0, b); len(c) != 1 || c[0].Name != "c" {
 		t.Errorf("three members in hold-down: %v", c)
 	}
@@ -354,7 +354,7 @@
 		{Start, Job{Name: "k", Steps: 1, Window: 1}, nil}, {Start, Job{Name: "l", Steps: 1, Window: 1}, ErrFull},
 		{Stop, Claim{Job: "k"}, nil}, {Stop, Claim{Job: "k"}, ErrNotRunning}, {Start, Job{Name: "l", Steps: 1, Window: 1}, nil}, {"odd", Claim{Job: "j"}, ErrMalformed},
 	} {
-		got, _ := b.Apply(uint64(10+i), c.kind, canon.Encode(c.data)).(error)
+		got, _ := b.Apply(uint64(10+i), c.kind, codec.Encode(c.data)).(error)
 		if got != c.want {
 			t.Errorf("%d: %s %+v: %v, want %v", i, c.kind, c.data, got, c.want)
 		}
@@ -395,12 +395,12 @@
 	} {
 		b := New(2)
 		b.ApplyMember(1, "a", Member{Incarnation: 1, Present: true})
-		b.Apply(2, Start, canon.Encode(Job{Name: "j", Kind: "k", Steps: 1, Type: c.typ, Window: 1}))
-		b.Apply(3, Grant, canon.Encode(Claim{Job: "j", Name: "a", Incarnation: 1}))
+		b.Apply(2, Start, codec.Encode(Job{Name: "j", Kind: "k", Steps: 1, Type: c.typ, Window: 1}))
+		b.Apply(3, Grant, codec.Encode(Claim{Job: "j", Name: "a", Incarnation: 1}))
 		w := &Executor{Name: "a", Incarnation: 1}
 		actions := w.Sync(0, b)
 		if ask, ok := actions[0].(Propose); ok {
-			b.Apply(4, ask.Kind, canon.Encode(ask.Claim))
+			b.Apply(4, ask.Kind, codec.Encode(ask.Claim))
 			actions = w.Sync(0, b)
 		}
 		if again := w.Sync(0, b); len(again) != 0 {
@@ -437,15 +437,15 @@
 	for _, typ := range []Type{Safe, Keyed, Unsafe} {
 		b := New(2)
 		b.ApplyMember(1, "a", Member{Incarnation: 1, Present: true})
-		b.Apply(2, Start, canon.Encode(Job{Name: "j", Kind: "k", Steps: 1, Type: typ, Window: 1}))
-		b.Apply(3, Grant, canon.Encode(Claim{Job: "j", Name: "a", Incarnation: 1}))
+		b.Apply(2, Start, codec.Encode(Job{Name: "j", Kind: "k", Steps: 1, Type: typ, Window: 1}))
+		b.Apply(3, Grant, codec.Encode(Claim{Job: "j", Name: "a", Incarnation: 1}))
 		w := &Executor{Name: "a", Incarnation: 1}
 		actions := w.Sync(0, b)
 		if typ == Unsafe {
 			if again := w.Resend(); len(again) != 1 || again[0] != actions[0] {
 				t.Errorf("lost Mean proposal sent again: %v", again)
 			}
-			b.Apply(4, Intend, canon.Encode(actions[0].(Propose).Claim))
+			b.Apply(4, Intend, codec.Encode(actions[0].(Propose).Claim))
 			actions = w.Sync(0, b)
 		}
 		reported := w.HandleEnd(0, "j", actions[0].(SendEffect).Token, 0, typ, Ran)
@@ -456,7 +456,7 @@
 		if len(again) != 1 || again[0] != reported[0] {
 			t.Fatalf("%v: lost report sent again: %v", typ, again)
 		}
-		b.Apply(5, Complete, canon.Encode(again[0].(Propose).Claim))
+		b.Apply(5, Complete, codec.Encode(again[0].(Propose).Claim))
 		if w.Sync(0, b); b.Jobs["j"].State != Finished || len(w.Resend()) != 0 {
 			t.Errorf("%v: not finished, or still proposing: %+v", typ, b.Jobs["j"])
 		}
--- a/internal/owner/place/place.go
+++ b/internal/owner/place/place.go
@@ -15,8 +15,8 @@
 	"github.com/sirupsen/logrus"
 	bolt "go.etcd.io/bbolt"
 
-	"poppymill/internal/canon"
 	"poppymill/internal/checked"
+	"poppymill/internal/codec"
 	"poppymill/internal/failpoint"
 	"poppymill/internal/owner"
 )
@@ -159,7 +159,7 @@
 			var e Entry
 			v, err := checked.Get(tx.Bucket(entriesBucket), k)
 			if err == nil {
-				err = canon.Decode(v, &e)
+				err = codec.Decode(v, &e)
 			}
 			if err != nil || binary.BigEndian.Uint64(k) != e.Number || p.lastNumber != 0 && e.Number != p.lastNumber+1 {
 				return fmt.Errorf("%w: entry %x", checked.ErrCorrupt, k)
@@ -277,7 +277,7 @@
 			}
 		}
 		entries := tx.Bucket(entriesBucket)
-		if err := checked.Put(entries, checked.EncodeKey(e.Number), canon.Encode(e)); err != nil {
+		if err := checked.Put(entries, checked.EncodeKey(e.Number), codec.Encode(e)); err != nil {
 			return err
 		}
 		if e.Number > maxEntries {
--- a/internal/owner/state_machine.go
+++ b/internal/owner/state_machine.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 )
 
 // StateMachine is the replicated state machine of all jobs: its state follows from the commands of the log alone.
@@ -99,14 +99,14 @@
 func (b *StateMachine) Apply(index uint64, kind string, data []byte) any {
 	if kind == Start {
 		var j Job
-		if canon.Decode(data, &j) != nil || j.Name == "" || j.Steps < 1 || j.Steps > maxSteps || j.Window < 1 || j.Window > maxWindow ||
+		if codec.Decode(data, &j) != nil || j.Name == "" || j.Steps < 1 || j.Steps > maxSteps || j.Window < 1 || j.Window > maxWindow ||
 			len(j.Data) > maxDataSize || len(j.Gateways) > maxPlaces || j.Type < Safe || j.Type > Unsafe {
 			return ErrMalformed
 		}
 		return b.start(index, j)
 	}
 	var c Claim
-	if canon.Decode(data, &c) != nil {
+	if codec.Decode(data, &c) != nil {
 		return ErrMalformed
 	}
 	j := b.Jobs[c.Job]
@@ -305,7 +305,7 @@
 }
 
 // Save encodes the state; equal states have equal encodings, byte for byte.
-func (b *StateMachine) Save() []byte { return canon.Encode(b) }
+func (b *StateMachine) Save() []byte { return codec.Encode(b) }
 
 // Load replaces the whole state by an encoded one; nil stands for the empty state.
 func (b *StateMachine) Load(data []byte) error {
@@ -314,7 +314,7 @@
 		*b = *loaded
 		return nil
 	}
-	if err := canon.Decode(data, loaded); err != nil {
+	if err := codec.Decode(data, loaded); err != nil {
 		return fmt.Errorf("jobs: %w", err)
 	}
 	if loaded.Jobs == nil || loaded.Workers == nil {
--- a/internal/owner/warmer.go
+++ b/internal/owner/warmer.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 )
 
 // KindWarm is the kind of jobs that prefill the cache of a node.
@@ -49,7 +49,7 @@
 	maps.DeleteFunc(w.started, func(_ string, n startedNode) bool { return now >= n.until })
 	for _, name := range slices.Sorted(maps.Keys(w.started)) {
 		if n := w.started[name]; b.Jobs[name] == nil {
-			jobs = append(jobs, Job{Name: name, Kind: KindWarm, Data: canon.Encode(WarmData{Node: n.node, Each: w.Each}), Steps: w.Rounds, Type: Safe, Window: 1, Zone: n.zone})
+			jobs = append(jobs, Job{Name: name, Kind: KindWarm, Data: codec.Encode(WarmData{Node: n.node, Each: w.Each}), Steps: w.Rounds, Type: Safe, Window: 1, Zone: n.zone})
 		}
 	}
 	return jobs
--- a/internal/purges/drive/service.go
+++ b/internal/purges/drive/service.go
@@ -12,7 +12,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/owner"
 	owned "poppymill/internal/owner/drive"
 	"poppymill/internal/purges"
@@ -199,7 +199,7 @@
 		clear(s.pending)
 	}
 	s.pending[key] = s.now + 1000
-	s.council.Propose(quorum.Command{StateMachine: book, Kind: kind, Data: canon.Encode(content)}, func(quorum.Outcome) { delete(s.pending, key) })
+	s.council.Propose(quorum.Command{StateMachine: book, Kind: kind, Data: codec.Encode(content)}, func(quorum.Outcome) { delete(s.pending, key) })
 }
 
 // logStages logs each purge whose stage has changed.
@@ -224,7 +224,7 @@
 // CheckCommand checks whether an operator may propose a command. The limits of a purge must be those of this gateway.
 func (s *Service) CheckCommand(c quorum.Command) error {
 	var o purges.CommandData
-	if err := canon.Decode(c.Data, &o); err != nil {
+	if err := codec.Decode(c.Data, &o); err != nil {
 		return err
 	}
 	switch {
--- a/internal/purges/purges_test.go
+++ b/internal/purges/purges_test.go
@@ -11,12 +11,12 @@
 
 	"pgregory.net/rapid"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 )
 
 // applyOrder encodes an order and applies it as a command.
 func (b *StateMachine) applyOrder(index uint64, kind string, o CommandData) any {
-	return b.Apply(index, kind, canon.Encode(o))
+	return b.Apply(index, kind, codec.Encode(o))
 }
 
 // model is the reference for the bounds: the plain list of all marks published so far.
--- a/internal/purges/statemachine.go
+++ b/internal/purges/statemachine.go
@@ -8,7 +8,7 @@
 	"reflect"
 	"slices"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 )
 
 // StateMachine is the replicated state machine: the state that results from applying the log's commands.
@@ -139,7 +139,7 @@
 // purge, or an error.
 func (b *StateMachine) Apply(index uint64, kind string, data []byte) any {
 	var o CommandData
-	if canon.Decode(data, &o) != nil || !(o.At >= 0) || o.At > 1e15 {
+	if codec.Decode(data, &o) != nil || !(o.At >= 0) || o.At > 1e15 {
 		return ErrMalformed
 	}
 	b.Now = max(b.Now, o.At)
@@ -431,13 +431,13 @@
 }
 
 // Save encodes the state as a snapshot; equal states have identical encodings.
-func (b *StateMachine) Save() []byte { return canon.Encode(b) }
+func (b *StateMachine) Save() []byte { return codec.Encode(b) }
 
 // Load replaces the state by a snapshot; nil gives an empty state.
 func (b *StateMachine) Load(snapshot []byte) error {
 	n := New()
 	if snapshot != nil {
-		if err := canon.Decode(snapshot, n); err != nil {
+		if err := codec.Decode(snapshot, n); err != nil {
 			return fmt.Errorf("purges: %w", err)
 		}
 		if n.Purges == nil || n.Gateways == nil || n.Bounds == nil {
--- a/internal/quorum/drive/council.go
+++ b/internal/quorum/drive/council.go
@@ -16,8 +16,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"poppymill/internal/canon"
 	"poppymill/internal/checked"
+	"poppymill/internal/codec"
 	"poppymill/internal/failpoint"
 	"poppymill/internal/quorum"
 )
@@ -391,7 +391,7 @@
 func (c *Replica) answerQuestion(f quorum.Frame, answer func(quorum.Frame)) {
 	var q Query
 	if len(f.Data) > 0 {
-		if err := canon.Decode(f.Data, &q); err != nil {
+		if err := codec.Decode(f.Data, &q); err != nil {
 			c.reply(Query{}, 0, err, answer)
 			return
 		}
@@ -471,7 +471,7 @@
 	}
 	name := fmt.Sprintf("?%d", os.Getpid())
 	hello := quorum.Frame{Kind: quorum.KindHello, Data: []byte(name)}.Append(nil)
-	if _, err := conn.Write(quorum.Frame{Kind: quorum.KindStatus, Data: canon.Encode(q)}.Append(hello)); err != nil {
+	if _, err := conn.Write(quorum.Frame{Kind: quorum.KindStatus, Data: codec.Encode(q)}.Append(hello)); err != nil {
 		return r, err
 	}
 	var f quorum.Frame
--- a/internal/quorum/drive/store.go
+++ b/internal/quorum/drive/store.go
@@ -9,8 +9,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"poppymill/internal/canon"
 	"poppymill/internal/checked"
+	"poppymill/internal/codec"
 	"poppymill/internal/quorum"
 )
 
@@ -73,10 +73,10 @@
 		key    []byte
 		decode func([]byte) error
 	}{
-		{identityKey, func(b []byte) error { return canon.Decode(b, &stored.Identity) }},
-		{startsKey, func(b []byte) error { return canon.Decode(b, &stored.Starts) }},
-		{marksKey, func(b []byte) error { return canon.Decode(b, &stored.HighWaterMarks) }},
-		{foundingKey, func(b []byte) error { return canon.Decode(b, &stored.Founding) }},
+		{identityKey, func(b []byte) error { return codec.Decode(b, &stored.Identity) }},
+		{startsKey, func(b []byte) error { return codec.Decode(b, &stored.Starts) }},
+		{marksKey, func(b []byte) error { return codec.Decode(b, &stored.HighWaterMarks) }},
+		{foundingKey, func(b []byte) error { return codec.Decode(b, &stored.Founding) }},
 		{hardKey, func(b []byte) error {
 			stored.HardState = &raftpb.HardState{}
 			return proto.Unmarshal(b, stored.HardState)
@@ -131,22 +131,22 @@
 			}
 		}
 		if r.Identity != nil {
-			if err := checked.Put(meta, identityKey, canon.Encode(r.Identity)); err != nil {
+			if err := checked.Put(meta, identityKey, codec.Encode(r.Identity)); err != nil {
 				return err
 			}
 		}
 		if r.Starts > 0 {
-			if err := checked.Put(meta, startsKey, canon.Encode(r.Starts)); err != nil {
+			if err := checked.Put(meta, startsKey, codec.Encode(r.Starts)); err != nil {
 				return err
 			}
 		}
 		if r.HighWaterMarks != nil {
-			if err := checked.Put(meta, marksKey, canon.Encode(r.HighWaterMarks)); err != nil {
+			if err := checked.Put(meta, marksKey, codec.Encode(r.HighWaterMarks)); err != nil {
 				return err
 			}
 		}
 		if r.Founding != nil {
-			if err := checked.Put(meta, foundingKey, canon.Encode(r.Founding)); err != nil {
+			if err := checked.Put(meta, foundingKey, codec.Encode(r.Founding)); err != nil {
 				return err
 			}
 		}
--- a/internal/quorum/frame.go
+++ b/internal/quorum/frame.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 )
 
 // Kind is the type of a frame.
@@ -90,7 +90,7 @@
 		return f, true, nil
 	}
 	if f.Applied <= MaxFragmentSize || f.Applied > MaxReassembledSize || uint64(len(j.buffer)+len(f.Data)) > f.Applied || len(f.Data) == 0 {
-		return f, false, fmt.Errorf("frame: %w: a fragment of %d bytes after %d, of %d", canon.ErrMalformed, len(f.Data), len(j.buffer), f.Applied)
+		return f, false, fmt.Errorf("frame: %w: a fragment of %d bytes after %d, of %d", codec.ErrMalformed, len(f.Data), len(j.buffer), f.Applied)
 	}
 	if j.buffer = append(j.buffer, f.Data...); uint64(len(j.buffer)) < f.Applied {
 		return f, false, nil
@@ -99,19 +99,19 @@
 	copy(head[:], j.buffer)
 	contentLength := binary.BigEndian.Uint32(head[:])
 	if uint64(contentLength)+FrameHeaderSize != f.Applied {
-		return f, false, fmt.Errorf("frame: %w: fragments of %d bytes make a frame of %d", canon.ErrMalformed, f.Applied, contentLength)
+		return f, false, fmt.Errorf("frame: %w: fragments of %d bytes make a frame of %d", codec.ErrMalformed, f.Applied, contentLength)
 	}
 	whole, err = DecodeFrame(head, j.buffer[FrameHeaderSize:])
 	j.buffer = nil
 	if err == nil && whole.Kind == KindFragment {
-		err = fmt.Errorf("frame: %w: a fragment made of fragments", canon.ErrMalformed)
+		err = fmt.Errorf("frame: %w: a fragment made of fragments", codec.ErrMalformed)
 	}
 	return whole, err == nil, err
 }
 
 // Append appends the encoded frame: length, checksum, content.
 func (f Frame) Append(to []byte) []byte {
-	content := canon.Encode(f)
+	content := codec.Encode(f)
 	to = binary.BigEndian.AppendUint32(to, uint32(len(content)))
 	to = binary.BigEndian.AppendUint64(to, xxhash.Sum64(content))
 	return append(to, content...)
@@ -121,7 +121,7 @@
 func ContentLength(head [FrameHeaderSize]byte) (int, error) {
 	contentLength := binary.BigEndian.Uint32(head[:])
 	if contentLength == 0 || contentLength > MaxFrameSize {
-		return 0, fmt.Errorf("frame: %w: %d bytes long", canon.ErrMalformed, contentLength)
+		return 0, fmt.Errorf("frame: %w: %d bytes long", codec.ErrMalformed, contentLength)
 	}
 	return int(contentLength), nil
 }
@@ -129,13 +129,13 @@
 // DecodeFrame decodes a frame from its header and its content.
 func DecodeFrame(head [FrameHeaderSize]byte, content []byte) (f Frame, err error) {
 	if xxhash.Sum64(content) != binary.BigEndian.Uint64(head[4:]) {
-		return f, fmt.Errorf("frame: %w: checksum mismatch", canon.ErrMalformed)
+		return f, fmt.Errorf("frame: %w: checksum mismatch", codec.ErrMalformed)
 	}
-	switch err = canon.Decode(content, &f); {
+	switch err = codec.Decode(content, &f); {
 	case err != nil:
 		err = fmt.Errorf("frame: %w", err)
 	case f.Kind < KindHello || f.Kind > KindReadIndexReply || len(f.Commands)+len(f.Renewals) > maxListed:
-		err = fmt.Errorf("frame: %w: kind %d with %d commands and %d renewals", canon.ErrMalformed, f.Kind, len(f.Commands), len(f.Renewals))
+		err = fmt.Errorf("frame: %w: kind %d with %d commands and %d renewals", codec.ErrMalformed, f.Kind, len(f.Commands), len(f.Renewals))
 	}
 	return f, err
 }
--- a/internal/quorum/linearizability_test.go
+++ b/internal/quorum/linearizability_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 )
 
 // valueAndLease is a state machine with a value and a lease: the holder, and a token that rises with each grant.
@@ -51,18 +51,18 @@
 
 func (c *valueAndLease) Apply(_ uint64, member Command) any {
 	var op operation
-	if canon.Decode(member.Data, &op) != nil {
+	if codec.Decode(member.Data, &op) != nil {
 		return ErrUnknown
 	}
 	return c.do(op)
 }
-func (c *valueAndLease) Save() []byte { return canon.Encode(c) }
+func (c *valueAndLease) Save() []byte { return codec.Encode(c) }
 func (c *valueAndLease) Load(b []byte) error {
 	*c = valueAndLease{}
 	if b == nil {
 		return nil
 	}
-	return canon.Decode(b, c)
+	return codec.Decode(b, c)
 }
 
 // The results of commands and of reads through the log are linearizable for a value and a lease, whatever faults
@@ -142,7 +142,7 @@
 					token := uint64(s.lastID)
 					open[token] = len(history)
 					history = append(history, porcupine.Operation{ClientId: i, Input: op, Call: int64(s.now * 1000), Return: 1 << 60, Output: operationResult{Unknown: true}})
-					g.handle(Propose{Token: token, Command: Command{StateMachine: "cell", Kind: op.Kind, Data: canon.Encode(op)}})
+					g.handle(Propose{Token: token, Command: Command{StateMachine: "cell", Kind: op.Kind, Data: codec.Encode(op)}})
 				}
 			}
 			s.run(50+600*s.chance.Float64(), nil)
--- a/internal/quorum/members.go
+++ b/internal/quorum/members.go
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 )
 
 // Member is one named gateway of the fleet, as recorded in the log.
@@ -103,7 +103,7 @@
 // Apply applies a committed command.
 func (m *Members) Apply(index uint64, c Command) any {
 	var reported Member
-	if c.Kind == cmdNoop || canon.Decode(c.Data, &reported) != nil {
+	if c.Kind == cmdNoop || codec.Decode(c.Data, &reported) != nil {
 		return ErrUnknown
 	}
 	member := m.Names[reported.Name]
@@ -182,16 +182,16 @@
 }
 
 // Save encodes the members.
-func (m *Members) Save() []byte { return canon.Encode(m) }
+func (m *Members) Save() []byte { return codec.Encode(m) }
 
 // Load replaces the members by encoded ones.
 func (m *Members) Load(b []byte) error {
 	loaded := newMembers(m.MaxNames)
-	if err := canon.Decode(b, loaded); err != nil {
+	if err := codec.Decode(b, loaded); err != nil {
 		return err
 	}
 	if loaded.Names == nil || len(loaded.Names) > 1<<13 {
-		return fmt.Errorf("members: %w: %d of them", canon.ErrMalformed, len(loaded.Names))
+		return fmt.Errorf("members: %w: %d of them", codec.ErrMalformed, len(loaded.Names))
 	}
 	*m = *loaded
 	return nil
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -11,7 +11,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/prng"
 )
 
@@ -176,7 +176,7 @@
 // restoreState replaces all replicated state by that of a snapshot.
 func (n *Node) restoreState(data []byte, index uint64) error {
 	var state replicatedState
-	if err := canon.Decode(data, &state); err != nil {
+	if err := codec.Decode(data, &state); err != nil {
 		return err
 	}
 	if err := n.members.Load(state.Members); err != nil {
@@ -213,7 +213,7 @@
 	for name, book := range n.books {
 		state.Books[name] = book.Save()
 	}
-	return canon.Encode(state)
+	return codec.Encode(state)
 }
 
 // Handle processes an event; nil only advances the time.
@@ -594,7 +594,7 @@
 		return
 	}
 	var c Command
-	if canon.Decode(data, &c) != nil {
+	if codec.Decode(data, &c) != nil {
 		return
 	}
 	var result any
--- a/internal/quorum/peers.go
+++ b/internal/quorum/peers.go
@@ -10,7 +10,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 )
 
 // maxLogBatch limits the bytes of log entries sent to a follower at a time. It asks for more once it has them, so
@@ -129,7 +129,7 @@
 	}
 	index, term, members := uint64(initialIndex), uint64(1), newMembers(n.settings.MaxMembers)
 	conf := &raftpb.ConfState{Voters: slices.Sorted(maps.Values(f.Founding.Voters))}
-	snapshot := &raftpb.Snapshot{Data: canon.Encode(replicatedState{Members: members.Save()}), Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &index, Term: &term}}
+	snapshot := &raftpb.Snapshot{Data: codec.Encode(replicatedState{Members: members.Save()}), Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &index, Term: &term}}
 	store := Store{Identity: n.id, Founding: n.founding, Snapshot: snapshot, HardState: &raftpb.HardState{Term: &term, Commit: &index}}
 	n.save(Record{Founding: n.founding, Snapshot: snapshot, HardState: store.HardState}, func() {
 		if err := n.startRaft(store); err != nil {
@@ -245,7 +245,7 @@
 	case n.isLeader():
 		for _, c := range commands {
 			if len(c.Data) <= maxCommandSize { // not checked yet when a peer forwarded it
-				n.raft.Propose(canon.Encode(c))
+				n.raft.Propose(codec.Encode(c))
 			}
 		}
 	case n.raft != nil:
@@ -281,7 +281,7 @@
 	if m := n.members.Names[n.settings.Name]; m != nil {
 		previous = m.Incarnation
 	}
-	n.forward([]Command{{StateMachine: membersBook, Kind: cmdJoin, Data: canon.Encode(Member{Name: n.settings.Name, Zone: n.settings.Zone, Address: n.settings.Address,
+	n.forward([]Command{{StateMachine: membersBook, Kind: cmdJoin, Data: codec.Encode(Member{Name: n.settings.Name, Zone: n.settings.Zone, Address: n.settings.Address,
 		Nonce: n.nonce, Identity: id, Incarnation: previous, RunsOwnedWork: n.settings.RunsOwnedWork, Starts: n.starts})}})
 }
 
@@ -292,7 +292,7 @@
 		return
 	}
 	// Proposed first: raft drops proposals during a leadership transfer.
-	n.forward([]Command{{StateMachine: membersBook, Kind: cmdLeave, Data: canon.Encode(Member{Name: n.settings.Name, Incarnation: n.incarnation})}})
+	n.forward([]Command{{StateMachine: membersBook, Kind: cmdLeave, Data: codec.Encode(Member{Name: n.settings.Name, Incarnation: n.incarnation})}})
 	n.transferLeadership()
 	n.left = true
 }
@@ -401,7 +401,7 @@
 		return
 	}
 	n.proposedByLeader[key] = n.now
-	n.raft.Propose(canon.Encode(Command{StateMachine: membersBook, Kind: kind, Data: canon.Encode(m)}))
+	n.raft.Propose(codec.Encode(Command{StateMachine: membersBook, Kind: kind, Data: codec.Encode(m)}))
 }
 
 // checkLeases proposes at the leader that members with expired leases are silent. Nothing else does.
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 )
 
 // newRunningSim returns a fleet that is founded and that all gateways have joined.
@@ -349,12 +349,12 @@
 func TestLeftMemberStaysLeft(t *testing.T) {
 	m := newMembers(2)
 	join := func(index uint64, name string, nonce uint64) any {
-		return m.Apply(index, Command{Kind: cmdJoin, Data: canon.Encode(Member{Name: name, Nonce: nonce})})
+		return m.Apply(index, Command{Kind: cmdJoin, Data: codec.Encode(Member{Name: name, Nonce: nonce})})
 	}
 	join(1, "a", 1)
-	m.Apply(2, Command{Kind: cmdLeave, Data: canon.Encode(Member{Name: "a", Incarnation: 1})})
+	m.Apply(2, Command{Kind: cmdLeave, Data: codec.Encode(Member{Name: "a", Incarnation: 1})})
 	for i, kind := range []string{cmdReturn, cmdSilent, cmdLeave} {
-		if r := m.Apply(uint64(3+i), Command{Kind: kind, Data: canon.Encode(Member{Name: "a", Incarnation: 1, Since: 2})}); r != ErrRepeated || m.Names["a"].State != MemberLeft {
+		if r := m.Apply(uint64(3+i), Command{Kind: kind, Data: codec.Encode(Member{Name: "a", Incarnation: 1, Since: 2})}); r != ErrRepeated || m.Names["a"].State != MemberLeft {
 			t.Errorf("%s after leaving: %v, %v", kind, r, m.Names["a"].State)
 		}
 	}
@@ -561,7 +561,7 @@
 func TestDelayedMemberCommands(t *testing.T) {
 	m := newMembers(4)
 	apply := func(index uint64, kind string, x Member) any {
-		return m.Apply(index, Command{Kind: kind, Data: canon.Encode(x)})
+		return m.Apply(index, Command{Kind: kind, Data: codec.Encode(x)})
 	}
 	apply(1, cmdJoin, Member{Name: "a", Nonce: 1})
 	silence := Member{Name: "a", Incarnation: 1, Since: 1}
--- a/internal/quorum/sim_test.go
+++ b/internal/quorum/sim_test.go
@@ -12,7 +12,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/prng"
 )
 
@@ -143,12 +143,12 @@
 	l.Lines = append(l.Lines, string(c.Data))
 	return len(l.Lines)
 }
-func (l *ledger) Save() []byte { return canon.Encode(l.Lines) }
+func (l *ledger) Save() []byte { return codec.Encode(l.Lines) }
 func (l *ledger) Load(b []byte) error {
 	if l.Lines = nil; b == nil {
 		return nil
 	}
-	return canon.Decode(b, &l.Lines)
+	return codec.Decode(b, &l.Lines)
 }
 
 // newSim returns voters v0, v1 ... and followers f0, f1 ..., spread over three clubs, none of them started.
--- a/internal/quorum/storecheck.go
+++ b/internal/quorum/storecheck.go
@@ -7,7 +7,7 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 )
 
 // A store restored from a backup could let its gateway vote twice in a term, or forget entries it has acknowledged.
@@ -107,13 +107,13 @@
 	if m := n.memberByIdentity(f.ID); m != nil {
 		evidence.Starts, evidence.Nonce = m.Starts, m.Nonce
 	}
-	n.send(from, Frame{Kind: KindStoreReply, EchoNonce: f.Nonce, Data: canon.Encode(evidence)})
+	n.send(from, Frame{Kind: KindStoreReply, EchoNonce: f.Nonce, Data: codec.Encode(evidence)})
 }
 
 // handleStoreReply handles the answer to a query, also one that comes after the check.
 func (n *Node) handleStoreReply(from string, f Frame) {
 	var evidence StoreEvidence
-	if f.EchoNonce != n.nonce || n.raft == nil || canon.Decode(f.Data, &evidence) != nil {
+	if f.EchoNonce != n.nonce || n.raft == nil || codec.Decode(f.Data, &evidence) != nil {
 		return
 	}
 	index, _ := n.storage.LastIndex()
@@ -154,7 +154,7 @@
 // storeRejected handles a join rejected in the log because its store is an old copy.
 func (n *Node) storeRejected(c Command) {
 	var joining Member
-	if canon.Decode(c.Data, &joining) == nil && joining.Nonce == n.nonce && joining.Identity == n.id.ID {
+	if codec.Decode(c.Data, &joining) == nil && joining.Nonce == n.nonce && joining.Identity == n.id.ID {
 		n.revokeIdentity("it was started as often before", "the log")
 	}
 }
--- a/internal/rehearsal/sockets/control.go
+++ b/internal/rehearsal/sockets/control.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/owner"
 	owned "poppymill/internal/owner/drive"
 	"poppymill/internal/owner/place"
@@ -88,7 +88,7 @@
 			job.Gateways = append(job.Gateways, name)
 		})
 	}
-	command := &quorum.Command{StateMachine: owned.StateMachineName, Kind: owner.Start, Data: canon.Encode(job)}
+	command := &quorum.Command{StateMachine: owned.StateMachineName, Kind: owner.Start, Data: codec.Encode(job)}
 	for i := 0; s.ctx.Err() == nil; i++ {
 		if r, err := s.Call(i%len(s.gateways), drive.Query{Command: command}, 2*time.Second); err == nil && r.Error == "" {
 			return
@@ -109,7 +109,7 @@
 		var limits purges.Limits
 		if r, err := s.Call(gateway, drive.Query{Subject: "purge limits"}, time.Second); err == nil && r.Error == "" && json.Unmarshal(r.Body, &limits) == nil {
 			order := purges.CommandData{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &limits}
-			command := &quorum.Command{StateMachine: sweep.StateMachineName, Kind: purges.Accept, Data: canon.Encode(order)}
+			command := &quorum.Command{StateMachine: sweep.StateMachineName, Kind: purges.Accept, Data: codec.Encode(order)}
 			if r, err := s.Call(gateway, drive.Query{Command: command, Subject: "purge", Name: a.ID}, 2*time.Second); err == nil && r.Error == "" && json.Unmarshal(r.Body, &accepted) == nil {
 				break
 			}
--- a/internal/rehearsal/sockets/maintenance_test.go
+++ b/internal/rehearsal/sockets/maintenance_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/failpoint"
 	"poppymill/internal/maintenance"
 	machines "poppymill/internal/maintenance/drive"
@@ -152,7 +152,7 @@
 // submitOrder submits a maintenance command. The second result reports whether a gateway answered.
 func (mc *machineCluster) submitOrder(kind string, o maintenance.CommandData, from int) (error, bool) {
 	o.At = float64(time.Now().UnixMilli())
-	return mc.call(drive.Query{Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: kind, Data: canon.Encode(o)}}, nil, from)
+	return mc.call(drive.Query{Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: kind, Data: codec.Encode(o)}}, nil, from)
 }
 
 // requestMaintenance requests a maintenance window for each machine and starts the machines' agents.
@@ -375,7 +375,7 @@
 		mc.inject(script.Event{Kind: "part", Name: mc.names[0], Duration: 4000})
 		mc.inject(script.Event{Kind: "part", Name: mc.names[1], Duration: 4000, OneWay: true})
 		o := maintenance.CommandData{At: float64(time.Now().UnixMilli()), Request: &maintenance.Request{ID: "r-" + rest[0], Machine: rest[0], Duration: windowMillis}}
-		r, err := mc.stage.Call(0, drive.Query{Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: maintenance.Submit, Data: canon.Encode(o)}}, 1500*time.Millisecond)
+		r, err := mc.stage.Call(0, drive.Query{Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: maintenance.Submit, Data: codec.Encode(o)}}, 1500*time.Millisecond)
 		if err == nil && r.Error == "" {
 			t.Errorf("a gateway without a majority took a request: %+v", r)
 		}
--- a/internal/rehearsal/sockets/owner_test.go
+++ b/internal/rehearsal/sockets/owner_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/failpoint"
 	"poppymill/internal/owner"
 	owned "poppymill/internal/owner/drive"
@@ -39,7 +39,7 @@
 
 // submit submits a command on owned work to one gateway and reports whether it was committed.
 func (c *cluster) submit(gateway int, kind string, content any) bool {
-	command := &quorum.Command{StateMachine: owned.StateMachineName, Kind: kind, Data: canon.Encode(content)}
+	command := &quorum.Command{StateMachine: owned.StateMachineName, Kind: kind, Data: codec.Encode(content)}
 	r, err := c.stage.Call(gateway, drive.Query{Command: command}, 2*time.Second)
 	return err == nil && r.Error == ""
 }
--- a/internal/rehearsal/virtual/replicated_log.go
+++ b/internal/rehearsal/virtual/replicated_log.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/gateway"
 	"poppymill/internal/owner"
 	"poppymill/internal/rehearsal/world"
@@ -151,9 +151,9 @@
 	for _, x := range m.agent.Handle(d.now, e) {
 		switch x := x.(type) {
 		case owner.Propose:
-			data := canon.Encode(x.Claim)
+			data := codec.Encode(x.Claim)
 			if x.Job != nil {
-				data = canon.Encode(x.Job)
+				data = codec.Encode(x.Job)
 			}
 			m.consensus.propose(logEntry{kind: x.Kind, data: data})
 		case owner.SendEffect:
@@ -168,7 +168,7 @@
 // runStep runs a job's step on this gateway's own core.
 func (m *logMember) runStep(step owner.SendEffect) {
 	var warming owner.WarmData
-	if canon.Decode(step.Job.Data, &warming) != nil {
+	if codec.Decode(step.Job.Data, &warming) != nil {
 		return
 	}
 	d, process := m.consensus.d, m.process
--- a/internal/rehearsal/virtual/work_order_test.go
+++ b/internal/rehearsal/virtual/work_order_test.go
@@ -8,7 +8,7 @@
 	"slices"
 	"testing"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/maintenance"
 	"poppymill/internal/prng"
 	"poppymill/internal/rehearsal/script"
@@ -34,7 +34,7 @@
 	for i, name := range boxes {
 		inventory.Machines = append(inventory.Machines, maintenance.Machine{Name: name, Club: clubs[i], Boxes: []string{name}, Capacity: 1})
 	}
-	apply := func(kind string, content any) any { return book.Apply(1, kind, canon.Encode(content)) }
+	apply := func(kind string, content any) any { return book.Apply(1, kind, codec.Encode(content)) }
 	apply(maintenance.SetInventory, inventory)
 	for _, name := range boxes {
 		apply(maintenance.Submit, maintenance.CommandData{At: nightStart, Request: &maintenance.Request{ID: name, Machine: name, Duration: workTime}})
