--- a/internal/checked/checked.go
+++ b/internal/boltstore/boltstore.go
@@ -1,7 +1,7 @@
-// Package checked reads and writes bbolt stores (go.etcd.io/bbolt) with corruption checks. Every value carries a
+// Package boltstore reads and writes bbolt stores (go.etcd.io/bbolt) with corruption checks. Every value carries a
 // checksum over its key and itself, which detects a stale or misplaced page; a check of the file's meta pages detects
 // that its last write was lost.
-package checked
+package boltstore
 
 import (
 	"bytes"
--- a/internal/owner/place/place.go
+++ b/internal/owner/place/place.go
@@ -15,7 +15,7 @@
 	"github.com/sirupsen/logrus"
 	bolt "go.etcd.io/bbolt"
 
-	"poppymill/internal/checked"
+	"poppymill/internal/boltstore"
 	"poppymill/internal/codec"
 	"poppymill/internal/failpoint"
 	"poppymill/internal/owner"
@@ -96,7 +96,7 @@
 	}
 	path := filepath.Join(folder, "effects")
 	db, err := p.open(path)
-	if checked.IsCorrupt(err) {
+	if boltstore.IsCorrupt(err) {
 		// The tokens in the record are lost. The log makes up for them, as nothing happens here before this gateway
 		// has applied it up to its own start. Which keyed steps ran here is lost for good.
 		aside := fmt.Sprintf("%s.spoilt-%d", path, time.Now().Unix())
@@ -114,8 +114,8 @@
 }
 
 func (p *Log) open(path string) (db *bolt.DB, err error) {
-	defer checked.RecoverCorruption(&err)()
-	if db, err = checked.Open(path); err != nil {
+	defer boltstore.RecoverCorruption(&err)()
+	if db, err = boltstore.Open(path); err != nil {
 		return nil, err
 	}
 	if err = p.read(db); err != nil {
@@ -128,7 +128,7 @@
 	if err := db.Update(func(tx *bolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(metaBucket)
 		if err == nil {
-			err = checked.CheckVersion(meta, versionKey, version)
+			err = boltstore.CheckVersion(meta, versionKey, version)
 		}
 		for _, name := range [][]byte{tokensBucket, entriesBucket} {
 			if _, more := tx.CreateBucketIfNotExists(name); err == nil {
@@ -141,14 +141,14 @@
 	}
 	return db.View(func(tx *bolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
-		floor, err := checked.Uint64(meta, floorKey)
+		floor, err := boltstore.Uint64(meta, floorKey)
 		if err != nil {
-			return fmt.Errorf("%w: token floor: %v", checked.ErrCorrupt, err)
+			return fmt.Errorf("%w: token floor: %v", boltstore.ErrCorrupt, err)
 		}
 		tokens := map[string]uint64{}
 		if err := tx.Bucket(tokensBucket).ForEach(func(k, _ []byte) (err error) {
-			if tokens[string(k)], err = checked.Uint64(tx.Bucket(tokensBucket), k); err != nil {
-				err = fmt.Errorf("%w: token of job %q: %v", checked.ErrCorrupt, k, err)
+			if tokens[string(k)], err = boltstore.Uint64(tx.Bucket(tokensBucket), k); err != nil {
+				err = fmt.Errorf("%w: token of job %q: %v", boltstore.ErrCorrupt, k, err)
 			}
 			return err
 		}); err != nil {
@@ -157,12 +157,12 @@
 		p.checker.Restore(floor, tokens)
 		return tx.Bucket(entriesBucket).ForEach(func(k, _ []byte) error {
 			var e Entry
-			v, err := checked.Get(tx.Bucket(entriesBucket), k)
+			v, err := boltstore.Get(tx.Bucket(entriesBucket), k)
 			if err == nil {
 				err = codec.Decode(v, &e)
 			}
 			if err != nil || binary.BigEndian.Uint64(k) != e.Number || p.lastNumber != 0 && e.Number != p.lastNumber+1 {
-				return fmt.Errorf("%w: entry %x", checked.ErrCorrupt, k)
+				return fmt.Errorf("%w: entry %x", boltstore.ErrCorrupt, k)
 			}
 			p.lastNumber = e.Number
 			p.entries = append(p.entries, e)
@@ -256,7 +256,7 @@
 	failpoint.Here(failpoint.TokenChecked)
 	err := p.db.Update(func(tx *bolt.Tx) error {
 		floor, tokens := p.checker.Snapshot()
-		if err := checked.Put(tx.Bucket(metaBucket), floorKey, checked.EncodeKey(floor)); err != nil {
+		if err := boltstore.Put(tx.Bucket(metaBucket), floorKey, boltstore.EncodeKey(floor)); err != nil {
 			return err
 		}
 		b := tx.Bucket(tokensBucket)
@@ -269,19 +269,19 @@
 			}
 		}
 		for job, token := range tokens {
-			if old, err := checked.Uint64(b, []byte(job)); err == nil && old == token {
+			if old, err := boltstore.Uint64(b, []byte(job)); err == nil && old == token {
 				continue
 			}
-			if err := checked.Put(b, []byte(job), checked.EncodeKey(token)); err != nil {
+			if err := boltstore.Put(b, []byte(job), boltstore.EncodeKey(token)); err != nil {
 				return err
 			}
 		}
 		entries := tx.Bucket(entriesBucket)
-		if err := checked.Put(entries, checked.EncodeKey(e.Number), codec.Encode(e)); err != nil {
+		if err := boltstore.Put(entries, boltstore.EncodeKey(e.Number), codec.Encode(e)); err != nil {
 			return err
 		}
 		if e.Number > maxEntries {
-			if err := entries.Delete(checked.EncodeKey(e.Number - maxEntries)); err != nil {
+			if err := entries.Delete(boltstore.EncodeKey(e.Number - maxEntries)); err != nil {
 				return err
 			}
 		}
--- a/internal/quorum/drive/council.go
+++ b/internal/quorum/drive/council.go
@@ -16,7 +16,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"poppymill/internal/checked"
+	"poppymill/internal/boltstore"
 	"poppymill/internal/codec"
 	"poppymill/internal/failpoint"
 	"poppymill/internal/quorum"
@@ -112,7 +112,7 @@
 		}
 		path := filepath.Join(b.Store, "agreed")
 		var err error
-		if c.store, stored, err = openStore(path); err != nil && checked.IsCorrupt(err) {
+		if c.store, stored, err = openStore(path); err != nil && boltstore.IsCorrupt(err) {
 			// Nothing in a corrupt store can be trusted, least of all its identity: it is moved aside, and this gateway
 			// joins under a new identity.
 			aside := fmt.Sprintf("%s.spoilt-%d", path, time.Now().Unix())
--- a/internal/quorum/drive/drive_test.go
+++ b/internal/quorum/drive/drive_test.go
@@ -18,7 +18,7 @@
 	"github.com/sirupsen/logrus"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"poppymill/internal/checked"
+	"poppymill/internal/boltstore"
 	"poppymill/internal/operator"
 	"poppymill/internal/quorum"
 )
@@ -117,7 +117,7 @@
 				t.Errorf("with byte %d corrupt the store holds %s", at, got)
 			}
 			s.close()
-		} else if detected++; !checked.IsCorrupt(err) {
+		} else if detected++; !boltstore.IsCorrupt(err) {
 			t.Errorf("with byte %d corrupt: %v", at, err)
 		}
 		os.Remove(other)
--- a/internal/quorum/drive/store.go
+++ b/internal/quorum/drive/store.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"poppymill/internal/checked"
+	"poppymill/internal/boltstore"
 	"poppymill/internal/codec"
 	"poppymill/internal/quorum"
 )
@@ -40,8 +40,8 @@
 
 // openStore opens a store, or creates an empty one, and reads its content.
 func openStore(path string) (s *store, stored quorum.Store, err error) {
-	defer checked.RecoverCorruption(&err)()
-	db, err := checked.Open(path)
+	defer boltstore.RecoverCorruption(&err)()
+	db, err := boltstore.Open(path)
 	if err != nil {
 		return nil, stored, fmt.Errorf("store %s: %w", path, err)
 	}
@@ -54,7 +54,7 @@
 		if _, err := tx.CreateBucketIfNotExists(entriesBucket); err != nil {
 			return err
 		}
-		return checked.CheckVersion(meta, versionKey, storeVersion)
+		return boltstore.CheckVersion(meta, versionKey, storeVersion)
 	})
 	if err == nil {
 		err = db.View(func(tx *bolt.Tx) error { return load(tx, &stored) })
@@ -83,18 +83,18 @@
 		}},
 		{snapshotKey, func(b []byte) error { stored.Snapshot = &raftpb.Snapshot{}; return proto.Unmarshal(b, stored.Snapshot) }},
 	} {
-		b, err := checked.Get(meta, field.key)
+		b, err := boltstore.Get(meta, field.key)
 		if err == nil && b != nil {
 			err = field.decode(b)
 		}
 		if err != nil {
-			return fmt.Errorf("%w: %s: %v", checked.ErrCorrupt, field.key, err)
+			return fmt.Errorf("%w: %s: %v", boltstore.ErrCorrupt, field.key, err)
 		}
 	}
 	snapshotIndex := stored.Snapshot.GetMetadata().GetIndex()
 	c := entries.Cursor()
 	for k, _ := c.First(); k != nil; k, _ = c.Next() {
-		b, err := checked.Get(entries, k)
+		b, err := boltstore.Get(entries, k)
 		e := &raftpb.Entry{}
 		if err == nil {
 			err = proto.Unmarshal(b, e)
@@ -103,25 +103,25 @@
 			err = fmt.Errorf("holds %d", e.GetIndex())
 		}
 		if err != nil {
-			return fmt.Errorf("%w: entry %x: %v", checked.ErrCorrupt, k, err)
+			return fmt.Errorf("%w: entry %x: %v", boltstore.ErrCorrupt, k, err)
 		}
 		if e.GetIndex() <= snapshotIndex {
 			continue // kept for lagging members; the snapshot covers it
 		}
 		if want := snapshotIndex + uint64(len(stored.Entries)) + 1; e.GetIndex() != want {
-			return fmt.Errorf("%w: entry %d in place of entry %d", checked.ErrCorrupt, e.GetIndex(), want)
+			return fmt.Errorf("%w: entry %d in place of entry %d", boltstore.ErrCorrupt, e.GetIndex(), want)
 		}
 		stored.Entries = append(stored.Entries, e)
 	}
 	if last := snapshotIndex + uint64(len(stored.Entries)); stored.HardState.GetCommit() > last {
-		return fmt.Errorf("%w: committed up to %d, but the last entry is %d", checked.ErrCorrupt, stored.HardState.GetCommit(), last)
+		return fmt.Errorf("%w: committed up to %d, but the last entry is %d", boltstore.ErrCorrupt, stored.HardState.GetCommit(), last)
 	}
 	return nil
 }
 
 // put writes a record to the disk and syncs it, atomically.
 func (s *store) put(r quorum.Record) (err error) {
-	defer checked.RecoverCorruption(&err)()
+	defer boltstore.RecoverCorruption(&err)()
 	s.onStep("before")
 	err = s.db.Update(func(tx *bolt.Tx) error {
 		meta, entries := tx.Bucket(metaBucket), tx.Bucket(entriesBucket)
@@ -131,28 +131,28 @@
 			}
 		}
 		if r.Identity != nil {
-			if err := checked.Put(meta, identityKey, codec.Encode(r.Identity)); err != nil {
+			if err := boltstore.Put(meta, identityKey, codec.Encode(r.Identity)); err != nil {
 				return err
 			}
 		}
 		if r.Starts > 0 {
-			if err := checked.Put(meta, startsKey, codec.Encode(r.Starts)); err != nil {
+			if err := boltstore.Put(meta, startsKey, codec.Encode(r.Starts)); err != nil {
 				return err
 			}
 		}
 		if r.HighWaterMarks != nil {
-			if err := checked.Put(meta, marksKey, codec.Encode(r.HighWaterMarks)); err != nil {
+			if err := boltstore.Put(meta, marksKey, codec.Encode(r.HighWaterMarks)); err != nil {
 				return err
 			}
 		}
 		if r.Founding != nil {
-			if err := checked.Put(meta, foundingKey, codec.Encode(r.Founding)); err != nil {
+			if err := boltstore.Put(meta, foundingKey, codec.Encode(r.Founding)); err != nil {
 				return err
 			}
 		}
 		if r.Snapshot != nil {
 			b, err := proto.Marshal(r.Snapshot)
-			if err = errors.Join(err, checked.Put(meta, snapshotKey, b)); err != nil {
+			if err = errors.Join(err, boltstore.Put(meta, snapshotKey, b)); err != nil {
 				return err
 			}
 			if r.Compact == 0 { // a snapshot of a leader, which replaces the whole log
@@ -173,13 +173,13 @@
 		}
 		for _, e := range r.Entries {
 			b, err := proto.Marshal(e)
-			if err = errors.Join(err, checked.Put(entries, binary.BigEndian.AppendUint64(nil, e.GetIndex()), b)); err != nil {
+			if err = errors.Join(err, boltstore.Put(entries, binary.BigEndian.AppendUint64(nil, e.GetIndex()), b)); err != nil {
 				return err
 			}
 		}
 		if r.HardState != nil {
 			b, err := proto.Marshal(r.HardState)
-			if err = errors.Join(err, checked.Put(meta, hardKey, b)); err != nil {
+			if err = errors.Join(err, boltstore.Put(meta, hardKey, b)); err != nil {
 				return err
 			}
 		}
