--- a/cmd/poppymill/serve.go
+++ b/cmd/poppymill/serve.go
@@ -11,8 +11,8 @@
 	"github.com/sirupsen/logrus"
 	"github.com/urfave/cli/v3"
 
-	"poppymill/internal/footprint"
 	"poppymill/internal/gateway"
+	"poppymill/internal/gatewayconfig"
 )
 
 // reloadSignals delivers SIGHUP. It is registered at package initialization: a SIGHUP that arrived before would end the
@@ -42,7 +42,7 @@
 
 // loadSetup reads both files; an error in either makes both unusable.
 func loadSetup(cmd *cli.Command) (gateway.Setup, error) {
-	c, err := footprint.Load(cmd.String("config"), os.Getenv)
+	c, err := gatewayconfig.Load(cmd.String("config"), os.Getenv)
 	if err != nil {
 		return gateway.Setup{}, err
 	}
--- a/internal/bite/crossings.go
+++ b/internal/bite/crossings.go
@@ -27,7 +27,7 @@
 	{"a download that was never sent gets a failure", "internal/gateway/core.go", "!d.answered && len(d.pulls) == 0 {", "!d.answered && len(d.pulls) < 0 {", gatewayPackage, "TestCompetingEnds"},
 	{"the flush margin takes up a short expiry", "internal/gateway/serve.go", "min(flushPeriod, wait/4)", "min(flushPeriod, wait)", gatewayPackage, "TestAnswerBy"},
 	{"an unknown number of gateways counts as one", "router/router.go", "cmp.Or(r.settings.numAt(\"gateways by zone\", zoneIndex), r.settings.num(\"gateways\"))", "r.settings.numAt(\"gateways by zone\", zoneIndex)", routerPackage, "TestZoneGatewayCount"},
-	{"lists of a different length are accepted", "internal/footprint/config.go", "if l.count != 0 && l.count != len(c.Types) {", "if l.count < 0 {", "./internal/footprint", "TestParse"},
+	{"lists of a different length are accepted", "internal/gatewayconfig/config.go", "if l.count != 0 && l.count != len(c.Types) {", "if l.count < 0 {", "./internal/gatewayconfig", "TestParse"},
 	{"connections to the previous process are reused", "internal/caches/pool.go", "if n.address != address || n.startedAt != startedAt {", "if false {", gatewayPackage, "TestNodeListOrder"},
 	{"waiting pulls are sent to a draining cache", "internal/gateway/channel_events.go", "\tg.withdrawPulls(func(p *pull) bool { return p.node == id || p.source == id })\n", "", gatewayPackage, "TestNodeListOrder"},
 }
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -8,7 +8,7 @@
 	"poppymill/internal/caches"
 	"poppymill/internal/channel"
 	"poppymill/internal/clients"
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 	"poppymill/router"
 )
 
@@ -35,7 +35,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			c, err := footprint.Parse(text, os.Getenv)
+			c, err := gatewayconfig.Parse(text, os.Getenv)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -52,7 +52,7 @@
 				list.Nodes = append(list.Nodes, channel.Node{Address: fmt.Sprintf("127.0.0.1:%d", 5000+i), Entry: e})
 			}
 			var wires []*instantWire
-			pool := caches.NewPool(caches.Limits{PullsPerConn: c.StreamsPerConn, IdleTimeout: 1e9, Conns: 2 * nodes, GaugeName: footprint.LoadValueName},
+			pool := caches.NewPool(caches.Limits{PullsPerConn: c.StreamsPerConn, IdleTimeout: 1e9, Conns: 2 * nodes, GaugeName: gatewayconfig.LoadValueName},
 				func(string) caches.Wire {
 					w := &instantWire{}
 					wires = append(wires, w)
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -2,7 +2,7 @@
 
 import (
 	"poppymill/internal/buffer"
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 )
 
 // Budget divides a gateway's limits on memory and descriptors among its parts. Requests that do not fit are turned away
@@ -26,7 +26,7 @@
 // NewBudget computes the budget. Clients hold at most a third of the descriptors; two fifths are allowed, as connections
 // that they have just closed still count here. A third of the memory is for connections, an eighth for open downloads
 // and a quarter for bodies; the rest is for the router's tables and garbage that is not collected yet.
-func NewBudget(c *footprint.Config) Budget {
+func NewBudget(c *gatewayconfig.Config) Budget {
 	memory := c.MemoryMB<<20 - reservedMemory
 	conns := max(2*minConnsPerSide, min(c.Sockets-reservedDescriptors, memory/3/(buffer.Size+memoryPerConn)))
 	clients := max(minConnsPerSide, conns*2/5)
@@ -35,11 +35,11 @@
 }
 
 // maxPeerConns returns how many connections the quorum of gateways may hold.
-func maxPeerConns(c *footprint.Config) int { return max(minConnsPerSide, c.Sockets/8) }
+func maxPeerConns(c *gatewayconfig.Config) int { return max(minConnsPerSide, c.Sockets/8) }
 
 // shareWithQuorum computes the budget of a gateway that takes part in the quorum. The peer connections are set aside
 // first, and a quarter of reservedDescriptors more for the quorum's listener, store and pending calls.
-func shareWithQuorum(c *footprint.Config) Budget {
+func shareWithQuorum(c *gatewayconfig.Config) Budget {
 	rest := *c
 	rest.Sockets -= maxPeerConns(c) + reservedDescriptors/4
 	return NewBudget(&rest)
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -18,7 +18,7 @@
 	"poppymill/internal/caches"
 	"poppymill/internal/channel"
 	"poppymill/internal/clients"
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 	"poppymill/router"
 )
 
@@ -66,7 +66,7 @@
 // Core is the state machine of a gateway. It is not safe for concurrent use.
 type Core struct {
 	Counters
-	config       *footprint.Config
+	config       *gatewayconfig.Config
 	log          logrus.FieldLogger
 	warnings     *warnLimiter
 	links        *signedLinks   // nil if disabled
@@ -128,7 +128,7 @@
 }
 
 // NewCore returns a core whose router has been given the settings and all that is known at the start.
-func NewCore(c *footprint.Config, pool *caches.Pool, log logrus.FieldLogger, now float64) *Core {
+func NewCore(c *gatewayconfig.Config, pool *caches.Pool, log logrus.FieldLogger, now float64) *Core {
 	g := &Core{config: c, log: log, warnings: &warnLimiter{log: log}, router: router.New(), pool: pool,
 		downloads: map[string]*download{},
 		clients:   map[Client]map[uint16]*download{}, probes: map[*caches.Pull]*timer{},
@@ -504,7 +504,7 @@
 // result is relative to the arrival.
 func (g *Core) parseDownload(params map[string]string, body int) (*download, error) {
 	name, ok := strings.CutPrefix(params["SCRIPT_NAME"], "/invoke/")
-	typeIndex := slices.IndexFunc(g.config.Types, func(t footprint.ContentType) bool { return t.Name == name })
+	typeIndex := slices.IndexFunc(g.config.Types, func(t gatewayconfig.ContentType) bool { return t.Name == name })
 	if !ok || typeIndex < 0 {
 		return nil, fmt.Errorf("SCRIPT_NAME: %.80q", params["SCRIPT_NAME"])
 	}
--- a/internal/gateway/core_test.go
+++ b/internal/gateway/core_test.go
@@ -18,16 +18,16 @@
 	"poppymill/internal/caches"
 	"poppymill/internal/channel"
 	"poppymill/internal/clients"
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 	"poppymill/router"
 )
 
-func testConfig(t *testing.T) *footprint.Config {
+func testConfig(t *testing.T) *gatewayconfig.Config {
 	text, err := os.ReadFile("../../example/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := footprint.Parse(text, os.Getenv)
+	c, err := gatewayconfig.Parse(text, os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,13 +136,13 @@
 
 func newHarness(t *testing.T) *harness { return newHarnessWithConfig(t, testConfig(t)) }
 
-func newHarnessWithConfig(t *testing.T, c *footprint.Config) *harness {
+func newHarnessWithConfig(t *testing.T, c *gatewayconfig.Config) *harness {
 	h := &harness{t: t, buffers: buffer.NewPool(1 << 24), now: 1e12, requests: map[string]*request{}, notRunning: map[string]bool{}}
 	names := map[string]string{}
 	for _, n := range c.Known[0].Nodes {
 		names[n.Address] = n.Node
 	}
-	h.pool = caches.NewPool(caches.Limits{PullsPerConn: 3, IdleTimeout: c.IdleTimeout, Conns: 12, RequestLoad: true, GaugeName: footprint.LoadValueName},
+	h.pool = caches.NewPool(caches.Limits{PullsPerConn: 3, IdleTimeout: c.IdleTimeout, Conns: 12, RequestLoad: true, GaugeName: gatewayconfig.LoadValueName},
 		func(address string) caches.Wire {
 			w := &fakeWire{harness: h, node: names[address]}
 			h.wires = append(h.wires, w)
--- a/internal/gateway/fairness.go
+++ b/internal/gateway/fairness.go
@@ -9,7 +9,7 @@
 
 	"poppymill/internal/clients"
 	"poppymill/internal/fair"
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 	"poppymill/internal/operator"
 )
 
@@ -121,7 +121,7 @@
 		ask.Client = params["REMOTE_ADDR"]
 	}
 	ask.Cost = g.expectedCost(d.typ)
-	typ := g.config.Types[slices.IndexFunc(g.config.Types, func(t footprint.ContentType) bool { return t.Name == d.typ })]
+	typ := g.config.Types[slices.IndexFunc(g.config.Types, func(t gatewayconfig.ContentType) bool { return t.Name == d.typ })]
 	ask.Target = min(g.now+typ.Target+typ.Stretch*ask.Cost, d.expiry)
 	d.share = &fairShare{target: ask.Target}
 	g.executeFair(f.gate.Request(ask))
--- a/internal/gateway/prefetch.go
+++ b/internal/gateway/prefetch.go
@@ -9,7 +9,7 @@
 
 	"poppymill/internal/clients"
 	"poppymill/internal/codec"
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 	"poppymill/internal/owner"
 	owned "poppymill/internal/owner/drive"
 	"poppymill/internal/owner/place"
@@ -122,7 +122,7 @@
 }
 
 // ColdRemaining returns for how long an edge cache is still cold, in ms; 0 for other nodes.
-func ColdRemaining(c *footprint.Config, n router.Entry, now float64) float64 {
+func ColdRemaining(c *gatewayconfig.Config, n router.Entry, now float64) float64 {
 	kinds, _ := c.RouterSettings["kinds"].([]any)
 	for _, name := range []string{"parent kind", "origin kind"} {
 		if i, ok := c.RouterSettings[name].(float64); ok && slices.Index(kinds, any(n.Kind)) == int(i) {
--- a/internal/gateway/quorum_member.go
+++ b/internal/gateway/quorum_member.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"poppymill/internal/failpoint"
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 	"poppymill/internal/maintenance"
 	machines "poppymill/internal/maintenance/drive"
 	"poppymill/internal/owner"
@@ -27,7 +27,7 @@
 
 // newQuorumMember opens the quorum's store and connects the quorum with the core. It does nothing if the operator's file
 // does not enable the quorum.
-func newQuorumMember(o *Settings, c *footprint.Config, core *Core, p *poster,
+func newQuorumMember(o *Settings, c *gatewayconfig.Config, core *Core, p *poster,
 	log logrus.FieldLogger) (*quorumMember, error) {
 	m := &quorumMember{log: log, cancel: func() {}}
 	b := o.Quorum
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -11,7 +11,7 @@
 
 	"poppymill/internal/channel"
 	"poppymill/internal/failpoint"
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 	machines "poppymill/internal/maintenance/drive"
 	owned "poppymill/internal/owner/drive"
 	purges "poppymill/internal/purges/drive"
@@ -26,14 +26,14 @@
 
 // Setup is the complete configuration of a gateway: the platform's configuration and the operator's settings.
 type Setup struct {
-	Config   *footprint.Config
+	Config   *gatewayconfig.Config
 	Operator *Settings
 }
 
 // reloader applies the changes of a reloaded configuration. It is not part of the core: downloads are not affected.
 type reloader struct {
 	Reloads
-	running         *footprint.Config // as of the start
+	running         *gatewayconfig.Config // as of the start
 	follower        *channel.Follower
 	log             logrus.FieldLogger
 	linkDriver      *linkDriver
--- a/internal/gateway/scripted_peers_test.go
+++ b/internal/gateway/scripted_peers_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"poppymill/internal/clients"
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 )
 
 // scripted is a gateway on real connections whose peers do only what a test says: the caches pass each command to the
@@ -83,7 +83,7 @@
 	if err != nil {
 		return Setup{}, err
 	}
-	c, err := footprint.Parse(text, os.Getenv)
+	c, err := gatewayconfig.Parse(text, os.Getenv)
 	return Setup{Config: c, Operator: &Settings{}}, err
 }
 
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -18,7 +18,7 @@
 	"poppymill/internal/channel"
 	"poppymill/internal/clients"
 	"poppymill/internal/fair"
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 )
 
 // Times of a shutdown, as the protocol sets them: clients still connect during acceptPeriod, and the last of them may
@@ -32,7 +32,7 @@
 // ShutdownDeadlines returns by when all accepted downloads are answered and by when the answers are written, both counted from
 // the start of the shutdown. The flush takes at most a quarter of the longest wait: with short expiries most of that
 // time must remain for the answers, as clients still connect during acceptPeriod.
-func ShutdownDeadlines(c *footprint.Config) (answered, flushed time.Duration) {
+func ShutdownDeadlines(c *gatewayconfig.Config) (answered, flushed time.Duration) {
 	longest := 0.0
 	for _, t := range c.Types {
 		longest = max(longest, t.MaxExpiry)
@@ -102,7 +102,7 @@
 	dialer := &caches.Dialer{Bodies: buffers, Reads: reads, Now: clock.now,
 		ConnectTimeout: time.Duration(c.ConnectTimeout * float64(time.Millisecond)), Emit: func(e caches.Event) { p.post(e) }}
 	pool := caches.NewPool(caches.Limits{PullsPerConn: c.StreamsPerConn, IdleTimeout: c.IdleTimeout, Conns: budget.Caches,
-		RequestLoad: c.Reports, HealthChecks: c.Probing, AnswerTimeout: c.ConnectTimeout, GaugeName: footprint.LoadValueName}, dialer.Dial)
+		RequestLoad: c.Reports, HealthChecks: c.Probing, AnswerTimeout: c.ConnectTimeout, GaugeName: gatewayconfig.LoadValueName}, dialer.Dial)
 	core := NewCore(c, pool, log, clock.now())
 	if f := s.Operator.Fair; f.On {
 		f.Settings.MaxWait = min(f.Settings.MaxWait, c.MaxRetryAfter)
--- a/internal/gateway/serve_test.go
+++ b/internal/gateway/serve_test.go
@@ -14,7 +14,7 @@
 
 	"poppymill/internal/assert"
 	"poppymill/internal/clients"
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 	"poppymill/internal/rehearsal/script"
 	"poppymill/internal/rehearsal/sockets"
 	"poppymill/internal/rehearsal/world"
@@ -69,7 +69,7 @@
 	address     string
 	stop        context.CancelFunc
 	hup         chan os.Signal
-	load        func() (*footprint.Config, error) // called by the gateway on a reload
+	load        func() (*gatewayconfig.Config, error) // called by the gateway on a reload
 	ended       chan error
 	stopWorld   func()
 	requests    int // sent so far
@@ -105,12 +105,12 @@
 		<-worldEnded
 	}
 	s.address = s.world.Gateways()[0]
-	s.load = func() (*footprint.Config, error) {
+	s.load = func() (*gatewayconfig.Config, error) {
 		text, err := s.world.Configuration(0)
 		if err != nil {
 			return nil, err
 		}
-		return footprint.Parse(text, os.Getenv)
+		return gatewayconfig.Parse(text, os.Getenv)
 	}
 	c, err := s.load()
 	must(err)
@@ -318,9 +318,9 @@
 	}()
 	until(t, "a download is open", func() bool { return s.count(s.pullsByType, "pages") == 1 })
 	good, loads := s.load, make(chan bool, 9)
-	s.load = func() (*footprint.Config, error) {
+	s.load = func() (*gatewayconfig.Config, error) {
 		loads <- true
-		return footprint.Parse([]byte("{"), os.Getenv)
+		return gatewayconfig.Parse([]byte("{"), os.Getenv)
 	}
 	s.hup <- syscall.SIGHUP
 	<-loads
--- a/internal/footprint/config.go
+++ b/internal/gatewayconfig/config.go
@@ -1,4 +1,4 @@
-package footprint
+package gatewayconfig
 
 import (
 	"bytes"
--- a/internal/footprint/mapping.go
+++ b/internal/gatewayconfig/mapping.go
@@ -1,6 +1,6 @@
-// Package footprint reads the configuration of a gateway, and maps its settings and the values of load reports to the names that
+// Package gatewayconfig reads the configuration of a gateway, and maps its settings and the values of load reports to the names that
 // the router reads.
-package footprint
+package gatewayconfig
 
 import (
 	"encoding/json"
--- a/internal/nimbus/parse.go
+++ b/internal/nimbus/parse.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 	"poppymill/router"
 )
 
@@ -97,7 +97,7 @@
 		if !ok || err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
 			continue
 		}
-		values[footprint.LoadValueName(name)] = n
+		values[gatewayconfig.LoadValueName(name)] = n
 	}
 	return values
 }
@@ -119,7 +119,7 @@
 	case "CREATE":
 		s := router.Started{Seed: f.seed()}
 		var err error
-		s.Settings, err = footprint.RouterSettings([]byte(f.rest))
+		s.Settings, err = gatewayconfig.RouterSettings([]byte(f.rest))
 		f.fail(err)
 		e = s
 	case "VIEW":
--- a/internal/rehearsal/virtual/virtual.go
+++ b/internal/rehearsal/virtual/virtual.go
@@ -20,8 +20,8 @@
 	"poppymill/internal/channel"
 	"poppymill/internal/clients"
 	"poppymill/internal/fair"
-	"poppymill/internal/footprint"
 	"poppymill/internal/gateway"
+	"poppymill/internal/gatewayconfig"
 	"poppymill/internal/links"
 	"poppymill/internal/links/drive"
 	"poppymill/internal/purges"
@@ -99,7 +99,7 @@
 	callers      map[string]*caller
 	tidiedAt     float64
 	block        drive.Block
-	config       *footprint.Config
+	config       *gatewayconfig.Config
 	log          logrus.FieldLogger
 	terminatedAt float64 // when it was told to terminate; negative: it was not
 	answerWithin float64 // ms from then until it has answered all open requests
@@ -260,14 +260,14 @@
 	if err != nil {
 		return err
 	}
-	c, err := footprint.Parse(text, func(string) string { return "" })
+	c, err := gatewayconfig.Parse(text, func(string) string { return "" })
 	if err != nil {
 		return err
 	}
 	cursor, _ := d.world.ChannelEvents()
 	budget := gateway.NewBudget(c)
 	g.pool = caches.NewPool(caches.Limits{PullsPerConn: c.StreamsPerConn, IdleTimeout: c.IdleTimeout, Conns: budget.Caches, RequestLoad: c.Reports,
-		HealthChecks: c.Probing, AnswerTimeout: c.ConnectTimeout, GaugeName: footprint.LoadValueName}, g.dial(c.ConnectTimeout))
+		HealthChecks: c.Probing, AnswerTimeout: c.ConnectTimeout, GaugeName: gatewayconfig.LoadValueName}, g.dial(c.ConnectTimeout))
 	g.log = discardLog
 	if d.Log != nil {
 		g.log = d.Log(g.number)
