--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"poppymill/internal/nimbus"
+	"poppymill/internal/simulator"
 )
 
 func main() {
-	if err := nimbus.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simulator.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "drill:", err)
 		os.Exit(1)
 	}
--- a/internal/nimbus/encode.go
+++ b/internal/simulator/encode.go
@@ -1,4 +1,4 @@
-package nimbus
+package simulator
 
 import (
 	"bufio"
--- a/internal/nimbus/serve.go
+++ b/internal/simulator/serve.go
@@ -1,6 +1,6 @@
-// Package nimbus runs routers behind a simulator's line protocol: it parses batches of events, passes them to the routers and
+// Package simulator runs routers behind a simulator's line protocol: it parses batches of events, passes them to the routers and
 // encodes the actions that these return. The names of the protocol are used in this package only, and it makes no decisions.
-package nimbus
+package simulator
 
 import (
 	"bufio"
