--- a/cmd/poppymill/job.go
+++ b/cmd/poppymill/job.go
@@ -17,7 +17,7 @@
 	"poppymill/internal/codec"
 	"poppymill/internal/owner"
 	jobs "poppymill/internal/owner/drive"
-	"poppymill/internal/owner/place"
+	"poppymill/internal/owner/effectlog"
 	"poppymill/internal/quorum"
 	"poppymill/internal/quorum/drive"
 )
@@ -153,7 +153,7 @@
 	if err != nil {
 		return err
 	}
-	var entries []place.Entry
+	var entries []effectlog.Entry
 	if err := json.Unmarshal(r.Body, &entries); err != nil {
 		return err
 	}
@@ -274,7 +274,7 @@
 		}
 		ran, fenced := false, false
 		for !ran && !fenced && err == nil {
-			var entries []place.Entry
+			var entries []effectlog.Entry
 			if _, err = query(placeAddress, drive.Query{Subject: "effects", Name: name}, &entries); err != nil {
 				break
 			}
--- a/internal/bite/main.go
+++ b/internal/bite/main.go
@@ -26,7 +26,7 @@
 	quorumPackage      = "./internal/quorum"
 	quorumDrivePackage = "./internal/quorum/drive"
 	ownerPackage       = "./internal/owner"
-	ownerPlacePackage  = "./internal/owner/place"
+	ownerPlacePackage  = "./internal/owner/effectlog"
 	maintenancePackage = "./internal/maintenance"
 	purgesPackage      = "./internal/purges"
 	gatewayPackage     = "./internal/gateway"
@@ -95,7 +95,7 @@
 	{"the place is not told of new grants", "internal/owner/agent.go", "actions = append(actions, RaiseToken{j.Name, j.Token})", "", ownerPackage, "TestAgent"},
 	{"a lost effect never times out", "internal/owner/agent.go", "if now >= x.Deadline {", "if false {", ownerPackage, "TestAgent"},
 	{"a leaving owner gets new grants", "internal/owner/state_machine.go", "case !w.Present || w.Idle || w.Incarnation != c.Incarnation:", "case !w.Present || w.Incarnation != c.Incarnation:", ownerPackage, "TestAgent"},
-	{"an effect is confirmed before it is on disk", "internal/owner/place/place.go", "\terr := p.db.Update(func", "\tgo p.db.Update(func(*bolt.Tx) error { return nil })\n\terr := func(f func(*bolt.Tx) error) error { return nil }(func", ownerPlacePackage, "TestPlace|TestKilledDuringWrite"},
+	{"an effect is confirmed before it is on disk", "internal/owner/effectlog/effectlog.go", "\terr := p.db.Update(func", "\tgo p.db.Update(func(*bolt.Tx) error { return nil })\n\terr := func(f func(*bolt.Tx) error) error { return nil }(func", ownerPlacePackage, "TestPlace|TestKilledDuringWrite"},
 	{"a machine is granted beyond a limit", "internal/maintenance/state.go", "m, b.Now, b.Now+w.Request.Duration+b.Inventory.Limits.WarmTimeout)); reason != \"\" {", "m, b.Now, b.Now+w.Request.Duration+b.Inventory.Limits.WarmTimeout)); reason == \"-\" {", maintenancePackage, "TestLimits$"},
 	{"a loss withdraws no grants", "internal/maintenance/state.go", "\t\tif reason == \"\" {\n\t\t\treturn\n\t\t}\n\t\tvar newest", "\t\tif reason != \"-\" {\n\t\t\treturn\n\t\t}\n\t\tvar newest", maintenancePackage, "TestLimits$"},
 	{"a machine goes out without acknowledgements", "internal/maintenance/state.go", "pending := b.PendingAcks(w, m)\n\t\tif len", "pending := b.PendingAcks(w, m)[:0]\n\t\tif len", maintenancePackage, "TestMachineLifecycle"},
--- a/internal/gateway/prefetch.go
+++ b/internal/gateway/prefetch.go
@@ -12,7 +12,7 @@
 	"poppymill/internal/gatewayconfig"
 	"poppymill/internal/owner"
 	owned "poppymill/internal/owner/drive"
-	"poppymill/internal/owner/place"
+	"poppymill/internal/owner/effectlog"
 	"poppymill/router"
 )
 
@@ -99,7 +99,7 @@
 			return errors.New("data: names no node to be filled")
 		}
 		return nil
-	}, Do: func(e place.Effect, done func(owner.Outcome)) {
+	}, Do: func(e effectlog.Effect, done func(owner.Outcome)) {
 		var w owner.WarmData
 		if codec.Decode(e.Data, &w) != nil {
 			done(owner.Uncertain)
--- a/internal/owner/drive/crew.go
+++ b/internal/owner/drive/crew.go
@@ -16,7 +16,7 @@
 	"poppymill/internal/codec"
 	"poppymill/internal/failpoint"
 	"poppymill/internal/owner"
-	"poppymill/internal/owner/place"
+	"poppymill/internal/owner/effectlog"
 	"poppymill/internal/quorum"
 	agreement "poppymill/internal/quorum/drive"
 )
@@ -33,14 +33,14 @@
 type Handler struct {
 	Type  owner.Type
 	Check func(j owner.Job) error // validates a job that an operator starts
-	Do    func(e place.Effect, done func(owner.Outcome))
+	Do    func(e effectlog.Effect, done func(owner.Outcome))
 }
 
 // Runner runs jobs on one gateway. All methods are called from the council's loop.
 type Runner struct {
 	block       Block
 	agent       *owner.Agent
-	place       *place.Log
+	place       *effectlog.Log
 	council     *agreement.Replica
 	handlers    map[string]Handler
 	log         logrus.FieldLogger
@@ -80,7 +80,7 @@
 			folder = filepath.Clean(folder)
 		}
 		var err error
-		if c.place, err = place.Open(folder, log); err != nil {
+		if c.place, err = effectlog.Open(folder, log); err != nil {
 			return nil, fmt.Errorf("jobs: %w", err)
 		}
 		go c.place.Run()
@@ -211,7 +211,7 @@
 
 // send delivers an effect: to a Hand of this gateway, to its own record, or to another gateway.
 func (c *Runner) send(do owner.SendEffect) {
-	e := place.Effect{Job: do.Job.Name, Kind: do.Job.Kind, Token: do.Token, Step: do.Step, Type: do.Job.Type, Data: do.Job.Data, From: c.followed.Name, Incarnation: c.followed.Incarnation}
+	e := effectlog.Effect{Job: do.Job.Name, Kind: do.Job.Kind, Token: do.Token, Step: do.Step, Type: do.Job.Type, Data: do.Job.Data, From: c.followed.Name, Incarnation: c.followed.Incarnation}
 	ended := func(end owner.Outcome) {
 		if _, handler := c.handlers[e.Kind]; end == owner.NotRun && handler {
 			c.log.WithFields(logrus.Fields{"job": e.Job, "step": e.Step}).Info("jobs: step deferred, no capacity yet")
@@ -229,13 +229,13 @@
 		c.council.Send(to, quorum.Frame{Kind: quorum.KindEffect, Data: codec.Encode(e)}, func() { ended(owner.NotRun) })
 		return
 	}
-	c.place.Do(e, func(r place.Result) { ended(r.End) })
+	c.place.Do(e, func(r effectlog.Result) { ended(r.End) })
 }
 
 // handleFrame processes an effect from another gateway, or the result of an effect sent by this one.
 func (c *Runner) handleFrame(asked agreement.PeerRequest) {
 	if asked.Frame.Kind == quorum.KindEffectResult {
-		var r place.Result
+		var r effectlog.Result
 		if codec.Decode(asked.Frame.Data, &r) == nil && r.End >= owner.Ran && r.End <= owner.Refused {
 			if r.End != owner.Ran {
 				c.log.WithFields(logrus.Fields{"job": r.Job, "step": r.Step, "token": r.Token, "place": asked.From}).Warn("jobs: step not confirmed as run: " + r.Why)
@@ -244,12 +244,14 @@
 		}
 		return
 	}
-	var e place.Effect
+	var e effectlog.Effect
 	if codec.Decode(asked.Frame.Data, &e) != nil {
 		return
 	}
-	answer := func(r place.Result) { asked.Answer(quorum.Frame{Kind: quorum.KindEffectResult, Data: codec.Encode(r)}) }
-	refusal := place.Result{Job: e.Job, Token: e.Token, Step: e.Step, End: owner.NotRun}
+	answer := func(r effectlog.Result) {
+		asked.Answer(quorum.Frame{Kind: quorum.KindEffectResult, Data: codec.Encode(r)})
+	}
+	refusal := effectlog.Result{Job: e.Job, Token: e.Token, Step: e.Step, End: owner.NotRun}
 	switch {
 	case c.followed.Incarnation == 0:
 		// Until this gateway has applied the log up to its own start, it does not know all grants up to then. Waiting
@@ -317,7 +319,7 @@
 		if c.place == nil {
 			return nil, errors.New("jobs: off at this gateway")
 		}
-		list := []place.Entry{}
+		list := []effectlog.Entry{}
 		for _, e := range c.place.Entries() {
 			if name == "" || e.Effect.Job == name {
 				list = append(list, e)
@@ -334,7 +336,7 @@
 // CheckRecord checks a step that may have run against the record of its executing gateway: ran means that the step is
 // on record, fenced that the gateway knows a newer token than the one the step was sent under. A step that is
 // fenced and not on record did not run there and never will.
-func CheckRecord(entries []place.Entry, job string, d owner.UncertainStep) (ran, fenced bool) {
+func CheckRecord(entries []effectlog.Entry, job string, d owner.UncertainStep) (ran, fenced bool) {
 	for _, e := range entries {
 		if e.Effect.Job == job && e.NewerToken == 0 {
 			ran = ran || e.Effect.Step == d.Step && !e.FromLog
--- a/internal/owner/drive/crew_test.go
+++ b/internal/owner/drive/crew_test.go
@@ -10,7 +10,7 @@
 	"poppymill/internal/codec"
 	"poppymill/internal/operator"
 	"poppymill/internal/owner"
-	"poppymill/internal/owner/place"
+	"poppymill/internal/owner/effectlog"
 	"poppymill/internal/quorum"
 	agreement "poppymill/internal/quorum/drive"
 )
@@ -28,11 +28,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	send := func(e place.Effect) place.Result {
+	send := func(e effectlog.Effect) effectlog.Result {
 		t.Helper()
-		results := make(chan place.Result, 1)
+		results := make(chan effectlog.Result, 1)
 		c.Handle(0, agreement.PeerRequest{From: "g", Frame: quorum.Frame{Kind: quorum.KindEffect, Data: codec.Encode(e)}, Answer: func(f quorum.Frame) {
-			var r place.Result
+			var r effectlog.Result
 			if err := codec.Decode(f.Data, &r); err != nil {
 				t.Error(err)
 			}
@@ -40,7 +40,7 @@
 		}})
 		return <-results
 	}
-	e := place.Effect{Job: "j", Kind: KindDrill, Token: 3, Type: owner.Unsafe}
+	e := effectlog.Effect{Job: "j", Kind: KindDrill, Token: 3, Type: owner.Unsafe}
 	if r := send(e); r.End != owner.NotRun || !strings.Contains(r.Why, "has not followed") {
 		t.Errorf("before it has applied the log: %+v", r)
 	}
@@ -48,10 +48,10 @@
 	if r := send(e); r.End != owner.Ran {
 		t.Errorf("%+v", r)
 	}
-	if r := send(place.Effect{Job: "j", Kind: KindDrill, Token: 2, Step: 1, Type: owner.Safe}); r.End != owner.Refused || r.Newer != 3 {
+	if r := send(effectlog.Effect{Job: "j", Kind: KindDrill, Token: 2, Step: 1, Type: owner.Safe}); r.End != owner.Refused || r.Newer != 3 {
 		t.Errorf("older token: %+v", r)
 	}
-	if r := send(place.Effect{Job: "j", Kind: "odd", Token: 4}); r.End != owner.NotRun {
+	if r := send(effectlog.Effect{Job: "j", Kind: "odd", Token: 4}); r.End != owner.NotRun {
 		t.Errorf("unknown kind: %+v", r)
 	}
 	for _, x := range []struct {
--- a/internal/owner/drive/hold.go
+++ b/internal/owner/drive/hold.go
@@ -4,7 +4,7 @@
 	"errors"
 
 	"poppymill/internal/owner"
-	"poppymill/internal/owner/place"
+	"poppymill/internal/owner/effectlog"
 )
 
 // KindHold is the kind of jobs that serve as a lock: their only step never ends. The owner of one does work that the
@@ -15,5 +15,5 @@
 // cost. Operators can't start such jobs.
 func HoldHandler() Handler {
 	return Handler{Type: owner.Safe, Check: func(owner.Job) error { return errors.New("kind: the leader asks for it by itself") },
-		Do: func(place.Effect, func(owner.Outcome)) {}}
+		Do: func(effectlog.Effect, func(owner.Outcome)) {}}
 }
--- a/internal/owner/place/place.go
+++ b/internal/owner/effectlog/effectlog.go
@@ -1,7 +1,7 @@
-// Package place keeps the durable record of effects at a gateway that executes them. Checking the fencing token
+// Package effectlog keeps the durable record of effects at a gateway that executes them. Checking the fencing token
 // and writing the effect are one transaction on disk (go.etcd.io/bbolt), so nothing gets between them, whether the
 // process is frozen there or killed. A token that was refused is still refused after a restart.
-package place
+package effectlog
 
 import (
 	"encoding/binary"
--- a/internal/owner/place/place_test.go
+++ b/internal/owner/effectlog/effectlog_test.go
@@ -1,4 +1,4 @@
-package place
+package effectlog
 
 import (
 	"errors"
--- a/internal/rehearsal/sockets/control.go
+++ b/internal/rehearsal/sockets/control.go
@@ -16,7 +16,7 @@
 	"poppymill/internal/codec"
 	"poppymill/internal/owner"
 	owned "poppymill/internal/owner/drive"
-	"poppymill/internal/owner/place"
+	"poppymill/internal/owner/effectlog"
 	"poppymill/internal/purges"
 	sweep "poppymill/internal/purges/drive"
 	"poppymill/internal/quorum"
@@ -48,8 +48,8 @@
 }
 
 // EffectRecords returns the recorded effects of owned work of each gateway that answers, in the order of its record.
-func (s *Stage) EffectRecords(within time.Duration) [][]place.Entry {
-	all := make([][]place.Entry, len(s.relays.peerAddresses))
+func (s *Stage) EffectRecords(within time.Duration) [][]effectlog.Entry {
+	all := make([][]effectlog.Entry, len(s.relays.peerAddresses))
 	var g sync.WaitGroup
 	for i := range all {
 		g.Go(func() {
--- a/internal/rehearsal/sockets/owner_test.go
+++ b/internal/rehearsal/sockets/owner_test.go
@@ -15,7 +15,7 @@
 	"poppymill/internal/failpoint"
 	"poppymill/internal/owner"
 	owned "poppymill/internal/owner/drive"
-	"poppymill/internal/owner/place"
+	"poppymill/internal/owner/effectlog"
 	"poppymill/internal/prng"
 	"poppymill/internal/quorum"
 	"poppymill/internal/quorum/drive"
@@ -122,7 +122,7 @@
 // finishJob waits until a job is finished, passes the recorded effects to the auditor and returns the records of all gateways.
 // Meanwhile it settles steps in doubt by the records of the executing gateways, as an operator would: a step that is not on
 // record at a gateway that knows a newer token did not run and never will.
-func (c *cluster) finishJob(name string) [][]place.Entry {
+func (c *cluster) finishJob(name string) [][]effectlog.Entry {
 	c.t.Helper()
 	unsettled := 0
 	c.waitForJob(name, "finished", func(j owner.Report) bool {
@@ -151,7 +151,7 @@
 }
 
 // countEffects counts how often each step of a job was executed, according to the records.
-func countEffects(all [][]place.Entry, job string) map[int]int {
+func countEffects(all [][]effectlog.Entry, job string) map[int]int {
 	n := map[int]int{}
 	for _, entries := range all {
 		for _, e := range entries {
@@ -164,7 +164,7 @@
 }
 
 // checkSteps checks that all steps of a job are on record, and only once if once is set.
-func (c *cluster) checkSteps(all [][]place.Entry, job string, steps int, once bool) {
+func (c *cluster) checkSteps(all [][]effectlog.Entry, job string, steps int, once bool) {
 	c.t.Helper()
 	n := countEffects(all, job)
 	for step := range steps {
@@ -454,7 +454,7 @@
 				all[lost] = nil
 				for step := range 150 {
 					if c.names[1:][step%4] == c.names[lost] {
-						all[lost] = append(all[lost], place.Entry{Effect: place.Effect{Job: name, Step: step}})
+						all[lost] = append(all[lost], effectlog.Entry{Effect: effectlog.Effect{Job: name, Step: step}})
 					}
 				}
 			}
