--- a/cmd/poppymill/agent.go
+++ b/cmd/poppymill/agent.go
@@ -20,7 +20,7 @@
 	"poppymill/internal/maintenance"
 	machines "poppymill/internal/maintenance/drive"
 	"poppymill/internal/quorum"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 )
 
 func agentCommand() *cli.Command {
@@ -96,7 +96,7 @@
 // step asks the gateways for the state of the machine and does what is next. It reports whether a request is finished.
 func (a *agent) step(ctx context.Context) (finished bool, err error) {
 	var m machines.Machine
-	if err := a.query(ctx, drive.Query{Subject: "machine", Name: a.name, Fresh: true}, &m); err != nil {
+	if err := a.query(ctx, quorumdriver.Query{Subject: "machine", Name: a.name, Fresh: true}, &m); err != nil {
 		return false, err
 	}
 	switch action := a.keeper.Next(m.Work); action {
@@ -134,11 +134,11 @@
 
 // query asks one gateway after another, starting with the one that answered last, and stores the body of the reply in
 // dst.
-func (a *agent) query(ctx context.Context, q drive.Query, dst any) (err error) {
+func (a *agent) query(ctx context.Context, q quorumdriver.Query, dst any) (err error) {
 	for i := range a.addresses {
 		n := (a.lastAnswered + i) % len(a.addresses)
 		queryCtx, cancel := context.WithTimeout(ctx, a.cmd.Duration("within"))
-		r, queryErr := drive.SendQuery(queryCtx, a.addresses[n], q)
+		r, queryErr := quorumdriver.SendQuery(queryCtx, a.addresses[n], q)
 		cancel()
 		if queryErr != nil {
 			err = errors.Join(err, fmt.Errorf("%s: %w", a.addresses[n], queryErr))
@@ -160,7 +160,7 @@
 // machine or a limit is reached, is not an error: the agent asks again.
 func (a *agent) submit(ctx context.Context, kind string, token uint64) error {
 	var m machines.Machine
-	err := a.query(ctx, drive.Query{Subject: "machine", Name: a.name, Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: kind,
+	err := a.query(ctx, quorumdriver.Query{Subject: "machine", Name: a.name, Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: kind,
 		Data: codec.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), Machine: a.name, Token: token})}}, &m)
 	if err != nil && (strings.Contains(err.Error(), maintenance.ErrPendingAcks.Error()) || strings.Contains(err.Error(), "limit: ")) {
 		a.log.WithField("why", err).Debug("the machine may not go out yet")
--- a/cmd/poppymill/job.go
+++ b/cmd/poppymill/job.go
@@ -19,7 +19,7 @@
 	jobs "poppymill/internal/owner/drive"
 	"poppymill/internal/owner/effectlog"
 	"poppymill/internal/quorum"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 )
 
 func jobCommand() *cli.Command {
@@ -48,14 +48,14 @@
 }
 
 // queryJobs checks the number of arguments and queries the gateway at the address in the first one.
-func queryJobs(ctx context.Context, cmd *cli.Command, args int, q drive.Query) (drive.Reply, error) {
+func queryJobs(ctx context.Context, cmd *cli.Command, args int, q quorumdriver.Query) (quorumdriver.Reply, error) {
 	if n := cmd.Args().Len(); n != args {
-		return drive.Reply{}, usageError(fmt.Errorf("job %s: takes %s", cmd.Name, cmd.ArgsUsage))
+		return quorumdriver.Reply{}, usageError(fmt.Errorf("job %s: takes %s", cmd.Name, cmd.ArgsUsage))
 	}
 	q.Fresh = cmd.Bool("fresh")
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
-	r, err := drive.SendQuery(ctx, cmd.Args().First(), q)
+	r, err := quorumdriver.SendQuery(ctx, cmd.Args().First(), q)
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
 	}
@@ -66,12 +66,12 @@
 }
 
 // viewHeader describes the view that a reply is based on: of which gateway, how old, and up to which log index.
-func viewHeader(r drive.Reply) string {
+func viewHeader(r quorumdriver.Reply) string {
 	return fmt.Sprintf("view of %s, %.0f ms old, applied up to index %d", r.Report.Name, r.Report.Age, r.Report.Applied)
 }
 
 func jobList(ctx context.Context, cmd *cli.Command) error {
-	r, err := queryJobs(ctx, cmd, 1, drive.Query{Subject: "jobs"})
+	r, err := queryJobs(ctx, cmd, 1, quorumdriver.Query{Subject: "jobs"})
 	if err != nil {
 		return err
 	}
@@ -99,8 +99,8 @@
 }
 
 // queryJob queries one job; the arguments are ADDRESS NAME.
-func queryJob(ctx context.Context, cmd *cli.Command) (r drive.Reply, j owner.Report, err error) {
-	if r, err = queryJobs(ctx, cmd, 2, drive.Query{Subject: "job", Name: cmd.Args().Get(1)}); err == nil {
+func queryJob(ctx context.Context, cmd *cli.Command) (r quorumdriver.Reply, j owner.Report, err error) {
+	if r, err = queryJobs(ctx, cmd, 2, quorumdriver.Query{Subject: "job", Name: cmd.Args().Get(1)}); err == nil {
 		err = json.Unmarshal(r.Body, &j)
 	}
 	return r, j, err
@@ -149,7 +149,7 @@
 }
 
 func jobEffects(ctx context.Context, cmd *cli.Command) error {
-	r, err := queryJobs(ctx, cmd, max(1, min(2, cmd.Args().Len())), drive.Query{Subject: "effects", Name: cmd.Args().Get(1)})
+	r, err := queryJobs(ctx, cmd, max(1, min(2, cmd.Args().Len())), quorumdriver.Query{Subject: "effects", Name: cmd.Args().Get(1)})
 	if err != nil {
 		return err
 	}
@@ -182,7 +182,7 @@
 	if cmd.Args().Len() == args && name == "" {
 		return usageError(fmt.Errorf("job %s: NAME is empty", cmd.Name))
 	}
-	r, err := queryJobs(ctx, cmd, args, drive.Query{Subject: "job", Name: name, Command: &quorum.Command{StateMachine: jobs.StateMachineName, Kind: kind, Data: codec.Encode(data)}})
+	r, err := queryJobs(ctx, cmd, args, quorumdriver.Query{Subject: "job", Name: name, Command: &quorum.Command{StateMachine: jobs.StateMachineName, Kind: kind, Data: codec.Encode(data)}})
 	if err != nil {
 		return err
 	}
@@ -241,8 +241,8 @@
 	if cmd.Args().Len() != 2 {
 		return usageError(errors.New("job settle --by-record: takes ADDRESS NAME"))
 	}
-	query := func(address string, q drive.Query, dst any) (quorum.Report, error) {
-		r, err := drive.SendQuery(ctx, address, q)
+	query := func(address string, q quorumdriver.Query, dst any) (quorum.Report, error) {
+		r, err := quorumdriver.SendQuery(ctx, address, q)
 		if err == nil && r.Error != "" {
 			err = errors.New(r.Error)
 		}
@@ -258,7 +258,7 @@
 		return &quorum.Command{StateMachine: jobs.StateMachineName, Kind: kind, Data: codec.Encode(c)}
 	}
 	var j owner.Report
-	report, err := query(address, drive.Query{Subject: "job", Name: name, Command: command(owner.Fence, owner.Claim{Job: name})}, &j)
+	report, err := query(address, quorumdriver.Query{Subject: "job", Name: name, Command: command(owner.Fence, owner.Claim{Job: name})}, &j)
 	settled, unsettled := 0, 0
 	for _, d := range j.Uncertain {
 		placeAddress := ""
@@ -275,7 +275,7 @@
 		ran, fenced := false, false
 		for !ran && !fenced && err == nil {
 			var entries []effectlog.Entry
-			if _, err = query(placeAddress, drive.Query{Subject: "effects", Name: name}, &entries); err != nil {
+			if _, err = query(placeAddress, quorumdriver.Query{Subject: "effects", Name: name}, &entries); err != nil {
 				break
 			}
 			ran, fenced = jobs.CheckRecord(entries, name, d)
@@ -288,9 +288,9 @@
 			}
 		}
 		if err == nil {
-			_, err = query(address, drive.Query{Subject: "job", Name: name, Command: command(owner.Resolve, owner.Claim{Job: name, Step: d.Step, Ran: ran})}, &j)
+			_, err = query(address, quorumdriver.Query{Subject: "job", Name: name, Command: command(owner.Resolve, owner.Claim{Job: name, Step: d.Step, Ran: ran})}, &j)
 			var current owner.Report
-			if _, queryErr := query(address, drive.Query{Subject: "job", Name: name}, &current); err != nil && queryErr == nil &&
+			if _, queryErr := query(address, quorumdriver.Query{Subject: "job", Name: name}, &current); err != nil && queryErr == nil &&
 				!slices.ContainsFunc(current.Uncertain, func(x owner.UncertainStep) bool { return x.Step == d.Step }) {
 				err = nil // the sender of the step has settled it meanwhile
 			}
--- a/cmd/poppymill/machines.go
+++ b/cmd/poppymill/machines.go
@@ -18,7 +18,7 @@
 	"poppymill/internal/maintenance"
 	machines "poppymill/internal/maintenance/drive"
 	"poppymill/internal/quorum"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 )
 
 func machinesCommand() *cli.Command {
@@ -56,19 +56,19 @@
 }
 
 // queryMachines checks the number of arguments and queries the gateway at the address in the first one.
-func queryMachines(ctx context.Context, cmd *cli.Command, args int, q drive.Query, dst any) (drive.Reply, error) {
+func queryMachines(ctx context.Context, cmd *cli.Command, args int, q quorumdriver.Query, dst any) (quorumdriver.Reply, error) {
 	if cmd.Args().Len() != args {
-		return drive.Reply{}, usageError(fmt.Errorf("machines %s: takes %s", cmd.Name, cmd.ArgsUsage))
+		return quorumdriver.Reply{}, usageError(fmt.Errorf("machines %s: takes %s", cmd.Name, cmd.ArgsUsage))
 	}
 	return sendMachinesQuery(ctx, cmd, q, dst)
 }
 
 // sendMachinesQuery queries the gateway at the address in the first argument and stores the body of the reply in dst.
-func sendMachinesQuery(ctx context.Context, cmd *cli.Command, q drive.Query, dst any) (drive.Reply, error) {
+func sendMachinesQuery(ctx context.Context, cmd *cli.Command, q quorumdriver.Query, dst any) (quorumdriver.Reply, error) {
 	q.Fresh = cmd.Bool("fresh")
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
-	r, err := drive.SendQuery(ctx, cmd.Args().First(), q)
+	r, err := quorumdriver.SendQuery(ctx, cmd.Args().First(), q)
 	if err == nil && r.Error != "" {
 		if !r.Report.Majority {
 			r.Error += fmt.Sprintf(" (%s sees no majority)", r.Report.Name)
@@ -101,7 +101,7 @@
 
 func machinesList(ctx context.Context, cmd *cli.Command) error {
 	var reply machinesReply
-	r, err := queryMachines(ctx, cmd, 1, drive.Query{Subject: "machines"}, &reply)
+	r, err := queryMachines(ctx, cmd, 1, quorumdriver.Query{Subject: "machines"}, &reply)
 	if err != nil {
 		return err
 	}
@@ -137,7 +137,7 @@
 
 func machinesShow(ctx context.Context, cmd *cli.Command) error {
 	var m machines.Machine
-	r, err := queryMachines(ctx, cmd, 2, drive.Query{Subject: "machine", Name: cmd.Args().Get(1)}, &m)
+	r, err := queryMachines(ctx, cmd, 2, quorumdriver.Query{Subject: "machine", Name: cmd.Args().Get(1)}, &m)
 	if err != nil {
 		return err
 	}
@@ -208,7 +208,7 @@
 		}
 		request := maintenance.Request{ID: id, Machine: name, Duration: float64(cmd.Duration("for").Milliseconds()), Deadline: by, NotBefore: notBefore, Reason: cmd.String("why")}
 		var m machines.Machine
-		_, err := sendMachinesQuery(ctx, cmd, drive.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: maintenance.Submit,
+		_, err := sendMachinesQuery(ctx, cmd, quorumdriver.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: maintenance.Submit,
 			Data: codec.Encode(maintenance.CommandData{At: float64(now.UnixMilli()), Request: &request})}}, &m)
 		if err != nil {
 			failed++
@@ -224,7 +224,7 @@
 }
 
 func machinesCancel(ctx context.Context, cmd *cli.Command) error {
-	_, err := queryMachines(ctx, cmd, 2, drive.Query{Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: maintenance.Cancel,
+	_, err := queryMachines(ctx, cmd, 2, quorumdriver.Query{Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: maintenance.Cancel,
 		Data: codec.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), ID: cmd.Args().Get(1)})}}, nil)
 	return err
 }
@@ -234,7 +234,7 @@
 	return func(ctx context.Context, cmd *cli.Command) error {
 		var m machines.Machine
 		name := cmd.Args().Get(1)
-		_, err := queryMachines(ctx, cmd, 2, drive.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: kind,
+		_, err := queryMachines(ctx, cmd, 2, quorumdriver.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: kind,
 			Data: codec.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), Machine: name, Token: cmd.Uint64("token")})}}, &m)
 		if err != nil {
 			return err
@@ -256,7 +256,7 @@
 
 func machinesPlan(ctx context.Context, cmd *cli.Command) error {
 	var schedule scheduleReply
-	r, err := queryMachines(ctx, cmd, 1, drive.Query{Subject: "plan"}, &schedule)
+	r, err := queryMachines(ctx, cmd, 1, quorumdriver.Query{Subject: "plan"}, &schedule)
 	if err != nil {
 		return err
 	}
@@ -290,7 +290,7 @@
 	lastText := ""
 	for {
 		var reply machinesReply
-		r, err := queryMachines(ctx, cmd, 1, drive.Query{Subject: "machines"}, &reply)
+		r, err := queryMachines(ctx, cmd, 1, quorumdriver.Query{Subject: "machines"}, &reply)
 		if err != nil {
 			return err
 		}
@@ -316,7 +316,7 @@
 
 func machinesHistory(ctx context.Context, cmd *cli.Command) error {
 	var ended []maintenance.FinishedRequest
-	r, err := queryMachines(ctx, cmd, 1, drive.Query{Subject: "ended"}, &ended)
+	r, err := queryMachines(ctx, cmd, 1, quorumdriver.Query{Subject: "ended"}, &ended)
 	if err != nil {
 		return err
 	}
--- a/cmd/poppymill/purge.go
+++ b/cmd/poppymill/purge.go
@@ -17,7 +17,7 @@
 	"poppymill/internal/purges"
 	purgesdrive "poppymill/internal/purges/drive"
 	"poppymill/internal/quorum"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 )
 
 func purgeCommand() *cli.Command {
@@ -45,7 +45,7 @@
 	defer cancel()
 	address := cmd.Args().First()
 	if kind == purges.Accept {
-		r, err := drive.SendQuery(ctx, address, drive.Query{Subject: "purge limits"})
+		r, err := quorumdriver.SendQuery(ctx, address, quorumdriver.Query{Subject: "purge limits"})
 		if err == nil && r.Error != "" {
 			err = errors.New(r.Error)
 		}
@@ -58,7 +58,7 @@
 		}
 	}
 	o.At = float64(time.Now().UnixMilli())
-	r, err := drive.SendQuery(ctx, address, drive.Query{Command: &quorum.Command{StateMachine: purgesdrive.StateMachineName, Kind: kind, Data: codec.Encode(o)}})
+	r, err := quorumdriver.SendQuery(ctx, address, quorumdriver.Query{Command: &quorum.Command{StateMachine: purgesdrive.StateMachineName, Kind: kind, Data: codec.Encode(o)}})
 	switch {
 	case err != nil:
 		return cli.Exit(fmt.Sprintf("purge %s: %s: %v; the command may have been accepted: repeat it with the same id", cmd.Name, address, err), 1)
@@ -128,7 +128,7 @@
 func queryPurge(ctx context.Context, cmd *cli.Command, id string) (x purgesdrive.PurgeReport, err error) {
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
-	r, err := drive.SendQuery(ctx, cmd.Args().First(), drive.Query{Subject: "purge", Name: id, Fresh: cmd.Bool("fresh")})
+	r, err := quorumdriver.SendQuery(ctx, cmd.Args().First(), quorumdriver.Query{Subject: "purge", Name: id, Fresh: cmd.Bool("fresh")})
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
 	}
@@ -177,13 +177,13 @@
 }
 
 // queryPurges queries the gateway at the address in the only argument and stores the body of the reply in dst.
-func queryPurges(ctx context.Context, cmd *cli.Command, about string, dst any) (drive.Reply, error) {
+func queryPurges(ctx context.Context, cmd *cli.Command, about string, dst any) (quorumdriver.Reply, error) {
 	if cmd.Args().Len() != 1 {
-		return drive.Reply{}, usageError(fmt.Errorf("purge %s: takes %s", cmd.Name, cmd.ArgsUsage))
+		return quorumdriver.Reply{}, usageError(fmt.Errorf("purge %s: takes %s", cmd.Name, cmd.ArgsUsage))
 	}
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
-	r, err := drive.SendQuery(ctx, cmd.Args().First(), drive.Query{Subject: about, Fresh: cmd.Bool("fresh")})
+	r, err := quorumdriver.SendQuery(ctx, cmd.Args().First(), quorumdriver.Query{Subject: about, Fresh: cmd.Bool("fresh")})
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
 	}
--- a/cmd/poppymill/quorum.go
+++ b/cmd/poppymill/quorum.go
@@ -17,7 +17,7 @@
 	jobs "poppymill/internal/owner/drive"
 	purgesdrive "poppymill/internal/purges/drive"
 	"poppymill/internal/quorum"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 )
 
 func quorumCommand() *cli.Command {
@@ -49,7 +49,7 @@
 			ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 			defer cancel()
 			statuses[i].Address = address
-			if r, err := drive.SendQuery(ctx, address, drive.Query{Fresh: cmd.Bool("fresh")}); err != nil {
+			if r, err := quorumdriver.SendQuery(ctx, address, quorumdriver.Query{Fresh: cmd.Bool("fresh")}); err != nil {
 				statuses[i].Error = err.Error()
 			} else if r.Error != "" {
 				statuses[i].Error = r.Error
@@ -130,7 +130,7 @@
 	books := jobs.EmptyStateMachines()
 	maps.Copy(books, machines.EmptyStateMachines())
 	maps.Copy(books, purgesdrive.EmptyStateMachines())
-	r, err := drive.Recover(cmd.Args().First(), books, cmd.Bool("yes"))
+	r, err := quorumdriver.Recover(cmd.Args().First(), books, cmd.Bool("yes"))
 	if err != nil {
 		return usageError(fmt.Errorf("quorum recover: %s: %w", cmd.Args().First(), err))
 	}
--- a/internal/bite/main.go
+++ b/internal/bite/main.go
@@ -24,7 +24,7 @@
 // The packages whose tests are run.
 const (
 	quorumPackage      = "./internal/quorum"
-	quorumDrivePackage = "./internal/quorum/drive"
+	quorumDrivePackage = "./internal/quorum/driver"
 	ownerPackage       = "./internal/owner"
 	ownerPlacePackage  = "./internal/owner/effectlog"
 	maintenancePackage = "./internal/maintenance"
--- a/internal/gateway/quorum_member.go
+++ b/internal/gateway/quorum_member.go
@@ -13,14 +13,14 @@
 	"poppymill/internal/owner"
 	owned "poppymill/internal/owner/drive"
 	purges "poppymill/internal/purges/drive"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 	"poppymill/router"
 )
 
 // quorumMember is this gateway's membership in the quorum of gateways, if the operator enables it. It has a loop of its
 // own; the loop that serves downloads neither waits for it nor depends on it.
 type quorumMember struct {
-	council *drive.Replica // nil if disabled
+	council *quorumdriver.Replica // nil if disabled
 	log     logrus.FieldLogger
 	cancel  context.CancelFunc
 }
@@ -53,7 +53,7 @@
 	proxy.SetKnown(-1)
 	machinePart, purgePart := machines.Open(o.Machines, jobRunner, proxy, log), purges.Open(o.Purges, jobRunner, proxy, log)
 	core.EnablePurges(zone, o.Purges.EffectiveLimits(), o.Purges.On, proxy.knownUntil.at, p.now)
-	if m.council, err = drive.Open(b, c.Name, zone, maxPeerConns(c), drive.Subsystems{jobRunner, machinePart, purgePart},
+	if m.council, err = quorumdriver.Open(b, c.Name, zone, maxPeerConns(c), quorumdriver.Subsystems{jobRunner, machinePart, purgePart},
 		log); err == nil && o.Machines.On {
 		core.OnNodesChanged(func(there map[string]bool) { m.council.Post(machines.ListedNodes{Present: there}) })
 	}
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -15,7 +15,7 @@
 	machines "poppymill/internal/maintenance/drive"
 	owned "poppymill/internal/owner/drive"
 	purges "poppymill/internal/purges/drive"
-	agreement "poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 )
 
 // Reloads defines when a running gateway reloads its configuration, and how.
@@ -37,10 +37,10 @@
 	follower        *channel.Follower
 	log             logrus.FieldLogger
 	linkDriver      *linkDriver
-	quorum          agreement.Block // as of the start
-	jobs            owned.Block     // as of the start
-	machines        machines.Block  // as of the start
-	purges          purges.Block    // as of the start
+	quorum          quorumdriver.Block // as of the start
+	jobs            owned.Block        // as of the start
+	machines        machines.Block     // as of the start
+	purges          purges.Block       // as of the start
 	operator        atomic.Pointer[Settings]
 	applied, failed atomic.Int64
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -9,7 +9,7 @@
 	"poppymill/internal/operator"
 	owned "poppymill/internal/owner/drive"
 	purges "poppymill/internal/purges/drive"
-	agreement "poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 )
 
 // Settings are the contents of the operator's file of a gateway. The zero value is that of no file.
@@ -17,7 +17,7 @@
 	Log        operator.Log
 	Links      drive.Block
 	Fair       Fairness
-	Quorum     agreement.Block
+	Quorum     quorumdriver.Block
 	Jobs       owned.Block
 	Failpoints failpoint.Block
 
--- a/internal/maintenance/drive/coordinator.go
+++ b/internal/maintenance/drive/coordinator.go
@@ -18,7 +18,7 @@
 	"poppymill/internal/owner"
 	owned "poppymill/internal/owner/drive"
 	"poppymill/internal/quorum"
-	agreement "poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 )
 
 // StateMachineName is the name of the state machine in the log. Schedule is the name of the job whose owner grants machines.
@@ -51,10 +51,10 @@
 	state         *maintenance.State
 	crew          *owned.Runner
 	core          Core
-	council       *agreement.Replica
+	council       *quorumdriver.Replica
 	log           logrus.FieldLogger
-	status        agreement.LogAdvanced // this gateway's standing in the quorum, as of the last event
-	now           float64               // ms, by the loop's clock, as are the next three
+	status        quorumdriver.LogAdvanced // this gateway's standing in the quorum, as of the last event
+	now           float64                  // ms, by the loop's clock, as are the next three
 	nextCheck     float64
 	lastTick      float64
 	nextPlan      float64            // earliest time of the next plan, so that planning a large fleet does not block the loop
@@ -103,7 +103,7 @@
 }
 
 // Start sets the council that commands are proposed to.
-func (y *Coordinator) Start(c *agreement.Replica) { y.council = c }
+func (y *Coordinator) Start(c *quorumdriver.Replica) { y.council = c }
 
 // NextDeadline returns the time of the next check.
 func (y *Coordinator) NextDeadline() float64 {
@@ -123,7 +123,7 @@
 func (y *Coordinator) Handle(now float64, e any) {
 	y.now = now
 	switch e := e.(type) {
-	case agreement.LogAdvanced:
+	case quorumdriver.LogAdvanced:
 		y.status = e
 		y.logStages()
 		y.changed = true
@@ -335,5 +335,5 @@
 	case "ended":
 		return append([]maintenance.FinishedRequest{}, y.state.Ended...), nil
 	}
-	return nil, agreement.ErrUnknownSubject
+	return nil, quorumdriver.ErrUnknownSubject
 }
--- a/internal/owner/drive/crew.go
+++ b/internal/owner/drive/crew.go
@@ -18,7 +18,7 @@
 	"poppymill/internal/owner"
 	"poppymill/internal/owner/effectlog"
 	"poppymill/internal/quorum"
-	agreement "poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 )
 
 // StateMachineName is the name of the jobs' state machine in the log.
@@ -41,10 +41,10 @@
 	block       Block
 	agent       *owner.Agent
 	place       *effectlog.Log
-	council     *agreement.Replica
+	council     *quorumdriver.Replica
 	handlers    map[string]Handler
 	log         logrus.FieldLogger
-	followed    agreement.LogAdvanced
+	followed    quorumdriver.LogAdvanced
 	loggedIndex uint64 // log index up to which changes were written to the program's log
 	queue       []any  // events that arrived while another was being handled
 	handling    bool
@@ -94,7 +94,7 @@
 }
 
 // Start sets the council.
-func (c *Runner) Start(council *agreement.Replica) { c.council = council }
+func (c *Runner) Start(council *quorumdriver.Replica) { c.council = council }
 
 // NextDeadline returns the time of the next deadline.
 func (c *Runner) NextDeadline() float64 {
@@ -151,13 +151,13 @@
 
 func (c *Runner) handle(e any) {
 	switch e := e.(type) {
-	case agreement.LogAdvanced:
+	case quorumdriver.LogAdvanced:
 		c.followed = e
 		c.logChanges(e.Restored)
 		c.perform(c.agent.Handle(c.now, owner.LogApplied{Name: e.Name, Incarnation: e.Incarnation, Leads: e.Leads}))
-	case agreement.ShuttingDown:
+	case quorumdriver.ShuttingDown:
 		c.perform(c.agent.Handle(c.now, owner.Leaving{}))
-	case agreement.PeerRequest:
+	case quorumdriver.PeerRequest:
 		c.handleFrame(e)
 	case nil:
 		if c.now >= c.agent.NextDeadline() {
@@ -233,7 +233,7 @@
 }
 
 // handleFrame processes an effect from another gateway, or the result of an effect sent by this one.
-func (c *Runner) handleFrame(asked agreement.PeerRequest) {
+func (c *Runner) handleFrame(asked quorumdriver.PeerRequest) {
 	if asked.Frame.Kind == quorum.KindEffectResult {
 		var r effectlog.Result
 		if codec.Decode(asked.Frame.Data, &r) == nil && r.End >= owner.Ran && r.End <= owner.Refused {
@@ -327,7 +327,7 @@
 		}
 		return list[max(0, len(list)-maxEntriesPerReply):], nil
 	}
-	return nil, agreement.ErrUnknownSubject
+	return nil, quorumdriver.ErrUnknownSubject
 }
 
 // maxEntriesPerReply bounds the effects in one reply, which has to fit into a frame.
--- a/internal/owner/drive/crew_test.go
+++ b/internal/owner/drive/crew_test.go
@@ -12,7 +12,7 @@
 	"poppymill/internal/owner"
 	"poppymill/internal/owner/effectlog"
 	"poppymill/internal/quorum"
-	agreement "poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 )
 
 // Tests that a gateway executes no effects before it has applied the log up to its own start, and none of an
@@ -31,7 +31,7 @@
 	send := func(e effectlog.Effect) effectlog.Result {
 		t.Helper()
 		results := make(chan effectlog.Result, 1)
-		c.Handle(0, agreement.PeerRequest{From: "g", Frame: quorum.Frame{Kind: quorum.KindEffect, Data: codec.Encode(e)}, Answer: func(f quorum.Frame) {
+		c.Handle(0, quorumdriver.PeerRequest{From: "g", Frame: quorum.Frame{Kind: quorum.KindEffect, Data: codec.Encode(e)}, Answer: func(f quorum.Frame) {
 			var r effectlog.Result
 			if err := codec.Decode(f.Data, &r); err != nil {
 				t.Error(err)
@@ -44,7 +44,7 @@
 	if r := send(e); r.End != owner.NotRun || !strings.Contains(r.Why, "has not followed") {
 		t.Errorf("before it has applied the log: %+v", r)
 	}
-	c.Handle(0, agreement.LogAdvanced{Name: "h", Incarnation: 2})
+	c.Handle(0, quorumdriver.LogAdvanced{Name: "h", Incarnation: 2})
 	if r := send(e); r.End != owner.Ran {
 		t.Errorf("%+v", r)
 	}
--- a/internal/purges/drive/service.go
+++ b/internal/purges/drive/service.go
@@ -17,7 +17,7 @@
 	owned "poppymill/internal/owner/drive"
 	"poppymill/internal/purges"
 	"poppymill/internal/quorum"
-	agreement "poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 )
 
 // StateMachineName is the name of the state machine in the log; BatchJob is the name of the job whose owner sends batches.
@@ -54,9 +54,9 @@
 	book           *purges.StateMachine
 	crew           *owned.Runner
 	core           Core
-	council        *agreement.Replica
+	council        *quorumdriver.Replica
 	log            logrus.FieldLogger
-	followed       agreement.LogAdvanced
+	followed       quorumdriver.LogAdvanced
 	now            float64
 	nextCheck      float64
 	tickedAt       float64
@@ -99,7 +99,7 @@
 }
 
 // Start sets the council through which commands are proposed.
-func (s *Service) Start(c *agreement.Replica) { s.council = c }
+func (s *Service) Start(c *quorumdriver.Replica) { s.council = c }
 
 // NextDeadline returns the time of the next check; +Inf if no purge is open.
 func (s *Service) NextDeadline() float64 {
@@ -124,7 +124,7 @@
 		s.core.SetKnown(s.council.ViewAge())
 	}
 	switch event := e.(type) {
-	case agreement.LogAdvanced:
+	case quorumdriver.LogAdvanced:
 		s.followed = event
 		s.publishMarks(event.Restored)
 		s.logStages()
@@ -296,5 +296,5 @@
 		}
 		return map[string]any{"held": s.book.Bounds.Len(), "floor": s.book.Bounds.Floor, "purges": all[max(0, len(all)-500):]}, nil
 	}
-	return nil, agreement.ErrUnknownSubject
+	return nil, quorumdriver.ErrUnknownSubject
 }
--- a/internal/quorum/drive/council.go
+++ b/internal/quorum/driver/replica.go
@@ -1,6 +1,6 @@
-// Package drive runs a node of the replicated log of package quorum: it provides the connections to peers, the store on
+// Package driver runs a node of the replicated log of package quorum: it provides the connections to peers, the store on
 // disk and the clock, and an event loop that hosts the subsystems built on the log.
-package drive
+package driver
 
 import (
 	"context"
--- a/internal/rehearsal/sockets/control.go
+++ b/internal/rehearsal/sockets/control.go
@@ -20,16 +20,16 @@
 	"poppymill/internal/purges"
 	sweep "poppymill/internal/purges/drive"
 	"poppymill/internal/quorum"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 	"poppymill/internal/rehearsal/script"
 	"poppymill/internal/rehearsal/world"
 )
 
 // Call sends a question or a command to a gateway's quorum port, bypassing the relays.
-func (s *Stage) Call(gateway int, q drive.Query, within time.Duration) (drive.Reply, error) {
+func (s *Stage) Call(gateway int, q quorumdriver.Query, within time.Duration) (quorumdriver.Reply, error) {
 	ctx, cancel := context.WithTimeout(s.ctx, within)
 	defer cancel()
-	return drive.SendQuery(ctx, s.relays.peerAddresses[gateway], q)
+	return quorumdriver.SendQuery(ctx, s.relays.peerAddresses[gateway], q)
 }
 
 // QuorumReports returns each gateway's report on the replicated log; nil for one that does not answer.
@@ -38,7 +38,7 @@
 	var g sync.WaitGroup
 	for i := range all {
 		g.Go(func() {
-			if r, err := s.Call(i, drive.Query{}, within); err == nil {
+			if r, err := s.Call(i, quorumdriver.Query{}, within); err == nil {
 				all[i] = &r.Report
 			}
 		})
@@ -53,7 +53,7 @@
 	var g sync.WaitGroup
 	for i := range all {
 		g.Go(func() {
-			if r, err := s.Call(i, drive.Query{Subject: "effects"}, within); err == nil && r.Error == "" {
+			if r, err := s.Call(i, quorumdriver.Query{Subject: "effects"}, within); err == nil && r.Error == "" {
 				json.Unmarshal(r.Body, &all[i])
 			}
 		})
@@ -90,7 +90,7 @@
 	}
 	command := &quorum.Command{StateMachine: owned.StateMachineName, Kind: owner.Start, Data: codec.Encode(job)}
 	for i := 0; s.ctx.Err() == nil; i++ {
-		if r, err := s.Call(i%len(s.gateways), drive.Query{Command: command}, 2*time.Second); err == nil && r.Error == "" {
+		if r, err := s.Call(i%len(s.gateways), quorumdriver.Query{Command: command}, 2*time.Second); err == nil && r.Error == "" {
 			return
 		}
 		select {
@@ -107,10 +107,10 @@
 	for i := 0; s.ctx.Err() == nil && accepted.Purge.ID == ""; i++ {
 		gateway := i % len(s.gateways)
 		var limits purges.Limits
-		if r, err := s.Call(gateway, drive.Query{Subject: "purge limits"}, time.Second); err == nil && r.Error == "" && json.Unmarshal(r.Body, &limits) == nil {
+		if r, err := s.Call(gateway, quorumdriver.Query{Subject: "purge limits"}, time.Second); err == nil && r.Error == "" && json.Unmarshal(r.Body, &limits) == nil {
 			order := purges.CommandData{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &limits}
 			command := &quorum.Command{StateMachine: sweep.StateMachineName, Kind: purges.Accept, Data: codec.Encode(order)}
-			if r, err := s.Call(gateway, drive.Query{Command: command, Subject: "purge", Name: a.ID}, 2*time.Second); err == nil && r.Error == "" && json.Unmarshal(r.Body, &accepted) == nil {
+			if r, err := s.Call(gateway, quorumdriver.Query{Command: command, Subject: "purge", Name: a.ID}, 2*time.Second); err == nil && r.Error == "" && json.Unmarshal(r.Body, &accepted) == nil {
 				break
 			}
 		}
--- a/internal/rehearsal/sockets/maintenance_faults_test.go
+++ b/internal/rehearsal/sockets/maintenance_faults_test.go
@@ -8,7 +8,7 @@
 
 	"poppymill/internal/maintenance"
 	machines "poppymill/internal/maintenance/drive"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 	"poppymill/internal/rehearsal/script"
 	"poppymill/internal/rehearsal/world"
 )
@@ -29,7 +29,7 @@
 
 // machine returns the state of a machine.
 func (mc *machineCluster) machine(name string) (m machines.Machine) {
-	mc.call(drive.Query{Subject: "machine", Name: name}, &m, 0)
+	mc.call(quorumdriver.Query{Subject: "machine", Name: name}, &m, 0)
 	return m
 }
 
--- a/internal/rehearsal/sockets/maintenance_test.go
+++ b/internal/rehearsal/sockets/maintenance_test.go
@@ -20,7 +20,7 @@
 	machines "poppymill/internal/maintenance/drive"
 	"poppymill/internal/owner"
 	"poppymill/internal/quorum"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 	"poppymill/internal/rehearsal/script"
 	"poppymill/internal/rehearsal/world"
 )
@@ -126,7 +126,7 @@
 
 // call sends a question or a command to one gateway after another until one answers, and decodes the answer. The second result
 // reports whether one answered.
-func (mc *machineCluster) call(q drive.Query, to any, from int) (error, bool) {
+func (mc *machineCluster) call(q quorumdriver.Query, to any, from int) (error, bool) {
 	for i := range mc.names {
 		r, err := mc.stage.Call((from+i)%len(mc.names), q, time.Second)
 		if err != nil || q.Command != nil && !r.Report.Majority && r.Error != "" {
@@ -145,14 +145,14 @@
 
 // fleet returns all machines.
 func (mc *machineCluster) fleet() (f machineList) {
-	mc.call(drive.Query{Subject: "machines"}, &f, 0)
+	mc.call(quorumdriver.Query{Subject: "machines"}, &f, 0)
 	return f
 }
 
 // submitOrder submits a maintenance command. The second result reports whether a gateway answered.
 func (mc *machineCluster) submitOrder(kind string, o maintenance.CommandData, from int) (error, bool) {
 	o.At = float64(time.Now().UnixMilli())
-	return mc.call(drive.Query{Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: kind, Data: codec.Encode(o)}}, nil, from)
+	return mc.call(quorumdriver.Query{Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: kind, Data: codec.Encode(o)}}, nil, from)
 }
 
 // requestMaintenance requests a maintenance window for each machine and starts the machines' agents.
@@ -176,7 +176,7 @@
 	wentOut, stageSince, lastStage := false, 0.0, maintenance.InService
 	for end := time.Now().Add(100 * time.Second); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 		var m machines.Machine
-		if err, ok := mc.call(drive.Query{Subject: "machine", Name: name, Fresh: true}, &m, n); !ok || err != nil {
+		if err, ok := mc.call(quorumdriver.Query{Subject: "machine", Name: name, Fresh: true}, &m, n); !ok || err != nil {
 			continue // no gateway knows its state
 		}
 		now := mc.stage.now()
@@ -375,7 +375,7 @@
 		mc.inject(script.Event{Kind: "part", Name: mc.names[0], Duration: 4000})
 		mc.inject(script.Event{Kind: "part", Name: mc.names[1], Duration: 4000, OneWay: true})
 		o := maintenance.CommandData{At: float64(time.Now().UnixMilli()), Request: &maintenance.Request{ID: "r-" + rest[0], Machine: rest[0], Duration: windowMillis}}
-		r, err := mc.stage.Call(0, drive.Query{Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: maintenance.Submit, Data: codec.Encode(o)}}, 1500*time.Millisecond)
+		r, err := mc.stage.Call(0, quorumdriver.Query{Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: maintenance.Submit, Data: codec.Encode(o)}}, 1500*time.Millisecond)
 		if err == nil && r.Error == "" {
 			t.Errorf("a gateway without a majority took a request: %+v", r)
 		}
@@ -399,7 +399,7 @@
 		delete(mc.outSince, first)
 		mc.mu.Unlock()
 		var m machines.Machine
-		mc.call(drive.Query{Subject: "machine", Name: first}, &m, 0)
+		mc.call(quorumdriver.Query{Subject: "machine", Name: first}, &m, 0)
 		mc.waitFor(first+" is back", func() bool {
 			mc.submitOrder(maintenance.Return, maintenance.CommandData{Machine: first, Token: m.Work.Token}, 0)
 			return stage(first) == "in"
--- a/internal/rehearsal/sockets/owner_test.go
+++ b/internal/rehearsal/sockets/owner_test.go
@@ -18,7 +18,7 @@
 	"poppymill/internal/owner/effectlog"
 	"poppymill/internal/prng"
 	"poppymill/internal/quorum"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 	"poppymill/internal/rehearsal/script"
 	"poppymill/internal/rehearsal/world"
 )
@@ -40,7 +40,7 @@
 // submit submits a command on owned work to one gateway and reports whether it was committed.
 func (c *cluster) submit(gateway int, kind string, content any) bool {
 	command := &quorum.Command{StateMachine: owned.StateMachineName, Kind: kind, Data: codec.Encode(content)}
-	r, err := c.stage.Call(gateway, drive.Query{Command: command}, 2*time.Second)
+	r, err := c.stage.Call(gateway, quorumdriver.Query{Command: command}, 2*time.Second)
 	return err == nil && r.Error == ""
 }
 
@@ -55,7 +55,7 @@
 	applied := uint64(0)
 	for i := range c.names {
 		var j owner.Report
-		r, err := c.stage.Call(i, drive.Query{Subject: "job", Name: name}, 300*time.Millisecond)
+		r, err := c.stage.Call(i, quorumdriver.Query{Subject: "job", Name: name}, 300*time.Millisecond)
 		if err == nil && r.Error == "" && r.Report.Applied > applied && json.Unmarshal(r.Body, &j) == nil {
 			best, applied = j, r.Report.Applied
 		}
--- a/internal/rehearsal/sockets/purges_test.go
+++ b/internal/rehearsal/sockets/purges_test.go
@@ -17,7 +17,7 @@
 	"poppymill/internal/purges"
 	sweep "poppymill/internal/purges/drive"
 	"poppymill/internal/quorum"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 	"poppymill/internal/rehearsal/script"
 	"poppymill/internal/rehearsal/world"
 )
@@ -109,7 +109,7 @@
 	pc.t.Helper()
 	pc.waitFor("the purge "+p.ID+" is accepted", func() bool {
 		o := purges.CommandData{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &pc.limits}
-		r, err := pc.stage.Call(at, drive.Query{Command: &quorum.Command{StateMachine: sweep.StateMachineName, Kind: purges.Accept, Data: codec.Encode(o)}}, 2*time.Second)
+		r, err := pc.stage.Call(at, quorumdriver.Query{Command: &quorum.Command{StateMachine: sweep.StateMachineName, Kind: purges.Accept, Data: codec.Encode(o)}}, 2*time.Second)
 		return err == nil && r.Error == ""
 	})
 	x := pc.purgeStatus(p.ID, at)
@@ -131,7 +131,7 @@
 func (pc *purgeCluster) purgeStatus(id string, from int) (x sweep.PurgeReport) {
 	pc.t.Helper()
 	for i := range pc.names {
-		if r, err := pc.stage.Call((from+i)%len(pc.names), drive.Query{Subject: "purge", Name: id}, 500*time.Millisecond); err == nil && r.Error == "" && json.Unmarshal(r.Body, &x) == nil {
+		if r, err := pc.stage.Call((from+i)%len(pc.names), quorumdriver.Query{Subject: "purge", Name: id}, 500*time.Millisecond); err == nil && r.Error == "" && json.Unmarshal(r.Body, &x) == nil {
 			return x
 		}
 	}
@@ -195,7 +195,7 @@
 		newer := pc.acceptPurge(purges.Purge{ID: "newer", Groups: []int64{int64(pc.groups[objects[20]])}, Club: ""}, 2)
 		pc.acceptPurge(purges.Purge{ID: "stopped", Objects: objects[:6]}, 2)
 		pc.waitFor("cancelled", func() bool {
-			r, err := pc.stage.Call(2, drive.Query{Command: &quorum.Command{StateMachine: sweep.StateMachineName, Kind: purges.Cancel, Data: codec.Encode(purges.CommandData{ID: "stopped"})}}, time.Second)
+			r, err := pc.stage.Call(2, quorumdriver.Query{Command: &quorum.Command{StateMachine: sweep.StateMachineName, Kind: purges.Cancel, Data: codec.Encode(purges.CommandData{ID: "stopped"})}}, time.Second)
 			return err == nil && r.Error == ""
 		})
 		if x := pc.purgeStatus("stopped", 2); x.Stage != "cancelled" || x.Published == 6 {
@@ -213,7 +213,7 @@
 			t.Errorf("positions in the log: %d and %d", pc.purgeStatus("long", 0).LogIndex, newer.LogIndex)
 		}
 		o := purges.CommandData{Purge: &purges.Purge{ID: "long", Objects: objects[:3]}, Limits: &pc.limits}
-		r, err := pc.stage.Call(0, drive.Query{Command: &quorum.Command{StateMachine: sweep.StateMachineName, Kind: purges.Accept, Data: codec.Encode(o)}}, 2*time.Second)
+		r, err := pc.stage.Call(0, quorumdriver.Query{Command: &quorum.Command{StateMachine: sweep.StateMachineName, Kind: purges.Accept, Data: codec.Encode(o)}}, 2*time.Second)
 		if err != nil || r.Error != purges.ErrConflict.Error() {
 			t.Errorf("the same ID with other content: %v, %q", err, r.Error)
 		}
@@ -249,7 +249,7 @@
 						for i := range total / 8 {
 							p := purges.Purge{ID: fmt.Sprint("q", k, "-", i), Objects: []string{fmt.Sprintf("%016x", 1000*k+i)}}
 							o := purges.CommandData{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &pc.limits}
-							pc.stage.Call(k%n, drive.Query{Command: &quorum.Command{StateMachine: sweep.StateMachineName, Kind: purges.Accept, Data: codec.Encode(o)}}, 5*time.Second)
+							pc.stage.Call(k%n, quorumdriver.Query{Command: &quorum.Command{StateMachine: sweep.StateMachineName, Kind: purges.Accept, Data: codec.Encode(o)}}, 5*time.Second)
 						}
 					})
 				}
