--- a/cmd/poppymill/job.go
+++ b/cmd/poppymill/job.go
@@ -16,7 +16,7 @@
 
 	"poppymill/internal/codec"
 	"poppymill/internal/owner"
-	jobs "poppymill/internal/owner/drive"
+	ownerdriver "poppymill/internal/owner/driver"
 	"poppymill/internal/owner/effectlog"
 	"poppymill/internal/quorum"
 	quorumdriver "poppymill/internal/quorum/driver"
@@ -32,7 +32,7 @@
 		{Name: "history", Usage: "list the owners of a job, and why each ownership ended", ArgsUsage: "ADDRESS NAME", Flags: queryFlags, Action: jobHistory},
 		{Name: "effects", Usage: "list the effects that the record of one gateway has as happened or refused", ArgsUsage: "ADDRESS [NAME]", Flags: flags, Action: jobEffects},
 		{Name: "start", Usage: "start a job; repeating the same request has no effect", ArgsUsage: "ADDRESS NAME", Flags: append(flags[:2:2],
-			&cli.StringFlag{Name: "kind", Value: jobs.KindDrill, Usage: "kind of work"},
+			&cli.StringFlag{Name: "kind", Value: ownerdriver.KindDrill, Usage: "kind of work"},
 			&cli.StringFlag{Name: "type", Value: "safe", Usage: "type of the steps: safe, keyed or unsafe"},
 			&cli.IntFlag{Name: "steps", Value: 1, Usage: "number of steps"},
 			&cli.IntFlag{Name: "window", Value: 4, Usage: "maximum number of steps in progress at a time"},
@@ -182,7 +182,7 @@
 	if cmd.Args().Len() == args && name == "" {
 		return usageError(fmt.Errorf("job %s: NAME is empty", cmd.Name))
 	}
-	r, err := queryJobs(ctx, cmd, args, quorumdriver.Query{Subject: "job", Name: name, Command: &quorum.Command{StateMachine: jobs.StateMachineName, Kind: kind, Data: codec.Encode(data)}})
+	r, err := queryJobs(ctx, cmd, args, quorumdriver.Query{Subject: "job", Name: name, Command: &quorum.Command{StateMachine: ownerdriver.StateMachineName, Kind: kind, Data: codec.Encode(data)}})
 	if err != nil {
 		return err
 	}
@@ -255,7 +255,7 @@
 		return r.Report, err
 	}
 	command := func(kind string, c owner.Claim) *quorum.Command {
-		return &quorum.Command{StateMachine: jobs.StateMachineName, Kind: kind, Data: codec.Encode(c)}
+		return &quorum.Command{StateMachine: ownerdriver.StateMachineName, Kind: kind, Data: codec.Encode(c)}
 	}
 	var j owner.Report
 	report, err := query(address, quorumdriver.Query{Subject: "job", Name: name, Command: command(owner.Fence, owner.Claim{Job: name})}, &j)
@@ -278,7 +278,7 @@
 			if _, err = query(placeAddress, quorumdriver.Query{Subject: "effects", Name: name}, &entries); err != nil {
 				break
 			}
-			ran, fenced = jobs.CheckRecord(entries, name, d)
+			ran, fenced = ownerdriver.CheckRecord(entries, name, d)
 			if !ran && !fenced { // the place does not know the next grant yet
 				select {
 				case <-time.After(50 * time.Millisecond):
--- a/cmd/poppymill/quorum.go
+++ b/cmd/poppymill/quorum.go
@@ -14,7 +14,7 @@
 	"github.com/urfave/cli/v3"
 
 	machines "poppymill/internal/maintenance/drive"
-	jobs "poppymill/internal/owner/drive"
+	ownerdriver "poppymill/internal/owner/driver"
 	purgesdrive "poppymill/internal/purges/drive"
 	"poppymill/internal/quorum"
 	quorumdriver "poppymill/internal/quorum/driver"
@@ -127,7 +127,7 @@
 	if cmd.Args().Len() != 1 {
 		return usageError(errors.New("quorum recover: takes the FOLDER of one store"))
 	}
-	books := jobs.EmptyStateMachines()
+	books := ownerdriver.EmptyStateMachines()
 	maps.Copy(books, machines.EmptyStateMachines())
 	maps.Copy(books, purgesdrive.EmptyStateMachines())
 	r, err := quorumdriver.Recover(cmd.Args().First(), books, cmd.Bool("yes"))
--- a/internal/bite/main.go
+++ b/internal/bite/main.go
@@ -30,7 +30,7 @@
 	maintenancePackage = "./internal/maintenance"
 	purgesPackage      = "./internal/purges"
 	gatewayPackage     = "./internal/gateway"
-	ownerDrivePackage  = "./internal/owner/drive"
+	ownerDrivePackage  = "./internal/owner/driver"
 )
 
 // faults are the faults in all parts of the gateway; raceFaults has more.
@@ -91,7 +91,7 @@
 	{"a resumed gateway uses the time before it was frozen", "internal/gateway/purge_bounds.go", "MinCreated(b.now(), b.knownUntil(),", "MinCreated(b.knownUntil(), b.knownUntil(),", gatewayPackage, "TestPurgeBounds"},
 	{"a first pull accepts a stale copy", "internal/purges/view.go", "\t\treturn max(hard, soft)\n", "\t\treturn max(hard, 0*soft)\n", gatewayPackage, "TestPurgeBounds"},
 	{"a fenced job keeps its grant", "internal/owner/state_machine.go", "\t\tj.endGrant(index, \"fenced\")\n", "", ownerPackage, "TestFence"},
-	{"a place accepts effects before it has caught up with the log", "internal/owner/drive/crew.go", "case c.followed.Incarnation == 0:", "case false:", ownerDrivePackage, "TestCrew"},
+	{"a place accepts effects before it has caught up with the log", "internal/owner/driver/runner.go", "case c.followed.Incarnation == 0:", "case false:", ownerDrivePackage, "TestCrew"},
 	{"the place is not told of new grants", "internal/owner/agent.go", "actions = append(actions, RaiseToken{j.Name, j.Token})", "", ownerPackage, "TestAgent"},
 	{"a lost effect never times out", "internal/owner/agent.go", "if now >= x.Deadline {", "if false {", ownerPackage, "TestAgent"},
 	{"a leaving owner gets new grants", "internal/owner/state_machine.go", "case !w.Present || w.Idle || w.Incarnation != c.Incarnation:", "case !w.Present || w.Incarnation != c.Incarnation:", ownerPackage, "TestAgent"},
--- a/internal/gateway/prefetch.go
+++ b/internal/gateway/prefetch.go
@@ -11,7 +11,7 @@
 	"poppymill/internal/codec"
 	"poppymill/internal/gatewayconfig"
 	"poppymill/internal/owner"
-	owned "poppymill/internal/owner/drive"
+	ownerdriver "poppymill/internal/owner/driver"
 	"poppymill/internal/owner/effectlog"
 	"poppymill/router"
 )
@@ -92,8 +92,8 @@
 
 // warmHandler executes warming steps by a prefetch at the core. A step counts as not run if the node had no room for
 // any object.
-func warmHandler(p *poster) owned.Handler {
-	return owned.Handler{Type: owner.Safe, Check: func(j owner.Job) error {
+func warmHandler(p *poster) ownerdriver.Handler {
+	return ownerdriver.Handler{Type: owner.Safe, Check: func(j owner.Job) error {
 		var w owner.WarmData
 		if err := codec.Decode(j.Data, &w); err != nil || w.Node == "" || w.Each < 1 {
 			return errors.New("data: names no node to be filled")
--- a/internal/gateway/quorum_member.go
+++ b/internal/gateway/quorum_member.go
@@ -11,7 +11,7 @@
 	"poppymill/internal/maintenance"
 	machines "poppymill/internal/maintenance/drive"
 	"poppymill/internal/owner"
-	owned "poppymill/internal/owner/drive"
+	ownerdriver "poppymill/internal/owner/driver"
 	purges "poppymill/internal/purges/drive"
 	quorumdriver "poppymill/internal/quorum/driver"
 	"poppymill/router"
@@ -36,12 +36,12 @@
 	}
 	failpoint.Set(o.Failpoints)
 	zone, _ := c.RouterSettings["zone"].(string)
-	jobs, handlers := o.Jobs, map[string]owned.Handler{owner.KindWarm: warmHandler(p), owned.KindHold: owned.HoldHandler()}
-	jobRunner, err := owned.Open(jobs, b.Store, handlers, log)
+	jobs, handlers := o.Jobs, map[string]ownerdriver.Handler{owner.KindWarm: warmHandler(p), ownerdriver.KindHold: ownerdriver.HoldHandler()}
+	jobRunner, err := ownerdriver.Open(jobs, b.Store, handlers, log)
 	if err != nil {
 		log.WithError(err).Error("jobs: disabled until a restart: this gateway owns no jobs and runs no effects")
 		jobs.On = false
-		if jobRunner, err = owned.Open(jobs, "", nil, log); err != nil {
+		if jobRunner, err = ownerdriver.Open(jobs, "", nil, log); err != nil {
 			return m, err
 		}
 	}
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -13,7 +13,7 @@
 	"poppymill/internal/failpoint"
 	"poppymill/internal/gatewayconfig"
 	machines "poppymill/internal/maintenance/drive"
-	owned "poppymill/internal/owner/drive"
+	ownerdriver "poppymill/internal/owner/driver"
 	purges "poppymill/internal/purges/drive"
 	quorumdriver "poppymill/internal/quorum/driver"
 )
@@ -38,7 +38,7 @@
 	log             logrus.FieldLogger
 	linkDriver      *linkDriver
 	quorum          quorumdriver.Block // as of the start
-	jobs            owned.Block        // as of the start
+	jobs            ownerdriver.Block  // as of the start
 	machines        machines.Block     // as of the start
 	purges          purges.Block       // as of the start
 	operator        atomic.Pointer[Settings]
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -7,7 +7,7 @@
 	"poppymill/internal/links/drive"
 	machines "poppymill/internal/maintenance/drive"
 	"poppymill/internal/operator"
-	owned "poppymill/internal/owner/drive"
+	ownerdriver "poppymill/internal/owner/driver"
 	purges "poppymill/internal/purges/drive"
 	quorumdriver "poppymill/internal/quorum/driver"
 )
@@ -18,7 +18,7 @@
 	Links      drive.Block
 	Fair       Fairness
 	Quorum     quorumdriver.Block
-	Jobs       owned.Block
+	Jobs       ownerdriver.Block
 	Failpoints failpoint.Block
 
 	Machines machines.Block
--- a/internal/maintenance/drive/coordinator.go
+++ b/internal/maintenance/drive/coordinator.go
@@ -16,7 +16,7 @@
 	"poppymill/internal/failpoint"
 	"poppymill/internal/maintenance"
 	"poppymill/internal/owner"
-	owned "poppymill/internal/owner/drive"
+	ownerdriver "poppymill/internal/owner/driver"
 	"poppymill/internal/quorum"
 	quorumdriver "poppymill/internal/quorum/driver"
 )
@@ -49,7 +49,7 @@
 type Coordinator struct {
 	block         Block
 	state         *maintenance.State
-	crew          *owned.Runner
+	crew          *ownerdriver.Runner
 	core          Core
 	council       *quorumdriver.Replica
 	log           logrus.FieldLogger
@@ -92,7 +92,7 @@
 }
 
 // Open creates a gateway's part. Without the block it only follows the log, and still drains machines that are about to leave.
-func Open(b Block, crew *owned.Runner, core Core, log logrus.FieldLogger) *Coordinator {
+func Open(b Block, crew *ownerdriver.Runner, core Core, log logrus.FieldLogger) *Coordinator {
 	return &Coordinator{block: b, state: maintenance.New(), crew: crew, core: core, log: log, inFlight: map[string]float64{},
 		loggedStages: map[string]string{}, unixMillis: func() float64 { return float64(time.Now().UnixMilli()) }}
 }
@@ -213,7 +213,7 @@
 		y.propose(maintenance.SetInventory, "", y.block.Inventory)
 	}
 	if !y.crew.IsRunning(Schedule) {
-		y.council.Propose(quorum.Command{StateMachine: owned.StateMachineName, Kind: owner.Start, Data: codec.Encode(owner.Job{Name: Schedule, Kind: owned.KindHold, Steps: 1, Window: 1})}, func(quorum.Outcome) {})
+		y.council.Propose(quorum.Command{StateMachine: ownerdriver.StateMachineName, Kind: owner.Start, Data: codec.Encode(owner.Job{Name: Schedule, Kind: ownerdriver.KindHold, Steps: 1, Window: 1})}, func(quorum.Outcome) {})
 	}
 	if voters := y.council.Voters(); len(voters) > 0 && !slices.Equal(voters, y.state.Voters) {
 		y.propose(maintenance.SetVoters, "", maintenance.CommandData{Names: voters})
--- a/internal/owner/drive/crew.go
+++ b/internal/owner/driver/runner.go
@@ -1,7 +1,7 @@
-// Package drive connects jobs (package owner) to the replicated log of the gateways: it applies log entries to the
+// Package driver connects jobs (package owner) to the replicated log of the gateways: it applies log entries to the
 // state machine, feeds the council's events to the agent, and sends effects to their executing gateways over the
 // peer connections. It makes no decisions of its own.
-package drive
+package driver
 
 import (
 	"errors"
--- a/internal/purges/drive/service.go
+++ b/internal/purges/drive/service.go
@@ -14,7 +14,7 @@
 
 	"poppymill/internal/codec"
 	"poppymill/internal/owner"
-	owned "poppymill/internal/owner/drive"
+	ownerdriver "poppymill/internal/owner/driver"
 	"poppymill/internal/purges"
 	"poppymill/internal/quorum"
 	quorumdriver "poppymill/internal/quorum/driver"
@@ -52,7 +52,7 @@
 type Service struct {
 	block          Block
 	book           *purges.StateMachine
-	crew           *owned.Runner
+	crew           *ownerdriver.Runner
 	core           Core
 	council        *quorumdriver.Replica
 	log            logrus.FieldLogger
@@ -89,7 +89,7 @@
 
 // Open returns the purge service of a gateway. Where the block is off, it applies the purges of other gateways, but
 // accepts none itself and keeps trusting older copies while it cannot reach the log.
-func Open(b Block, crew *owned.Runner, core Core, log logrus.FieldLogger) *Service {
+func Open(b Block, crew *ownerdriver.Runner, core Core, log logrus.FieldLogger) *Service {
 	return &Service{block: b, book: purges.New(), crew: crew, core: core, log: log, pending: map[string]float64{}, loggedStages: map[string]purges.Stage{}}
 }
 
@@ -171,7 +171,7 @@
 	}
 	if s.followed.Leads {
 		if !s.crew.IsRunning(BatchJob) && s.block.Limits.Rate > 0 {
-			s.proposeTo(owned.StateMachineName, owner.Start, "", owner.Job{Name: BatchJob, Kind: owned.KindHold, Steps: 1, Window: 1})
+			s.proposeTo(ownerdriver.StateMachineName, owner.Start, "", owner.Job{Name: BatchJob, Kind: ownerdriver.KindHold, Steps: 1, Window: 1})
 		}
 		if s.now >= s.tickedAt+tickInterval {
 			s.tickedAt = s.now
--- a/internal/rehearsal/sockets/control.go
+++ b/internal/rehearsal/sockets/control.go
@@ -15,7 +15,7 @@
 
 	"poppymill/internal/codec"
 	"poppymill/internal/owner"
-	owned "poppymill/internal/owner/drive"
+	ownerdriver "poppymill/internal/owner/driver"
 	"poppymill/internal/owner/effectlog"
 	"poppymill/internal/purges"
 	sweep "poppymill/internal/purges/drive"
@@ -79,7 +79,7 @@
 // startJob submits a job to one gateway after another until one confirms that it was committed. Submitting the same job again
 // has no effect.
 func (s *Stage) startJob(j script.Job) {
-	job := owner.Job{Name: j.Name, Kind: owned.KindDrill, Steps: j.Steps, Window: j.Window}
+	job := owner.Job{Name: j.Name, Kind: ownerdriver.KindDrill, Steps: j.Steps, Window: j.Window}
 	for job.Type = owner.Safe; job.Type.String() != j.Type; job.Type++ {
 	}
 	for i := range j.Places {
@@ -88,7 +88,7 @@
 			job.Gateways = append(job.Gateways, name)
 		})
 	}
-	command := &quorum.Command{StateMachine: owned.StateMachineName, Kind: owner.Start, Data: codec.Encode(job)}
+	command := &quorum.Command{StateMachine: ownerdriver.StateMachineName, Kind: owner.Start, Data: codec.Encode(job)}
 	for i := 0; s.ctx.Err() == nil; i++ {
 		if r, err := s.Call(i%len(s.gateways), quorumdriver.Query{Command: command}, 2*time.Second); err == nil && r.Error == "" {
 			return
--- a/internal/rehearsal/sockets/owner_test.go
+++ b/internal/rehearsal/sockets/owner_test.go
@@ -14,7 +14,7 @@
 	"poppymill/internal/codec"
 	"poppymill/internal/failpoint"
 	"poppymill/internal/owner"
-	owned "poppymill/internal/owner/drive"
+	ownerdriver "poppymill/internal/owner/driver"
 	"poppymill/internal/owner/effectlog"
 	"poppymill/internal/prng"
 	"poppymill/internal/quorum"
@@ -39,7 +39,7 @@
 
 // submit submits a command on owned work to one gateway and reports whether it was committed.
 func (c *cluster) submit(gateway int, kind string, content any) bool {
-	command := &quorum.Command{StateMachine: owned.StateMachineName, Kind: kind, Data: codec.Encode(content)}
+	command := &quorum.Command{StateMachine: ownerdriver.StateMachineName, Kind: kind, Data: codec.Encode(content)}
 	r, err := c.stage.Call(gateway, quorumdriver.Query{Command: command}, 2*time.Second)
 	return err == nil && r.Error == ""
 }
@@ -47,7 +47,7 @@
 // startDrill starts a drill job whose steps are executed at the last gateways, as many as places says.
 func (c *cluster) startDrill(name string, typ owner.Type, steps, window, places int) {
 	c.t.Helper()
-	c.commit(owner.Start, owner.Job{Name: name, Kind: owned.KindDrill, Type: typ, Steps: steps, Window: window, Gateways: c.names[len(c.names)-places:]})
+	c.commit(owner.Start, owner.Job{Name: name, Kind: ownerdriver.KindDrill, Type: typ, Steps: steps, Window: window, Gateways: c.names[len(c.names)-places:]})
 }
 
 // job returns a job as seen by the gateway that has applied most of the log.
@@ -128,7 +128,7 @@
 	c.waitForJob(name, "finished", func(j owner.Report) bool {
 		for _, d := range j.Uncertain {
 			if i := c.index(d.Place); i >= 0 {
-				if ran, fenced := owned.CheckRecord(c.stage.EffectRecords(300 * time.Millisecond)[i], name, d); ran || fenced {
+				if ran, fenced := ownerdriver.CheckRecord(c.stage.EffectRecords(300 * time.Millisecond)[i], name, d); ran || fenced {
 					c.submit(i, owner.Resolve, owner.Claim{Job: name, Step: d.Step, Ran: ran}) // rejected if the sender has reported the result meanwhile
 				} else if unsettled++; unsettled%10 == 1 {
 					c.commit(owner.Fence, owner.Claim{Job: name})
@@ -293,7 +293,7 @@
 	runCluster(t, func(s *script.Script) { s.Gateways = 6 }, func(c *cluster) {
 		c.waitForReports("all converged", c.converged)
 		bridge := len(c.names) - 1
-		c.commit(owner.Start, owner.Job{Name: "work", Kind: owned.KindDrill, Type: owner.Unsafe, Steps: 400, Window: 2, Gateways: c.names[bridge:]})
+		c.commit(owner.Start, owner.Job{Name: "work", Kind: ownerdriver.KindDrill, Type: owner.Unsafe, Steps: 400, Window: 2, Gateways: c.names[bridge:]})
 		first := c.waitForJob("work", "begun", func(j owner.Report) bool { return j.Done > 3 && j.Owner != "" })
 		old := c.index(first.Owner)
 		if old == bridge {
