--- a/cmd/poppymill/agent.go
+++ b/cmd/poppymill/agent.go
@@ -18,7 +18,7 @@
 
 	"poppymill/internal/codec"
 	"poppymill/internal/maintenance"
-	machines "poppymill/internal/maintenance/drive"
+	maintenancedriver "poppymill/internal/maintenance/driver"
 	"poppymill/internal/quorum"
 	quorumdriver "poppymill/internal/quorum/driver"
 )
@@ -95,7 +95,7 @@
 
 // step asks the gateways for the state of the machine and does what is next. It reports whether a request is finished.
 func (a *agent) step(ctx context.Context) (finished bool, err error) {
-	var m machines.Machine
+	var m maintenancedriver.Machine
 	if err := a.query(ctx, quorumdriver.Query{Subject: "machine", Name: a.name, Fresh: true}, &m); err != nil {
 		return false, err
 	}
@@ -159,8 +159,8 @@
 // submit has the gateways agree on a command for the machine. A refusal for now, as some gateway is not done with the
 // machine or a limit is reached, is not an error: the agent asks again.
 func (a *agent) submit(ctx context.Context, kind string, token uint64) error {
-	var m machines.Machine
-	err := a.query(ctx, quorumdriver.Query{Subject: "machine", Name: a.name, Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: kind,
+	var m maintenancedriver.Machine
+	err := a.query(ctx, quorumdriver.Query{Subject: "machine", Name: a.name, Command: &quorum.Command{StateMachine: maintenancedriver.StateMachineName, Kind: kind,
 		Data: codec.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), Machine: a.name, Token: token})}}, &m)
 	if err != nil && (strings.Contains(err.Error(), maintenance.ErrPendingAcks.Error()) || strings.Contains(err.Error(), "limit: ")) {
 		a.log.WithField("why", err).Debug("the machine may not go out yet")
--- a/cmd/poppymill/machines.go
+++ b/cmd/poppymill/machines.go
@@ -16,7 +16,7 @@
 
 	"poppymill/internal/codec"
 	"poppymill/internal/maintenance"
-	machines "poppymill/internal/maintenance/drive"
+	maintenancedriver "poppymill/internal/maintenance/driver"
 	"poppymill/internal/quorum"
 	quorumdriver "poppymill/internal/quorum/driver"
 )
@@ -48,11 +48,11 @@
 
 // machinesReply is the state of all machines, as a gateway reports it.
 type machinesReply struct {
-	AgreedVersion int                `json:"version"` // of the operator's file that the gateways agreed on
-	LocalVersion  int                `json:"here"`    // of the operator's file at this gateway
-	Limits        maintenance.Limits `json:"limits"`
-	Machines      []machines.Machine `json:"machines"`
-	Differences   []string           `json:"strangers"` // between the operator's file and the present members
+	AgreedVersion int                         `json:"version"` // of the operator's file that the gateways agreed on
+	LocalVersion  int                         `json:"here"`    // of the operator's file at this gateway
+	Limits        maintenance.Limits          `json:"limits"`
+	Machines      []maintenancedriver.Machine `json:"machines"`
+	Differences   []string                    `json:"strangers"` // between the operator's file and the present members
 }
 
 // queryMachines checks the number of arguments and queries the gateway at the address in the first one.
@@ -116,7 +116,7 @@
 }
 
 // printMachines writes the table of machines.
-func printMachines(w *tabwriter.Writer, list []machines.Machine) {
+func printMachines(w *tabwriter.Writer, list []maintenancedriver.Machine) {
 	fmt.Fprintln(w, "MACHINE\tCLUB\tZONE\tIS\tTOKEN\tSINCE\tREQUEST\tBY\tWHY")
 	for _, m := range list {
 		state := m.Stage
@@ -136,7 +136,7 @@
 }
 
 func machinesShow(ctx context.Context, cmd *cli.Command) error {
-	var m machines.Machine
+	var m maintenancedriver.Machine
 	r, err := queryMachines(ctx, cmd, 2, quorumdriver.Query{Subject: "machine", Name: cmd.Args().Get(1)}, &m)
 	if err != nil {
 		return err
@@ -145,7 +145,7 @@
 		return printJSON(map[string]any{"view": r.Report, "machine": m})
 	}
 	fmt.Println(viewHeader(r))
-	if err := printTable(func(w *tabwriter.Writer) { printMachines(w, []machines.Machine{m}) }); err != nil {
+	if err := printTable(func(w *tabwriter.Writer) { printMachines(w, []maintenancedriver.Machine{m}) }); err != nil {
 		return err
 	}
 	fmt.Printf("gateways %v, boxes %v, hubs %v, carries %g\n", m.Gateways, m.Boxes, m.Hubs, m.Capacity)
@@ -207,8 +207,8 @@
 			id += "-" + name
 		}
 		request := maintenance.Request{ID: id, Machine: name, Duration: float64(cmd.Duration("for").Milliseconds()), Deadline: by, NotBefore: notBefore, Reason: cmd.String("why")}
-		var m machines.Machine
-		_, err := sendMachinesQuery(ctx, cmd, quorumdriver.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: maintenance.Submit,
+		var m maintenancedriver.Machine
+		_, err := sendMachinesQuery(ctx, cmd, quorumdriver.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: maintenancedriver.StateMachineName, Kind: maintenance.Submit,
 			Data: codec.Encode(maintenance.CommandData{At: float64(now.UnixMilli()), Request: &request})}}, &m)
 		if err != nil {
 			failed++
@@ -224,7 +224,7 @@
 }
 
 func machinesCancel(ctx context.Context, cmd *cli.Command) error {
-	_, err := queryMachines(ctx, cmd, 2, quorumdriver.Query{Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: maintenance.Cancel,
+	_, err := queryMachines(ctx, cmd, 2, quorumdriver.Query{Command: &quorum.Command{StateMachine: maintenancedriver.StateMachineName, Kind: maintenance.Cancel,
 		Data: codec.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), ID: cmd.Args().Get(1)})}}, nil)
 	return err
 }
@@ -232,9 +232,9 @@
 // machinesStep returns the action that submits one step of a machine's maintenance.
 func machinesStep(kind string) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
-		var m machines.Machine
+		var m maintenancedriver.Machine
 		name := cmd.Args().Get(1)
-		_, err := queryMachines(ctx, cmd, 2, quorumdriver.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: kind,
+		_, err := queryMachines(ctx, cmd, 2, quorumdriver.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: maintenancedriver.StateMachineName, Kind: kind,
 			Data: codec.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), Machine: name, Token: cmd.Uint64("token")})}}, &m)
 		if err != nil {
 			return err
@@ -294,7 +294,7 @@
 		if err != nil {
 			return err
 		}
-		unsettled := slices.DeleteFunc(reply.Machines, func(m machines.Machine) bool { return m.Work == nil && !m.Degraded })
+		unsettled := slices.DeleteFunc(reply.Machines, func(m maintenancedriver.Machine) bool { return m.Work == nil && !m.Degraded })
 		var b strings.Builder
 		w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 		printMachines(w, unsettled)
--- a/cmd/poppymill/quorum.go
+++ b/cmd/poppymill/quorum.go
@@ -13,7 +13,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	machines "poppymill/internal/maintenance/drive"
+	maintenancedriver "poppymill/internal/maintenance/driver"
 	ownerdriver "poppymill/internal/owner/driver"
 	purgesdrive "poppymill/internal/purges/drive"
 	"poppymill/internal/quorum"
@@ -128,7 +128,7 @@
 		return usageError(errors.New("quorum recover: takes the FOLDER of one store"))
 	}
 	books := ownerdriver.EmptyStateMachines()
-	maps.Copy(books, machines.EmptyStateMachines())
+	maps.Copy(books, maintenancedriver.EmptyStateMachines())
 	maps.Copy(books, purgesdrive.EmptyStateMachines())
 	r, err := quorumdriver.Recover(cmd.Args().First(), books, cmd.Bool("yes"))
 	if err != nil {
--- a/internal/gateway/quorum_member.go
+++ b/internal/gateway/quorum_member.go
@@ -9,7 +9,7 @@
 	"poppymill/internal/failpoint"
 	"poppymill/internal/gatewayconfig"
 	"poppymill/internal/maintenance"
-	machines "poppymill/internal/maintenance/drive"
+	maintenancedriver "poppymill/internal/maintenance/driver"
 	"poppymill/internal/owner"
 	ownerdriver "poppymill/internal/owner/driver"
 	purges "poppymill/internal/purges/drive"
@@ -51,11 +51,11 @@
 	}
 	proxy := coreProxy{poster: p, knownUntil: &knownUntil{}}
 	proxy.SetKnown(-1)
-	machinePart, purgePart := machines.Open(o.Machines, jobRunner, proxy, log), purges.Open(o.Purges, jobRunner, proxy, log)
+	machinePart, purgePart := maintenancedriver.Open(o.Machines, jobRunner, proxy, log), purges.Open(o.Purges, jobRunner, proxy, log)
 	core.EnablePurges(zone, o.Purges.EffectiveLimits(), o.Purges.On, proxy.knownUntil.at, p.now)
 	if m.council, err = quorumdriver.Open(b, c.Name, zone, maxPeerConns(c), quorumdriver.Subsystems{jobRunner, machinePart, purgePart},
 		log); err == nil && o.Machines.On {
-		core.OnNodesChanged(func(there map[string]bool) { m.council.Post(machines.ListedNodes{Present: there}) })
+		core.OnNodesChanged(func(there map[string]bool) { m.council.Post(maintenancedriver.ListedNodes{Present: there}) })
 	}
 	if err == nil && (o.Machines.On || o.Purges.On) {
 		core.Measure(func(load maintenance.Load, fills float64) {
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -12,7 +12,7 @@
 	"poppymill/internal/channel"
 	"poppymill/internal/failpoint"
 	"poppymill/internal/gatewayconfig"
-	machines "poppymill/internal/maintenance/drive"
+	maintenancedriver "poppymill/internal/maintenance/driver"
 	ownerdriver "poppymill/internal/owner/driver"
 	purges "poppymill/internal/purges/drive"
 	quorumdriver "poppymill/internal/quorum/driver"
@@ -37,10 +37,10 @@
 	follower        *channel.Follower
 	log             logrus.FieldLogger
 	linkDriver      *linkDriver
-	quorum          quorumdriver.Block // as of the start
-	jobs            ownerdriver.Block  // as of the start
-	machines        machines.Block     // as of the start
-	purges          purges.Block       // as of the start
+	quorum          quorumdriver.Block      // as of the start
+	jobs            ownerdriver.Block       // as of the start
+	machines        maintenancedriver.Block // as of the start
+	purges          purges.Block            // as of the start
 	operator        atomic.Pointer[Settings]
 	applied, failed atomic.Int64
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -5,7 +5,7 @@
 
 	"poppymill/internal/failpoint"
 	"poppymill/internal/links/drive"
-	machines "poppymill/internal/maintenance/drive"
+	maintenancedriver "poppymill/internal/maintenance/driver"
 	"poppymill/internal/operator"
 	ownerdriver "poppymill/internal/owner/driver"
 	purges "poppymill/internal/purges/drive"
@@ -21,7 +21,7 @@
 	Jobs       ownerdriver.Block
 	Failpoints failpoint.Block
 
-	Machines machines.Block
+	Machines maintenancedriver.Block
 	Purges   purges.Block
 }
 
--- a/internal/maintenance/drive/coordinator.go
+++ b/internal/maintenance/driver/coordinator.go
@@ -1,6 +1,6 @@
-// Package drive connects package maintenance to a gateway: its state machine to the replicated log, draining of machines to the
+// Package driver connects package maintenance to a gateway: its state machine to the replicated log, draining of machines to the
 // gateway's core, and grants to the gateway that owns the schedule. It makes no decisions of its own.
-package drive
+package driver
 
 import (
 	"errors"
--- a/internal/rehearsal/sockets/maintenance_faults_test.go
+++ b/internal/rehearsal/sockets/maintenance_faults_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"poppymill/internal/maintenance"
-	machines "poppymill/internal/maintenance/drive"
+	maintenancedriver "poppymill/internal/maintenance/driver"
 	quorumdriver "poppymill/internal/quorum/driver"
 	"poppymill/internal/rehearsal/script"
 	"poppymill/internal/rehearsal/world"
@@ -28,7 +28,7 @@
 }
 
 // machine returns the state of a machine.
-func (mc *machineCluster) machine(name string) (m machines.Machine) {
+func (mc *machineCluster) machine(name string) (m maintenancedriver.Machine) {
 	mc.call(quorumdriver.Query{Subject: "machine", Name: name}, &m, 0)
 	return m
 }
--- a/internal/rehearsal/sockets/maintenance_test.go
+++ b/internal/rehearsal/sockets/maintenance_test.go
@@ -17,7 +17,7 @@
 	"poppymill/internal/codec"
 	"poppymill/internal/failpoint"
 	"poppymill/internal/maintenance"
-	machines "poppymill/internal/maintenance/drive"
+	maintenancedriver "poppymill/internal/maintenance/driver"
 	"poppymill/internal/owner"
 	"poppymill/internal/quorum"
 	quorumdriver "poppymill/internal/quorum/driver"
@@ -121,7 +121,7 @@
 
 // machineList is the answer to a question about all machines.
 type machineList struct {
-	Machines []machines.Machine
+	Machines []maintenancedriver.Machine
 }
 
 // call sends a question or a command to one gateway after another until one answers, and decodes the answer. The second result
@@ -152,7 +152,7 @@
 // submitOrder submits a maintenance command. The second result reports whether a gateway answered.
 func (mc *machineCluster) submitOrder(kind string, o maintenance.CommandData, from int) (error, bool) {
 	o.At = float64(time.Now().UnixMilli())
-	return mc.call(quorumdriver.Query{Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: kind, Data: codec.Encode(o)}}, nil, from)
+	return mc.call(quorumdriver.Query{Command: &quorum.Command{StateMachine: maintenancedriver.StateMachineName, Kind: kind, Data: codec.Encode(o)}}, nil, from)
 }
 
 // requestMaintenance requests a maintenance window for each machine and starts the machines' agents.
@@ -175,7 +175,7 @@
 func (mc *machineCluster) runAgent(name string, n int) {
 	wentOut, stageSince, lastStage := false, 0.0, maintenance.InService
 	for end := time.Now().Add(100 * time.Second); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
-		var m machines.Machine
+		var m maintenancedriver.Machine
 		if err, ok := mc.call(quorumdriver.Query{Subject: "machine", Name: name, Fresh: true}, &m, n); !ok || err != nil {
 			continue // no gateway knows its state
 		}
@@ -321,7 +321,7 @@
 // runScheduleOwnerStopped stops the owner of the schedule at one failpoint.
 func runScheduleOwnerStopped(t *testing.T, where string) {
 	runMaintenance(t, "  most = 2\n  drain = \"1500ms\"\n", func(mc *machineCluster) {
-		first := mc.waitForJob(machines.Schedule, "owned", func(j owner.Report) bool { return j.Owner != "" })
+		first := mc.waitForJob(maintenancedriver.Schedule, "owned", func(j owner.Report) bool { return j.Owner != "" })
 		old := mc.index(first.Owner)
 		mc.armFailpoint(old, "stop", where, 1)
 		requested := []string{"m-" + mc.boxes[0], "m-" + mc.boxes[1], "m-" + mc.boxes[2]}
@@ -337,7 +337,7 @@
 		mc.requestMaintenance(requested...)
 		<-frozen
 		mc.waitForFailpoint(old)
-		mc.waitForJob(machines.Schedule, "another gateway owns the schedule", func(j owner.Report) bool { return j.Token > first.Token && j.Owner != first.Owner })
+		mc.waitForJob(maintenancedriver.Schedule, "another gateway owns the schedule", func(j owner.Report) bool { return j.Token > first.Token && j.Owner != first.Owner })
 		mc.mu.Lock()
 		mc.lost = 1
 		mc.mu.Unlock()
@@ -345,7 +345,7 @@
 			w.ApplyEvent(script.Event{Kind: "kill", On: "edge", Name: mc.boxes[5], Duration: 2500})
 		})
 		mc.waitFor("the log shows the loss", func() bool {
-			return slices.ContainsFunc(mc.fleet().Machines, func(m machines.Machine) bool { return m.Degraded && m.Work == nil })
+			return slices.ContainsFunc(mc.fleet().Machines, func(m maintenancedriver.Machine) bool { return m.Degraded && m.Work == nil })
 		})
 		mc.mu.Lock()
 		mc.lost = 0
@@ -375,7 +375,7 @@
 		mc.inject(script.Event{Kind: "part", Name: mc.names[0], Duration: 4000})
 		mc.inject(script.Event{Kind: "part", Name: mc.names[1], Duration: 4000, OneWay: true})
 		o := maintenance.CommandData{At: float64(time.Now().UnixMilli()), Request: &maintenance.Request{ID: "r-" + rest[0], Machine: rest[0], Duration: windowMillis}}
-		r, err := mc.stage.Call(0, quorumdriver.Query{Command: &quorum.Command{StateMachine: machines.StateMachineName, Kind: maintenance.Submit, Data: codec.Encode(o)}}, 1500*time.Millisecond)
+		r, err := mc.stage.Call(0, quorumdriver.Query{Command: &quorum.Command{StateMachine: maintenancedriver.StateMachineName, Kind: maintenance.Submit, Data: codec.Encode(o)}}, 1500*time.Millisecond)
 		if err == nil && r.Error == "" {
 			t.Errorf("a gateway without a majority took a request: %+v", r)
 		}
@@ -398,7 +398,7 @@
 		mc.mu.Lock()
 		delete(mc.outSince, first)
 		mc.mu.Unlock()
-		var m machines.Machine
+		var m maintenancedriver.Machine
 		mc.call(quorumdriver.Query{Subject: "machine", Name: first}, &m, 0)
 		mc.waitFor(first+" is back", func() bool {
 			mc.submitOrder(maintenance.Return, maintenance.CommandData{Machine: first, Token: m.Work.Token}, 0)
