--- a/cmd/poppymill/purge.go
+++ b/cmd/poppymill/purge.go
@@ -15,7 +15,7 @@
 
 	"poppymill/internal/codec"
 	"poppymill/internal/purges"
-	purgesdrive "poppymill/internal/purges/drive"
+	purgesdriver "poppymill/internal/purges/driver"
 	"poppymill/internal/quorum"
 	quorumdriver "poppymill/internal/quorum/driver"
 )
@@ -58,7 +58,7 @@
 		}
 	}
 	o.At = float64(time.Now().UnixMilli())
-	r, err := quorumdriver.SendQuery(ctx, address, quorumdriver.Query{Command: &quorum.Command{StateMachine: purgesdrive.StateMachineName, Kind: kind, Data: codec.Encode(o)}})
+	r, err := quorumdriver.SendQuery(ctx, address, quorumdriver.Query{Command: &quorum.Command{StateMachine: purgesdriver.StateMachineName, Kind: kind, Data: codec.Encode(o)}})
 	switch {
 	case err != nil:
 		return cli.Exit(fmt.Sprintf("purge %s: %s: %v; the command may have been accepted: repeat it with the same id", cmd.Name, address, err), 1)
@@ -125,7 +125,7 @@
 }
 
 // queryPurge queries one purge by its id.
-func queryPurge(ctx context.Context, cmd *cli.Command, id string) (x purgesdrive.PurgeReport, err error) {
+func queryPurge(ctx context.Context, cmd *cli.Command, id string) (x purgesdriver.PurgeReport, err error) {
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
 	r, err := quorumdriver.SendQuery(ctx, cmd.Args().First(), quorumdriver.Query{Subject: "purge", Name: id, Fresh: cmd.Bool("fresh")})
@@ -142,7 +142,7 @@
 }
 
 // printPurge prints one purge as a text or as JSON.
-func printPurge(cmd *cli.Command, x purgesdrive.PurgeReport) error {
+func printPurge(cmd *cli.Command, x purgesdriver.PurgeReport) error {
 	if cmd.Bool("json") {
 		return printJSON(x)
 	}
@@ -198,8 +198,8 @@
 
 func purgeFollowers(ctx context.Context, cmd *cli.Command) error {
 	var reply struct {
-		Last     uint64                      `json:"last"`
-		Gateways []purgesdrive.GatewayReport `json:"gateways"`
+		Last     uint64                       `json:"last"`
+		Gateways []purgesdriver.GatewayReport `json:"gateways"`
 	}
 	r, err := queryPurges(ctx, cmd, "purge followers", &reply)
 	if err != nil {
@@ -227,9 +227,9 @@
 
 func purgeList(ctx context.Context, cmd *cli.Command) error {
 	var reply struct {
-		Held   int                       `json:"held"`
-		Floor  float64                   `json:"floor"`
-		Purges []purgesdrive.PurgeReport `json:"purges"`
+		Held   int                        `json:"held"`
+		Floor  float64                    `json:"floor"`
+		Purges []purgesdriver.PurgeReport `json:"purges"`
 	}
 	r, err := queryPurges(ctx, cmd, "purges", &reply)
 	if err != nil {
--- a/cmd/poppymill/quorum.go
+++ b/cmd/poppymill/quorum.go
@@ -15,7 +15,7 @@
 
 	maintenancedriver "poppymill/internal/maintenance/driver"
 	ownerdriver "poppymill/internal/owner/driver"
-	purgesdrive "poppymill/internal/purges/drive"
+	purgesdriver "poppymill/internal/purges/driver"
 	"poppymill/internal/quorum"
 	quorumdriver "poppymill/internal/quorum/driver"
 )
@@ -129,7 +129,7 @@
 	}
 	books := ownerdriver.EmptyStateMachines()
 	maps.Copy(books, maintenancedriver.EmptyStateMachines())
-	maps.Copy(books, purgesdrive.EmptyStateMachines())
+	maps.Copy(books, purgesdriver.EmptyStateMachines())
 	r, err := quorumdriver.Recover(cmd.Args().First(), books, cmd.Bool("yes"))
 	if err != nil {
 		return usageError(fmt.Errorf("quorum recover: %s: %w", cmd.Args().First(), err))
--- a/internal/gateway/quorum_member.go
+++ b/internal/gateway/quorum_member.go
@@ -12,7 +12,7 @@
 	maintenancedriver "poppymill/internal/maintenance/driver"
 	"poppymill/internal/owner"
 	ownerdriver "poppymill/internal/owner/driver"
-	purges "poppymill/internal/purges/drive"
+	purgesdriver "poppymill/internal/purges/driver"
 	quorumdriver "poppymill/internal/quorum/driver"
 	"poppymill/router"
 )
@@ -51,7 +51,7 @@
 	}
 	proxy := coreProxy{poster: p, knownUntil: &knownUntil{}}
 	proxy.SetKnown(-1)
-	machinePart, purgePart := maintenancedriver.Open(o.Machines, jobRunner, proxy, log), purges.Open(o.Purges, jobRunner, proxy, log)
+	machinePart, purgePart := maintenancedriver.Open(o.Machines, jobRunner, proxy, log), purgesdriver.Open(o.Purges, jobRunner, proxy, log)
 	core.EnablePurges(zone, o.Purges.EffectiveLimits(), o.Purges.On, proxy.knownUntil.at, p.now)
 	if m.council, err = quorumdriver.Open(b, c.Name, zone, maxPeerConns(c), quorumdriver.Subsystems{jobRunner, machinePart, purgePart},
 		log); err == nil && o.Machines.On {
@@ -60,7 +60,7 @@
 	if err == nil && (o.Machines.On || o.Purges.On) {
 		core.Measure(func(load maintenance.Load, fills float64) {
 			m.council.Post(load)
-			m.council.Post(purges.Misses{Rate: fills})
+			m.council.Post(purgesdriver.Misses{Rate: fills})
 		})
 	}
 	if err == nil && jobs.On && jobs.Limits.WarmRounds > 0 {
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -14,7 +14,7 @@
 	"poppymill/internal/gatewayconfig"
 	maintenancedriver "poppymill/internal/maintenance/driver"
 	ownerdriver "poppymill/internal/owner/driver"
-	purges "poppymill/internal/purges/drive"
+	purgesdriver "poppymill/internal/purges/driver"
 	quorumdriver "poppymill/internal/quorum/driver"
 )
 
@@ -40,7 +40,7 @@
 	quorum          quorumdriver.Block      // as of the start
 	jobs            ownerdriver.Block       // as of the start
 	machines        maintenancedriver.Block // as of the start
-	purges          purges.Block            // as of the start
+	purges          purgesdriver.Block      // as of the start
 	operator        atomic.Pointer[Settings]
 	applied, failed atomic.Int64
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -8,7 +8,7 @@
 	maintenancedriver "poppymill/internal/maintenance/driver"
 	"poppymill/internal/operator"
 	ownerdriver "poppymill/internal/owner/driver"
-	purges "poppymill/internal/purges/drive"
+	purgesdriver "poppymill/internal/purges/driver"
 	quorumdriver "poppymill/internal/quorum/driver"
 )
 
@@ -22,7 +22,7 @@
 	Failpoints failpoint.Block
 
 	Machines maintenancedriver.Block
-	Purges   purges.Block
+	Purges   purgesdriver.Block
 }
 
 // LoadSettings reads an operator's file. An empty path returns the zero Settings.
--- a/internal/purges/drive/service.go
+++ b/internal/purges/driver/service.go
@@ -1,6 +1,6 @@
-// Package drive connects package purges to the quorum of gateways: the state machine to the replicated log, published
+// Package driver connects package purges to the quorum of gateways: the state machine to the replicated log, published
 // bounds to this gateway's core, and batches to the owner of the batch job. It makes no decisions of its own.
-package drive
+package driver
 
 import (
 	"errors"
--- a/internal/rehearsal/sockets/control.go
+++ b/internal/rehearsal/sockets/control.go
@@ -18,7 +18,7 @@
 	ownerdriver "poppymill/internal/owner/driver"
 	"poppymill/internal/owner/effectlog"
 	"poppymill/internal/purges"
-	sweep "poppymill/internal/purges/drive"
+	purgesdriver "poppymill/internal/purges/driver"
 	"poppymill/internal/quorum"
 	quorumdriver "poppymill/internal/quorum/driver"
 	"poppymill/internal/rehearsal/script"
@@ -103,13 +103,13 @@
 // startPurge submits a purge to one gateway after another until one confirms that it was accepted, and reports as facts what
 // has to hold from then on.
 func (s *Stage) startPurge(a world.SubmitPurge) {
-	p, accepted := purges.Purge{ID: a.ID, Objects: a.Objects, Groups: a.Groups}, sweep.PurgeReport{}
+	p, accepted := purges.Purge{ID: a.ID, Objects: a.Objects, Groups: a.Groups}, purgesdriver.PurgeReport{}
 	for i := 0; s.ctx.Err() == nil && accepted.Purge.ID == ""; i++ {
 		gateway := i % len(s.gateways)
 		var limits purges.Limits
 		if r, err := s.Call(gateway, quorumdriver.Query{Subject: "purge limits"}, time.Second); err == nil && r.Error == "" && json.Unmarshal(r.Body, &limits) == nil {
 			order := purges.CommandData{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &limits}
-			command := &quorum.Command{StateMachine: sweep.StateMachineName, Kind: purges.Accept, Data: codec.Encode(order)}
+			command := &quorum.Command{StateMachine: purgesdriver.StateMachineName, Kind: purges.Accept, Data: codec.Encode(order)}
 			if r, err := s.Call(gateway, quorumdriver.Query{Command: command, Subject: "purge", Name: a.ID}, 2*time.Second); err == nil && r.Error == "" && json.Unmarshal(r.Body, &accepted) == nil {
 				break
 			}
--- a/internal/rehearsal/sockets/purges_test.go
+++ b/internal/rehearsal/sockets/purges_test.go
@@ -15,7 +15,7 @@
 	"poppymill/internal/codec"
 	"poppymill/internal/owner"
 	"poppymill/internal/purges"
-	sweep "poppymill/internal/purges/drive"
+	purgesdriver "poppymill/internal/purges/driver"
 	"poppymill/internal/quorum"
 	quorumdriver "poppymill/internal/quorum/driver"
 	"poppymill/internal/rehearsal/script"
@@ -105,11 +105,11 @@
 func (pc *purgeCluster) epoch() float64 { return float64(pc.stage.start.UnixMicro()) / 1000 }
 
 // acceptPurge submits a purge to a gateway until it is accepted, and passes to the auditor what has to hold from then on.
-func (pc *purgeCluster) acceptPurge(p purges.Purge, at int) sweep.PurgeReport {
+func (pc *purgeCluster) acceptPurge(p purges.Purge, at int) purgesdriver.PurgeReport {
 	pc.t.Helper()
 	pc.waitFor("the purge "+p.ID+" is accepted", func() bool {
 		o := purges.CommandData{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &pc.limits}
-		r, err := pc.stage.Call(at, quorumdriver.Query{Command: &quorum.Command{StateMachine: sweep.StateMachineName, Kind: purges.Accept, Data: codec.Encode(o)}}, 2*time.Second)
+		r, err := pc.stage.Call(at, quorumdriver.Query{Command: &quorum.Command{StateMachine: purgesdriver.StateMachineName, Kind: purges.Accept, Data: codec.Encode(o)}}, 2*time.Second)
 		return err == nil && r.Error == ""
 	})
 	x := pc.purgeStatus(p.ID, at)
@@ -128,7 +128,7 @@
 }
 
 // purgeStatus returns the status of a purge from the first gateway that answers, starting at the given one.
-func (pc *purgeCluster) purgeStatus(id string, from int) (x sweep.PurgeReport) {
+func (pc *purgeCluster) purgeStatus(id string, from int) (x purgesdriver.PurgeReport) {
 	pc.t.Helper()
 	for i := range pc.names {
 		if r, err := pc.stage.Call((from+i)%len(pc.names), quorumdriver.Query{Subject: "purge", Name: id}, 500*time.Millisecond); err == nil && r.Error == "" && json.Unmarshal(r.Body, &x) == nil {
@@ -184,7 +184,7 @@
 		pc.waitFor("clients have requested enough objects", func() bool { return len(pc.requestedObjects(1)) >= 24 })
 		objects := pc.requestedObjects(1)[:24]
 		pc.acceptPurge(purges.Purge{ID: "long", Objects: objects}, 0)
-		first := pc.waitForJob(sweep.BatchJob, "owned", func(j owner.Report) bool { return j.Owner != "" })
+		first := pc.waitForJob(purgesdriver.BatchJob, "owned", func(j owner.Report) bool { return j.Owner != "" })
 		sent := func(n int) func() bool { return func() bool { return pc.purgeStatus("long", 1).Published >= n } }
 		pc.waitFor("four batches are sent", sent(4))
 		pc.inject(script.Event{Kind: "freeze", Name: first.Owner, Duration: 4000})
@@ -195,7 +195,7 @@
 		newer := pc.acceptPurge(purges.Purge{ID: "newer", Groups: []int64{int64(pc.groups[objects[20]])}, Club: ""}, 2)
 		pc.acceptPurge(purges.Purge{ID: "stopped", Objects: objects[:6]}, 2)
 		pc.waitFor("cancelled", func() bool {
-			r, err := pc.stage.Call(2, quorumdriver.Query{Command: &quorum.Command{StateMachine: sweep.StateMachineName, Kind: purges.Cancel, Data: codec.Encode(purges.CommandData{ID: "stopped"})}}, time.Second)
+			r, err := pc.stage.Call(2, quorumdriver.Query{Command: &quorum.Command{StateMachine: purgesdriver.StateMachineName, Kind: purges.Cancel, Data: codec.Encode(purges.CommandData{ID: "stopped"})}}, time.Second)
 			return err == nil && r.Error == ""
 		})
 		if x := pc.purgeStatus("stopped", 2); x.Stage != "cancelled" || x.Published == 6 {
@@ -213,7 +213,7 @@
 			t.Errorf("positions in the log: %d and %d", pc.purgeStatus("long", 0).LogIndex, newer.LogIndex)
 		}
 		o := purges.CommandData{Purge: &purges.Purge{ID: "long", Objects: objects[:3]}, Limits: &pc.limits}
-		r, err := pc.stage.Call(0, quorumdriver.Query{Command: &quorum.Command{StateMachine: sweep.StateMachineName, Kind: purges.Accept, Data: codec.Encode(o)}}, 2*time.Second)
+		r, err := pc.stage.Call(0, quorumdriver.Query{Command: &quorum.Command{StateMachine: purgesdriver.StateMachineName, Kind: purges.Accept, Data: codec.Encode(o)}}, 2*time.Second)
 		if err != nil || r.Error != purges.ErrConflict.Error() {
 			t.Errorf("the same ID with other content: %v, %q", err, r.Error)
 		}
@@ -249,7 +249,7 @@
 						for i := range total / 8 {
 							p := purges.Purge{ID: fmt.Sprint("q", k, "-", i), Objects: []string{fmt.Sprintf("%016x", 1000*k+i)}}
 							o := purges.CommandData{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &pc.limits}
-							pc.stage.Call(k%n, quorumdriver.Query{Command: &quorum.Command{StateMachine: sweep.StateMachineName, Kind: purges.Accept, Data: codec.Encode(o)}}, 5*time.Second)
+							pc.stage.Call(k%n, quorumdriver.Query{Command: &quorum.Command{StateMachine: purgesdriver.StateMachineName, Kind: purges.Accept, Data: codec.Encode(o)}}, 5*time.Second)
 						}
 					})
 				}
