--- a/internal/gateway/link_driver.go
+++ b/internal/gateway/link_driver.go
@@ -8,20 +8,20 @@
 	"golang.org/x/sync/errgroup"
 
 	"poppymill/internal/links"
-	"poppymill/internal/links/drive"
+	linksdriver "poppymill/internal/links/driver"
 )
 
 // linkDriver does the I/O for signed links: it loads and watches the keys and runs the store of spent tokens. It is not
 // part of the core.
 type linkDriver struct {
-	block  drive.Block // as of the start
+	block  linksdriver.Block // as of the start
 	poster *poster
 	clock  clock
-	store  *drive.Store
+	store  *linksdriver.Store
 }
 
 // newLinkDriver makes the core require signed links if the operator's file enables them, and does nothing otherwise.
-func newLinkDriver(b drive.Block, core *Core, p *poster, clock clock) (*linkDriver, error) {
+func newLinkDriver(b linksdriver.Block, core *Core, p *poster, clock clock) (*linkDriver, error) {
 	b.Settings.Name = core.config.Name
 	d := &linkDriver{block: b, poster: p, clock: clock}
 	if !b.On {
@@ -36,7 +36,7 @@
 	admission := links.New(b.Settings, ring, secret, clock.now())
 	var store SpendStore
 	if b.Store != "" {
-		if d.store, err = drive.OpenStore(b.Store, clock.now(), func(s links.SpentToken) { admission.Restore(s, clock.now()) }); err != nil {
+		if d.store, err = linksdriver.OpenStore(b.Store, clock.now(), func(s links.SpentToken) { admission.Restore(s, clock.now()) }); err != nil {
 			return nil, err
 		}
 		store = d.store
@@ -54,7 +54,7 @@
 		g.Go(func() error { return d.store.Run(ctx, d.clock.now) })
 	}
 	g.Go(func() error {
-		err := drive.Watch(ctx, d.block.Keys, func() {
+		err := linksdriver.Watch(ctx, d.block.Keys, func() {
 			// A reload on SIGHUP may have changed the block; the watched file remains that of the start.
 			if err := d.rekey(r.operator.Load().Links); err != nil {
 				r.failed.Add(1)
@@ -74,7 +74,7 @@
 var errNeedsRestart = errors.New("links: enabling, disabling or changing the store needs a restart")
 
 // rekey loads the keys named by a block and passes them to the core, all of them or none.
-func (d *linkDriver) rekey(b drive.Block) error {
+func (d *linkDriver) rekey(b linksdriver.Block) error {
 	if b.On != d.block.On || b.Store != d.block.Store {
 		return errNeedsRestart
 	}
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -6,7 +6,7 @@
 
 	"poppymill/internal/clients"
 	"poppymill/internal/links"
-	"poppymill/internal/links/drive"
+	linksdriver "poppymill/internal/links/driver"
 	"poppymill/router"
 )
 
@@ -15,7 +15,7 @@
 	// KeysReloaded reports newly loaded keys, and the links block that names them.
 	KeysReloaded struct {
 		Ring  *links.KeySet
-		Block drive.Block
+		Block linksdriver.Block
 	}
 	// SpendWritten reports whether the token that a download spends was written to disk.
 	SpendWritten struct {
@@ -36,7 +36,7 @@
 // signedLinks is the core's state for signed links; nil if disabled.
 type signedLinks struct {
 	admission *links.Authorizer
-	block     drive.Block
+	block     linksdriver.Block
 	store     SpendStore // nil: spent tokens are kept in memory only
 	post      func(any)
 	now       func() float64
@@ -44,7 +44,7 @@
 
 // RequireSignedLinks makes the core accept only downloads with a valid signed link. Post passes an event to the core from any
 // goroutine.
-func (g *Core) RequireSignedLinks(admission *links.Authorizer, block drive.Block, store SpendStore, post func(any), now func() float64) {
+func (g *Core) RequireSignedLinks(admission *links.Authorizer, block linksdriver.Block, store SpendStore, post func(any), now func() float64) {
 	g.links = &signedLinks{admission: admission, block: block, store: store, post: post, now: now}
 }
 
--- a/internal/gateway/links_test.go
+++ b/internal/gateway/links_test.go
@@ -12,7 +12,7 @@
 
 	"poppymill/internal/clients"
 	"poppymill/internal/links"
-	"poppymill/internal/links/drive"
+	linksdriver "poppymill/internal/links/driver"
 	"poppymill/internal/links/keyfile"
 	"poppymill/internal/rehearsal/script"
 	"poppymill/internal/rehearsal/world"
@@ -21,8 +21,8 @@
 const linkBase = "https://media.example"
 
 // newLinkGateway returns a test gateway that requires signed links.
-func newLinkGateway(t *testing.T) (*testGateway, *keyfile.File, *drive.Block) {
-	b := &drive.Block{}
+func newLinkGateway(t *testing.T) (*testGateway, *keyfile.File, *linksdriver.Block) {
+	b := &linksdriver.Block{}
 	b.Fields() // sets the defaults
 	dir := t.TempDir()
 	b.Keys, b.Store, b.Settings.Base, b.Settings.HasStore =
@@ -164,7 +164,7 @@
 	}
 	// After a restart the store still knows the spent token.
 	spent := 0
-	store, err := drive.OpenStore(b.Store, now*1000, func(links.SpentToken) { spent++ })
+	store, err := linksdriver.OpenStore(b.Store, now*1000, func(links.SpentToken) { spent++ })
 	if err != nil || spent != 1 {
 		t.Errorf("%d spent tokens after a restart, %v", spent, err)
 	}
@@ -216,7 +216,7 @@
 		h, store := newHarness(t), &slowStore{}
 		settings := links.Defaults()
 		settings.Base, settings.HasStore = linkBase, true
-		block := drive.Block{On: true, From: "header", Name: "X-Link", Settings: settings}
+		block := linksdriver.Block{On: true, From: "header", Name: "X-Link", Settings: settings}
 		var events []any
 		h.core.RequireSignedLinks(links.New(settings, ring, secret, h.now), block, store, func(e any) { events = append(events, e) },
 			func() float64 { return h.now })
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"poppymill/internal/failpoint"
-	"poppymill/internal/links/drive"
+	linksdriver "poppymill/internal/links/driver"
 	maintenancedriver "poppymill/internal/maintenance/driver"
 	"poppymill/internal/operator"
 	ownerdriver "poppymill/internal/owner/driver"
@@ -15,7 +15,7 @@
 // Settings are the contents of the operator's file of a gateway. The zero value is that of no file.
 type Settings struct {
 	Log        operator.Log
-	Links      drive.Block
+	Links      linksdriver.Block
 	Fair       Fairness
 	Quorum     quorumdriver.Block
 	Jobs       ownerdriver.Block
--- a/internal/links/drive/drive.go
+++ b/internal/links/driver/driver.go
@@ -1,6 +1,6 @@
-// Package drive connects internal/links to its surroundings: the operator's links block, the place of the token in a request,
+// Package driver connects internal/links to its surroundings: the operator's links block, the place of the token in a request,
 // the store of spent tokens, and the watch on the key file. It makes no decisions about tokens.
-package drive
+package driver
 
 import (
 	"context"
--- a/internal/links/drive/store.go
+++ b/internal/links/driver/store.go
@@ -1,4 +1,4 @@
-package drive
+package driver
 
 import (
 	"context"
--- a/internal/rehearsal/virtual/virtual.go
+++ b/internal/rehearsal/virtual/virtual.go
@@ -23,7 +23,7 @@
 	"poppymill/internal/gateway"
 	"poppymill/internal/gatewayconfig"
 	"poppymill/internal/links"
-	"poppymill/internal/links/drive"
+	linksdriver "poppymill/internal/links/driver"
 	"poppymill/internal/purges"
 	"poppymill/internal/rehearsal/resp"
 	"poppymill/internal/rehearsal/script"
@@ -98,7 +98,7 @@
 	cursor       int
 	callers      map[string]*caller
 	tidiedAt     float64
-	block        drive.Block
+	block        linksdriver.Block
 	config       *gatewayconfig.Config
 	log          logrus.FieldLogger
 	terminatedAt float64 // when it was told to terminate; negative: it was not
@@ -286,7 +286,7 @@
 	}
 	if s := d.world.LinkSettings(); s.Base != "" {
 		s.Audience = append(s.Audience, c.Name)
-		g.block = drive.Block{On: true, From: "query", Name: "URISigningPackage", Settings: s}
+		g.block = linksdriver.Block{On: true, From: "query", Name: "URISigningPackage", Settings: s}
 		ring, err := links.NewKeySet(d.world.LinkKeys(), nil)
 		if err != nil {
 			return err
