--- a/internal/bite/main.go
+++ b/internal/mutation/main.go
@@ -1,8 +1,8 @@
-// Command bite is a mutation test: it injects faults into a copy of the code, one at a time, and reports whether the
+// Command mutation is a mutation test: it injects faults into a copy of the code, one at a time, and reports whether the
 // test named for each fault fails. A fault that no test catches shows a missing test.
 //
-//	go run ./internal/bite                 # all faults, from the module root; takes some minutes
-//	go run ./internal/bite internal/owner  # only faults in files whose path contains the argument
+//	go run ./internal/mutation                 # all faults, from the module root; takes some minutes
+//	go run ./internal/mutation internal/owner  # only faults in files whose path contains the argument
 package main
 
 import (
@@ -123,13 +123,13 @@
 }
 
 func main() {
-	dir, err := os.MkdirTemp("", "bite")
+	dir, err := os.MkdirTemp("", "mutation")
 	if err == nil {
 		err = run(dir)
 	}
 	os.RemoveAll(dir)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "bite:", err)
+		fmt.Fprintln(os.Stderr, "mutation:", err)
 		os.Exit(1)
 	}
 }
