--- a/internal/maintenance/driver/coordinator.go
+++ b/internal/maintenance/driver/coordinator.go
@@ -78,13 +78,13 @@
 	return s.State.Apply(index, c.Kind, c.Data)
 }
 
-// Member applies a change of the fleet's membership.
-func (s stateMachine) Member(_ uint64, m quorum.Member) {
+// MemberChanged applies a change of the fleet's membership.
+func (s stateMachine) MemberChanged(_ uint64, m quorum.Member) {
 	s.State.SetGateway(m.Name, m.Incarnation, m.State == quorum.MemberJoined)
 }
 
-// Leap raises the token counter above every token that can have been issued, after log entries may have been lost.
-func (s stateMachine) Leap() { s.State.LastToken += 1 << 32 }
+// SkipTokens raises the token counter above every token that can have been issued, after log entries may have been lost.
+func (s stateMachine) SkipTokens() { s.State.LastToken += 1 << 32 }
 
 // EmptyStateMachines returns an empty state machine under its name in the log, to read a gateway's store with.
 func EmptyStateMachines() map[string]quorum.StateMachine {
--- a/internal/mutation/main.go
+++ b/internal/mutation/main.go
@@ -36,7 +36,7 @@
 // faults are the faults in all parts of the gateway; raceFaults has more.
 var faults = []fault{
 	{"save without sync", "internal/quorum/node.go", "\t\tn.save(record, done)\n",
-		"\t\tif record.Snapshot == nil {\n\t\t\trecord.Hard, record.Entries = nil, nil\n\t\t}\n\t\tn.save(record, func() {})\n\t\tdone()\n", quorumPackage, "TestReplicatesInOrder"},
+		"\t\tif record.Snapshot == nil {\n\t\t\trecord.HardState, record.Entries = nil, nil\n\t\t}\n\t\tn.save(record, func() {})\n\t\tdone()\n", quorumPackage, "TestReplicatesInOrder"},
 	{"a voter with a lost store resumes its old identity", "internal/quorum/node.go", "if n.id.ID == 0 {", "if n.id = (Identity{ID: 9 + uint64(settings.Name[1]), Name: settings.Name}); store.Identity.ID == 0 {",
 		quorumPackage, "TestLostStoreNeverVotes"},
 	{"founding on the basis of a stale reply", "internal/quorum/peers.go", "if f.EchoNonce == n.nonce && f.Cluster == 0 &&", "if f.Cluster == 0 &&", quorumPackage, "TestStaleHelloDoesNotFoundFleet"},
--- a/internal/owner/driver/runner.go
+++ b/internal/owner/driver/runner.go
@@ -59,12 +59,12 @@
 	return b.StateMachine.Apply(index, c.Kind, c.Data)
 }
 
-func (b stateMachine) Member(index uint64, m quorum.Member) {
+func (b stateMachine) MemberChanged(index uint64, m quorum.Member) {
 	b.StateMachine.ApplyMember(index, m.Name, owner.Member{Incarnation: m.Incarnation, Present: m.State == quorum.MemberJoined, Losses: m.LeaseExpirations, Zone: m.Zone, Idle: !m.RunsOwnedWork})
 }
 
-// Leap raises the token counter above every token that can have been issued.
-func (b stateMachine) Leap() { b.StateMachine.LastToken += 1 << 32 }
+// SkipTokens raises the token counter above every token that can have been issued.
+func (b stateMachine) SkipTokens() { b.StateMachine.LastToken += 1 << 32 }
 
 // EmptyStateMachines returns empty state machines for reading a store offline.
 func EmptyStateMachines() map[string]quorum.StateMachine {
--- a/internal/purges/driver/service.go
+++ b/internal/purges/driver/service.go
@@ -77,8 +77,8 @@
 	return b.StateMachine.Apply(index, c.Kind, c.Data)
 }
 
-// Member applies a membership change of the log.
-func (b logAdapter) Member(_ uint64, m quorum.Member) {
+// MemberChanged applies a membership change of the log.
+func (b logAdapter) MemberChanged(_ uint64, m quorum.Member) {
 	b.StateMachine.Member(m.Name, m.Incarnation, m.State == quorum.MemberJoined)
 }
 
