--- a/internal/maintenance/driver/coordinator.go
+++ b/internal/maintenance/driver/coordinator.go
@@ -289,11 +289,11 @@
 			return err
 		}
 		if !y.block.On {
-			return errors.New("machines: not enabled on this gateway")
+			return errors.New("machines: off at this gateway")
 		}
 		return nil
 	}
-	return fmt.Errorf("%s: not a command for operators or agents", c.Kind)
+	return fmt.Errorf("%s: not for people to ask for", c.Kind)
 }
 
 // Machine is the answer to a question about one machine.
