--- a/cmd/poppymill/agent.go
+++ b/cmd/poppymill/agent.go
@@ -51,7 +51,7 @@
 	name         string
 	addresses    []string // of gateways
 	lastAnswered int      // index of the gateway that answered last
-	keeper       maintenance.AgentState
+	state        maintenance.AgentState
 	log          logrus.FieldLogger
 }
 
@@ -75,7 +75,7 @@
 		if err != nil {
 			return usageError(fmt.Errorf("machines agent: --state: %s: %w", cmd.String("state"), err))
 		}
-		a.keeper = saved.AgentState
+		a.state = saved.AgentState
 	}
 	for ctx.Err() == nil {
 		finished, err := a.step(ctx)
@@ -99,7 +99,7 @@
 	if err := a.query(ctx, quorumdriver.Query{Subject: "machine", Name: a.name, Fresh: true}, &m); err != nil {
 		return false, err
 	}
-	switch action := a.keeper.Next(m.Work); action {
+	switch action := a.state.Next(m.Work); action {
 	case maintenance.ActionDrain:
 		if err := a.runCommand(ctx, "drain", m.Work.Token); err != nil {
 			return false, err
@@ -108,7 +108,7 @@
 	case maintenance.ActionLeave:
 		return false, a.submit(ctx, maintenance.Leave, m.Work.Token)
 	case maintenance.ActionWork:
-		a.keeper.StartWork(m.Work.Token)
+		a.state.StartWork(m.Work.Token)
 		if err := a.saveState(); err != nil {
 			return false, err // the work must not begin before its start is on disk
 		}
@@ -117,7 +117,7 @@
 		if ctx.Err() != nil {
 			return false, ctx.Err() // stopped during the work, for example by the shutdown of the machine: the next start finds out the result
 		}
-		a.keeper.FinishWork(workErr == nil)
+		a.state.FinishWork(workErr == nil)
 		return false, errors.Join(workErr, a.saveState()) // after a failure the machine stays out until somebody runs `machines back`
 	case maintenance.ActionCheckReady:
 		if err := a.runCommand(ctx, "ready", m.Work.Token); err != nil {
@@ -126,7 +126,7 @@
 		a.log.Info("machine is back")
 		return false, a.submit(ctx, maintenance.Return, m.Work.Token)
 	case maintenance.ActionDone:
-		a.keeper.Reset()
+		a.state.Reset()
 		return true, a.saveState()
 	}
 	return false, nil
@@ -186,7 +186,7 @@
 
 // saveState replaces the state file atomically and syncs file and directory.
 func (a *agent) saveState() error {
-	text, err := json.Marshal(agentState{stateVersion, a.keeper})
+	text, err := json.Marshal(agentState{stateVersion, a.state})
 	if err != nil {
 		return err
 	}
--- a/cmd/poppymill/link.go
+++ b/cmd/poppymill/link.go
@@ -53,7 +53,7 @@
 	if cmd.Args().Len() != 1 {
 		return usageError(errors.New("link sign: takes one OBJECT"))
 	}
-	_, ring, err := keyfile.Read(cmd.String("keys"))
+	_, keySet, err := keyfile.Read(cmd.String("keys"))
 	if err != nil {
 		return usageError(err)
 	}
@@ -66,9 +66,9 @@
 	var token string
 	if cmd.String("form") == "compact" {
 		if part >= 0 {
-			token, err = ring.SignCompact(links.URI(base, typ, object, int64(part)), "", expires)
+			token, err = keySet.SignCompact(links.URI(base, typ, object, int64(part)), "", expires)
 		} else {
-			token, err = ring.SignCompact("", base+"/"+typ+"/"+object+"/", expires)
+			token, err = keySet.SignCompact("", base+"/"+typ+"/"+object+"/", expires)
 		}
 	} else {
 		id := make([]byte, 12)
@@ -85,11 +85,11 @@
 			c.Write, c.Critical = true, links.CriticalWrite
 		}
 		if address := cmd.String("address"); address != "" {
-			if c.Client, err = ring.SealAddress(address); err != nil {
+			if c.Client, err = keySet.SealAddress(address); err != nil {
 				return usageError(err)
 			}
 		}
-		token, err = ring.Sign(c)
+		token, err = keySet.Sign(c)
 	}
 	if err != nil {
 		return usageError(err)
@@ -102,7 +102,7 @@
 	if cmd.Args().Len() != 2 {
 		return usageError(errors.New("link verify: takes TOKEN OBJECT"))
 	}
-	_, ring, err := keyfile.Read(cmd.String("keys"))
+	_, keySet, err := keyfile.Read(cmd.String("keys"))
 	if err != nil {
 		return usageError(err)
 	}
@@ -111,7 +111,7 @@
 	now := float64(time.Now().UnixMilli())
 	request := links.Request{At: now, Source: cmd.String("address"), Token: cmd.Args().First(), ID: "verify", Type: cmd.String("type"),
 		Object: objectID(cmd.Args().Get(1)), Part: int64(cmd.Int("part")), Write: cmd.Bool("write")}
-	if err := links.New(s, ring, []byte("of this one look"), now).Explain(request); err != nil {
+	if err := links.New(s, keySet, []byte("of this one look"), now).Explain(request); err != nil {
 		fmt.Println(err)
 		return cli.Exit("", 1)
 	}
@@ -175,11 +175,11 @@
 }
 
 func keysList(_ context.Context, cmd *cli.Command) error {
-	_, ring, err := keyfile.Read(cmd.String("keys"))
+	_, keySet, err := keyfile.Read(cmd.String("keys"))
 	if err != nil {
 		return usageError(err)
 	}
-	for _, k := range ring.Describe() {
+	for _, k := range keySet.Describe() {
 		fmt.Println(k)
 	}
 	return nil
--- a/cmd/poppymill/quorum.go
+++ b/cmd/poppymill/quorum.go
@@ -127,10 +127,10 @@
 	if cmd.Args().Len() != 1 {
 		return usageError(errors.New("quorum recover: takes the FOLDER of one store"))
 	}
-	books := ownerdriver.EmptyStateMachines()
-	maps.Copy(books, maintenancedriver.EmptyStateMachines())
-	maps.Copy(books, purgesdriver.EmptyStateMachines())
-	r, err := quorumdriver.Recover(cmd.Args().First(), books, cmd.Bool("yes"))
+	stateMachines := ownerdriver.EmptyStateMachines()
+	maps.Copy(stateMachines, maintenancedriver.EmptyStateMachines())
+	maps.Copy(stateMachines, purgesdriver.EmptyStateMachines())
+	r, err := quorumdriver.Recover(cmd.Args().First(), stateMachines, cmd.Bool("yes"))
 	if err != nil {
 		return usageError(fmt.Errorf("quorum recover: %s: %w", cmd.Args().First(), err))
 	}
--- a/internal/channel/channel_test.go
+++ b/internal/channel/channel_test.go
@@ -222,7 +222,7 @@
 		t.Errorf("delivered %d first, want 3", got)
 	}
 	f.mu.Lock() // both moves before the follower sees either
-	f.nextPlace = &Source{Address: skippedAddress}
+	f.nextSource = &Source{Address: skippedAddress}
 	f.mu.Unlock()
 	f.Move(Source{Address: newAddress, PastEvents: []Event{{Cursor: 2}, {Cursor: 3}, {Cursor: 4}, {Cursor: 5}, {Cursor: 8}}})
 	for want := int64(4); want <= 6; want++ {
--- a/internal/channel/event.go
+++ b/internal/channel/event.go
@@ -58,11 +58,11 @@
 	if err := json.Unmarshal(data, &e); err != nil {
 		return Event{}, err
 	}
-	return e.toNews()
+	return e.toEvent()
 }
 
-// toNews validates and converts an event. After an error, the cursor is still that of the event.
-func (e eventJSON) toNews() (Event, error) {
+// toEvent validates and converts an event. After an error, the cursor is still that of the event.
+func (e eventJSON) toEvent() (Event, error) {
 	n := Event{Cursor: e.Cursor}
 	switch {
 	case e.Cursor <= 0:
@@ -108,7 +108,7 @@
 	}
 	var all []Event
 	for i, e := range known.Cmds {
-		n, err := e.toNews()
+		n, err := e.toEvent()
 		if err != nil {
 			return 0, nil, fmt.Errorf("cmds %d: %w", i, err)
 		}
--- a/internal/channel/follower.go
+++ b/internal/channel/follower.go
@@ -21,7 +21,7 @@
 
 	Skipped       atomic.Int64 // events skipped because they were still invalid or missing when requested again
 	mu            sync.Mutex
-	nextPlace     *Source
+	nextSource    *Source
 	cancel        context.CancelFunc // ends the current connection or back-off
 	retriedCursor int64              // cursor from which events were requested again, as the next one was invalid or missing
 }
@@ -46,7 +46,7 @@
 func (f *Follower) Move(p Source) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.nextPlace = &p
+	f.nextSource = &p
 	if f.cancel != nil {
 		f.cancel()
 	}
@@ -57,8 +57,8 @@
 func (f *Follower) applyMove(ctx context.Context) (connCtx context.Context, ok bool) {
 	f.mu.Lock()
 	connCtx, f.cancel = context.WithCancel(ctx)
-	p := f.nextPlace
-	f.nextPlace = nil
+	p := f.nextSource
+	f.nextSource = nil
 	f.mu.Unlock()
 	if p == nil {
 		return connCtx, false
@@ -157,16 +157,16 @@
 // handleMessage delivers the next event in order. An event that is invalid or leaves a gap may have been corrupted in
 // transit, so events are requested once more from the last good cursor; what is still invalid or missing is skipped.
 func (f *Follower) handleMessage(m Message) error {
-	news, err := Parse([]byte(m.Data))
-	if id, idErr := strconv.ParseInt(m.ID, 10, 64); err == nil && (idErr != nil || id != news.Cursor) {
-		err = fmt.Errorf("ID differs from cursor %d", news.Cursor)
+	event, err := Parse([]byte(m.Data))
+	if id, idErr := strconv.ParseInt(m.ID, 10, 64); err == nil && (idErr != nil || id != event.Cursor) {
+		err = fmt.Errorf("ID differs from cursor %d", event.Cursor)
 	} else if err != nil && idErr == nil {
-		news.Cursor = id
+		event.Cursor = id
 	}
 	switch {
-	case news.Cursor > 0 && news.Cursor <= f.Cursor:
+	case event.Cursor > 0 && event.Cursor <= f.Cursor:
 		return nil // delivered before
-	case err == nil && news.Cursor == f.Cursor+1:
+	case err == nil && event.Cursor == f.Cursor+1:
 	case f.retriedCursor != f.Cursor:
 		f.retriedCursor = f.Cursor
 		if err == nil {
@@ -178,13 +178,13 @@
 		f.OnError(fmt.Errorf("event %q after %d: skipped what is missing or invalid (%v)", m.ID, f.Cursor, err))
 		if err != nil {
 			// The cursor of an invalid event may be wrong too, so it must not mark earlier events as delivered.
-			if news.Cursor == f.Cursor+1 {
-				f.Cursor = news.Cursor
+			if event.Cursor == f.Cursor+1 {
+				f.Cursor = event.Cursor
 			}
 			return nil
 		}
 	}
-	f.Cursor = news.Cursor
-	f.OnEvent(news)
+	f.Cursor = event.Cursor
+	f.OnEvent(event)
 	return nil
 }
--- a/internal/fair/fair_test.go
+++ b/internal/fair/fair_test.go
@@ -14,15 +14,15 @@
 // server simulates a gate and the capacity behind it: up to cores downloads run at full speed, beyond that all slow
 // down by sharing.
 type server struct {
-	gate     *Controller
-	now      float64
-	cores    float64
-	open     map[string]*job
-	events   events
-	seq      int
-	carried  map[string]float64 // cost of finished downloads, by club
-	ends     map[string]Outcome
-	answered func(now float64, a Action)
+	controller *Controller
+	now        float64
+	cores      float64
+	open       map[string]*job
+	events     events
+	seq        int
+	carried    map[string]float64 // cost of finished downloads, by club
+	ends       map[string]Outcome
+	answered   func(now float64, a Action)
 }
 
 // job is an open download.
@@ -50,7 +50,7 @@
 func (h *events) Pop() any     { old := *h; e := old[len(old)-1]; *h = old[:len(old)-1]; return e }
 
 func newServer(s Settings, cores float64) *server {
-	return &server{gate: New(s, 1, 0), cores: cores, open: map[string]*job{}, carried: map[string]float64{}, ends: map[string]Outcome{}}
+	return &server{controller: New(s, 1, 0), cores: cores, open: map[string]*job{}, carried: map[string]float64{}, ends: map[string]Outcome{}}
 }
 
 func (s *server) schedule(at float64, do func()) {
@@ -65,7 +65,7 @@
 func (s *server) ask(a Request) {
 	a.At = s.now
 	asks[a.ID] = a
-	s.carry(s.gate.Request(a))
+	s.carry(s.controller.Request(a))
 }
 
 // carry executes actions. The duration of a download is fixed when it starts, by the number of open downloads, so that
@@ -88,7 +88,7 @@
 					end = Late
 				}
 				s.ends[a.ID] = end
-				s.carry(s.gate.Ended(s.now, a.ID, end, a.Cost))
+				s.carry(s.controller.Ended(s.now, a.ID, end, a.Cost))
 			})
 		} else if x, ok := action.(Throttle); ok {
 			delete(asks, x.ID)
@@ -99,7 +99,7 @@
 // run processes events and timers up to a time.
 func (s *server) run(until float64) {
 	for {
-		at, due := s.gate.Next()
+		at, due := s.controller.Next()
 		switch {
 		case len(s.events) > 0 && s.events[0].at <= until && !(due && at < s.events[0].at):
 			e := heap.Pop(&s.events).(event)
@@ -107,7 +107,7 @@
 			e.do()
 		case due && at <= until:
 			s.now = max(s.now, at)
-			s.carry(s.gate.HandleTimer(s.now))
+			s.carry(s.controller.HandleTimer(s.now))
 		default:
 			s.now = until
 			return
@@ -392,7 +392,7 @@
 	if !come(restarted, at, same) || come(restarted, at+1, same) {
 		t.Error("after a restart: ticket was not accepted exactly once")
 	}
-	if !come(s.gate, at, same) || come(s.gate, at+1, same) {
+	if !come(s.controller, at, same) || come(s.controller, at+1, same) {
 		t.Error("ticket was not accepted exactly once")
 	}
 }
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -183,7 +183,7 @@
 	case FairnessChanged:
 		if g.fair != nil {
 			g.fair.block = e.Block
-			g.fair.gate.SetWeights(e.Block.Settings.Weights)
+			g.fair.controller.SetWeights(e.Block.Settings.Weights)
 		}
 	case SpendWritten:
 		g.Advance(e.At)
@@ -216,7 +216,7 @@
 			t.prefetcher.next()
 		case g.fair != nil && t == g.fair.timer:
 			g.fair.timer = nil
-			g.executeFair(g.fair.gate.HandleTimer(g.now))
+			g.executeFair(g.fair.controller.HandleTimer(g.now))
 		case t.download != nil && t.token == spendWriteToken:
 			g.rejectUnwritten(t.download)
 		case t.download != nil:
@@ -473,7 +473,7 @@
 	d.expiry += e.At
 	g.track(d)
 	if g.fair != nil {
-		g.askFairGate(d, e.Params)
+		g.requestFairAdmission(d, e.Params)
 		return
 	}
 	g.proceed(d)
--- a/internal/gateway/fairness.go
+++ b/internal/gateway/fairness.go
@@ -81,10 +81,10 @@
 
 // fairAdmission is the core's state for fair admission; nil if disabled.
 type fairAdmission struct {
-	gate  *fair.Controller
-	block Fairness
-	timer *timer
-	costs map[string]*meanCost
+	controller *fair.Controller
+	block      Fairness
+	timer      *timer
+	costs      map[string]*meanCost
 }
 
 // meanCost is the mean time that downloads of a type take. It adapts slowly, so that congestion is not mistaken for
@@ -97,15 +97,15 @@
 }
 
 // EnableFairAdmission makes the core admit downloads by fair shares.
-func (g *Core) EnableFairAdmission(gate *fair.Controller, block Fairness) {
-	g.fair = &fairAdmission{gate: gate, block: block, costs: map[string]*meanCost{}}
+func (g *Core) EnableFairAdmission(controller *fair.Controller, block Fairness) {
+	g.fair = &fairAdmission{controller: controller, block: block, costs: map[string]*meanCost{}}
 }
 
 // FairnessChanged reports that the block "fair" was reloaded.
 type FairnessChanged struct{ Block Fairness }
 
-// askFairGate asks the fair gate to admit an accepted download.
-func (g *Core) askFairGate(d *download, params map[string]string) {
+// requestFairAdmission asks the fair gate to admit an accepted download.
+func (g *Core) requestFairAdmission(d *download, params map[string]string) {
 	f := g.fair
 	ask := fair.Request{At: g.now, ID: d.id, Object: d.object, Part: d.part, Expiry: d.expiry, Ticket: params[ticketParam],
 		Priority: slices.Contains(f.block.PriorityTypes, d.typ)}
@@ -124,7 +124,7 @@
 	typ := g.config.Types[slices.IndexFunc(g.config.Types, func(t gatewayconfig.ContentType) bool { return t.Name == d.typ })]
 	ask.Target = min(g.now+typ.Target+typ.Stretch*ask.Cost, d.expiry)
 	d.share = &fairShare{target: ask.Target}
-	g.executeFair(f.gate.Request(ask))
+	g.executeFair(f.controller.Request(ask))
 }
 
 // fairShare is the state of a download at the fair gate.
@@ -166,7 +166,7 @@
 	f := g.fair
 	g.timers.remove(f.timer)
 	f.timer = nil
-	if at, ok := f.gate.Next(); ok {
+	if at, ok := f.controller.Next(); ok {
 		f.timer = g.timers.push(timer{at: at})
 	}
 }
@@ -187,7 +187,7 @@
 	}
 	if d.share == nil || !d.share.admitted {
 		if status != 503 { // the gate already knows those that it throttled
-			g.executeFair(f.gate.Disconnected(g.now, d.id))
+			g.executeFair(f.controller.Disconnected(g.now, d.id))
 		}
 		return
 	}
@@ -206,7 +206,7 @@
 	case 503:
 		end = fair.Rejected
 	}
-	g.executeFair(f.gate.Ended(g.now, d.id, end, cost))
+	g.executeFair(f.controller.Ended(g.now, d.id, end, cost))
 }
 
 // FairStats describes the state of the fair gate and its heaviest clubs for the log; empty if disabled.
@@ -214,11 +214,11 @@
 	if g.fair == nil {
 		return ""
 	}
-	gate := g.fair.gate
-	open, waiting, limit, stretch, fastest := gate.Stats()
+	controller := g.fair.controller
+	open, waiting, limit, stretch, fastest := controller.Stats()
 	text := fmt.Sprintf("open %d of %.0f, waiting %d, takes %.1f of its cost, %.1f at the quickest; %+v",
-		open, limit, waiting, stretch, fastest, gate.Counters)
-	for _, club := range gate.TopClubs(3) {
+		open, limit, waiting, stretch, fastest, controller.Counters)
+	for _, club := range controller.TopClubs(3) {
 		text += fmt.Sprintf("; %q asked %d admitted %d throttled %d", club.Name, club.Asked, club.Admitted, club.Throttled)
 	}
 	return text
--- a/internal/gateway/link_driver.go
+++ b/internal/gateway/link_driver.go
@@ -27,13 +27,13 @@
 	if !b.On {
 		return d, nil
 	}
-	ring, err := b.ReadKeys()
+	keySet, err := b.ReadKeys()
 	if err != nil {
 		return nil, err
 	}
 	secret := make([]byte, 32)
 	rand.Read(secret)
-	admission := links.New(b.Settings, ring, secret, clock.now())
+	admission := links.New(b.Settings, keySet, secret, clock.now())
 	var store SpendStore
 	if b.Store != "" {
 		if d.store, err = linksdriver.OpenStore(b.Store, clock.now(), func(s links.SpentToken) { admission.Restore(s, clock.now()) }); err != nil {
@@ -81,11 +81,11 @@
 	if !b.On {
 		return nil
 	}
-	ring, err := b.ReadKeys()
+	keySet, err := b.ReadKeys()
 	if err != nil {
 		return err
 	}
 	b.Settings.Name = d.block.Settings.Name
-	d.poster.post(KeysReloaded{Ring: ring, Block: b})
+	d.poster.post(KeysReloaded{Ring: keySet, Block: b})
 	return nil
 }
--- a/internal/gateway/links_test.go
+++ b/internal/gateway/links_test.go
@@ -189,7 +189,7 @@
 // or fails, the write is throttled, and the token can be used again.
 func TestSpendWrittenBeforeSending(t *testing.T) {
 	secret := []byte(strings.Repeat("s", 32))
-	ring, err := links.NewKeySet([]links.Key{{ID: "k", Issuer: "club", Algorithm: "HS256", State: links.Signing,
+	keySet, err := links.NewKeySet([]links.Key{{ID: "k", Issuer: "club", Algorithm: "HS256", State: links.Signing,
 		Private: secret, Public: secret}}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -218,10 +218,10 @@
 		settings.Base, settings.HasStore = linkBase, true
 		block := linksdriver.Block{On: true, From: "header", Name: "X-Link", Settings: settings}
 		var events []any
-		h.core.RequireSignedLinks(links.New(settings, ring, secret, h.now), block, store, func(e any) { events = append(events, e) },
+		h.core.RequireSignedLinks(links.New(settings, keySet, secret, h.now), block, store, func(e any) { events = append(events, e) },
 			func() float64 { return h.now })
 		const object = "00000000000000bb"
-		token, _ := ring.Sign(links.Claims{ID: "w", Issued: h.now / 1000, Expires: h.now/1000 + 100, Write: true,
+		token, _ := keySet.Sign(links.Claims{ID: "w", Issued: h.now / 1000, Expires: h.now/1000 + 100, Write: true,
 			Critical: links.CriticalWrite, URI: links.Hash(links.URI(linkBase, "renewal", object, 0))})
 		request := func(id string, number uint16) {
 			h.core.Handle(RequestReceived{Client: h.clients[0], ID: number, At: h.now, Params: map[string]string{
--- a/internal/gateway/load_meter.go
+++ b/internal/gateway/load_meter.go
@@ -25,11 +25,11 @@
 	fillWindow         = 2000.0 // short, as batches of purges wait for the rate of fills
 )
 
-func newLoadRing() router.Ring { return router.NewRing(loadWindow, 10) }
+func newLoadWindow() router.Ring { return router.NewRing(loadWindow, 10) }
 
 // Measure starts the measurements and registers a function that is called with them once a second.
 func (g *Core) Measure(report func(load maintenance.Load, fills float64)) {
-	g.meter = &loadMeter{taken: newLoadRing(), fills: router.NewRing(fillWindow, 8), edges: map[string]*hitCounter{},
+	g.meter = &loadMeter{taken: newLoadWindow(), fills: router.NewRing(fillWindow, 8), edges: map[string]*hitCounter{},
 		report: report}
 }
 
@@ -47,7 +47,7 @@
 	}
 	edge := m.edges[node]
 	if edge == nil {
-		edge = &hitCounter{newLoadRing(), newLoadRing()}
+		edge = &hitCounter{newLoadWindow(), newLoadWindow()}
 		m.edges[node] = edge
 	}
 	edge.pulls.Add(now, 1)
--- a/internal/gateway/quorum_member.go
+++ b/internal/gateway/quorum_member.go
@@ -20,7 +20,7 @@
 // quorumMember is this gateway's membership in the quorum of gateways, if the operator enables it. It has a loop of its
 // own; the loop that serves downloads neither waits for it nor depends on it.
 type quorumMember struct {
-	council *quorumdriver.Replica // nil if disabled
+	replica *quorumdriver.Replica // nil if disabled
 	log     logrus.FieldLogger
 	cancel  context.CancelFunc
 }
@@ -51,22 +51,22 @@
 	}
 	proxy := coreProxy{poster: p, knownUntil: &knownUntil{}}
 	proxy.SetKnown(-1)
-	machinePart, purgePart := maintenancedriver.Open(o.Machines, jobRunner, proxy, log), purgesdriver.Open(o.Purges, jobRunner, proxy, log)
+	maintenanceCoordinator, purgeService := maintenancedriver.Open(o.Machines, jobRunner, proxy, log), purgesdriver.Open(o.Purges, jobRunner, proxy, log)
 	core.EnablePurges(zone, o.Purges.EffectiveLimits(), o.Purges.On, proxy.knownUntil.at, p.now)
-	if m.council, err = quorumdriver.Open(b, c.Name, zone, maxPeerConns(c), quorumdriver.Subsystems{jobRunner, machinePart, purgePart},
+	if m.replica, err = quorumdriver.Open(b, c.Name, zone, maxPeerConns(c), quorumdriver.Subsystems{jobRunner, maintenanceCoordinator, purgeService},
 		log); err == nil && o.Machines.On {
-		core.OnNodesChanged(func(there map[string]bool) { m.council.Post(maintenancedriver.ListedNodes{Present: there}) })
+		core.OnNodesChanged(func(there map[string]bool) { m.replica.Post(maintenancedriver.ListedNodes{Present: there}) })
 	}
 	if err == nil && (o.Machines.On || o.Purges.On) {
 		core.Measure(func(load maintenance.Load, fills float64) {
-			m.council.Post(load)
-			m.council.Post(purgesdriver.Misses{Rate: fills})
+			m.replica.Post(load)
+			m.replica.Post(purgesdriver.Misses{Rate: fills})
 		})
 	}
 	if err == nil && jobs.On && jobs.Limits.WarmRounds > 0 {
 		core.OnNodeListed(func(n router.Entry) {
 			if left := ColdRemaining(c, n, p.now()); left > 0 {
-				m.council.Post(owner.NodeStarted{Node: n.Node, Zone: n.Zone, Start: uint64(n.StartedAt), ColdFor: left})
+				m.replica.Post(owner.NodeStarted{Node: n.Node, Zone: n.Zone, Start: uint64(n.StartedAt), ColdFor: left})
 			}
 		})
 	}
@@ -75,14 +75,14 @@
 
 // run takes part in the quorum until leave.
 func (m *quorumMember) run(g *errgroup.Group) {
-	if m.council == nil {
+	if m.replica == nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
-	m.log.WithField("peers", m.council.Address()).Info("quorum: started")
+	m.log.WithField("peers", m.replica.Address()).Info("quorum: started")
 	g.Go(func() error {
-		if err := m.council.Run(ctx); err != nil {
+		if err := m.replica.Run(ctx); err != nil {
 			m.log.WithError(err).Error("quorum: cannot close the store")
 		}
 		return nil
--- a/internal/links/authorizer.go
+++ b/internal/links/authorizer.go
@@ -24,7 +24,7 @@
 type Authorizer struct {
 	Counters
 	settings  Settings
-	ring      *KeySet
+	keySet    *KeySet
 	secret    []byte
 	startedAt float64
 	shift     float64 // ms by which the wall clock is ahead of the gateway's monotonic clock; never decreases
@@ -36,12 +36,12 @@
 
 // New returns a Door. The secret keys the hashes of its tables and must differ at each start.
 func New(s Settings, r *KeySet, secret []byte, at float64) *Authorizer {
-	return &Authorizer{settings: s, ring: r, secret: secret, startedAt: at, replays: newReplayTable(s.Memory), verified: newTokenCache(s.Memory),
+	return &Authorizer{settings: s, keySet: r, secret: secret, startedAt: at, replays: newReplayTable(s.Memory), verified: newTokenCache(s.Memory),
 		limiter: checkLimiter{perSource: s.ChecksPerSource, total: s.ChecksTotal}, spending: map[string]SpentToken{}}
 }
 
 // SetKeys replaces the key ring. Downloads that were admitted continue; later ones are checked against the new ring.
-func (d *Authorizer) SetKeys(r *KeySet) { d.ring = r }
+func (d *Authorizer) SetKeys(r *KeySet) { d.keySet = r }
 
 // SetSettings replaces the settings. The tables keep their size until the next start.
 func (d *Authorizer) SetSettings(s Settings) {
@@ -175,7 +175,7 @@
 
 // recheck checks what may have changed for a cached token: the state of its key, and the time.
 func (d *Authorizer) recheck(k *cachedToken, now float64) (*cachedToken, *TokenError) {
-	key := d.ring.keys[k.kid]
+	key := d.keySet.keys[k.kid]
 	if key == nil {
 		return nil, tokenErrorf(UnknownKey, "kid", "%.64q", k.kid)
 	}
@@ -213,7 +213,7 @@
 	if parseErr != nil {
 		return nil, tokenErrorf(Malformed, "header", "%v", parseErr)
 	}
-	key := d.ring.keys[h.Kid]
+	key := d.keySet.keys[h.Kid]
 	switch {
 	case key == nil:
 		return nil, tokenErrorf(UnknownKey, "kid", "%.64q", h.Kid)
@@ -250,7 +250,7 @@
 		return nil, tokenErrorf(Malformed, "cdniuc", "%v", parseErr)
 	}
 	if k.matchURI = match; c.Client != "" {
-		text, decryptErr := d.ring.decryptAddress(c.Client)
+		text, decryptErr := d.keySet.decryptAddress(c.Client)
 		prefix, prefixErr := parsePrefix(text)
 		if decryptErr != nil || prefixErr != nil {
 			return nil, tokenErrorf(WrongClient, "cdniip", "cannot be decrypted or parsed")
@@ -382,13 +382,13 @@
 // exceeds the chain's limit and grants nothing that the old token did not.
 func (d *Authorizer) renew(k *cachedToken, now float64, v *Verdict) {
 	c, s := k.claims, d.settings
-	if c.RenewSeconds == 0 || c.Transport == 0 || c.Issued == 0 || 1000*c.Expires-now > s.RenewWithin || d.ring.signing == nil {
+	if c.RenewSeconds == 0 || c.Transport == 0 || c.Issued == 0 || 1000*c.Expires-now > s.RenewWithin || d.keySet.signing == nil {
 		return
 	}
-	if d.ring.signing.Issuer != c.Issuer { // a successor is signed only with a key of the same issuer
+	if d.keySet.signing.Issuer != c.Issuer { // a successor is signed only with a key of the same issuer
 		return
 	}
-	if !k.hasSuccessor || k.successorKey != d.ring.signing.ID {
+	if !k.hasSuccessor || k.successorKey != d.keySet.signing.ID {
 		next := c
 		next.Expires = math.Floor(min(c.Expires+c.RenewSeconds, c.Issued+s.MaxChainAge/1000))
 		if next.Expires <= c.Expires {
@@ -403,11 +403,11 @@
 				next.Critical = strings.TrimPrefix(next.Critical+","+claimChain, ",")
 			}
 		}
-		token, err := d.ring.Sign(next)
+		token, err := d.keySet.Sign(next)
 		if err != nil || len(token) > maxTokenBytes {
 			return
 		}
-		k.successor, k.successorKey, k.hasSuccessor = token, d.ring.signing.ID, true
+		k.successor, k.successorKey, k.hasSuccessor = token, d.keySet.signing.ID, true
 		d.Renewed++
 	}
 	v.Token, v.Transport = k.successor, c.Transport
@@ -428,7 +428,7 @@
 // SignPull issues a link for one pull. It is valid for that cache node and the node's source, for that part, and for a short
 // time. It is empty if cache nodes need no links, or if there is no signing key.
 func (d *Authorizer) SignPull(s Pull) string {
-	if d.settings.NodeLinkLifetime == 0 || d.ring.signing == nil {
+	if d.settings.NodeLinkLifetime == 0 || d.keySet.signing == nil {
 		return ""
 	}
 	now := (s.At + d.shift) / 1000
@@ -440,7 +440,7 @@
 	if s.Write {
 		c.Critical = claimWrite
 	}
-	token, err := d.ring.Sign(c)
+	token, err := d.keySet.Sign(c)
 	if err != nil {
 		return ""
 	}
--- a/internal/links/compact.go
+++ b/internal/links/compact.go
@@ -24,7 +24,7 @@
 	if parseErr != nil || strconv.FormatUint(seconds, 10) != fields["Expires"] {
 		return nil, tokenErrorf(Malformed, "Expires", "%.20q", fields["Expires"])
 	}
-	key := d.ring.keys[fields["KeyName"]]
+	key := d.keySet.keys[fields["KeyName"]]
 	switch {
 	case key == nil:
 		return nil, tokenErrorf(UnknownKey, "KeyName", "%.64q", fields["KeyName"])
--- a/internal/links/driver/driver.go
+++ b/internal/links/driver/driver.go
@@ -58,8 +58,8 @@
 
 // ReadKeys reads the block's key file.
 func (b *Block) ReadKeys() (*links.KeySet, error) {
-	_, ring, err := keyfile.Read(b.Keys)
-	return ring, err
+	_, keySet, err := keyfile.Read(b.Keys)
+	return keySet, err
 }
 
 // Params returns the names of the request fields that are needed to find a token and its client; none if links are off.
--- a/internal/links/driver/driver_test.go
+++ b/internal/links/driver/driver_test.go
@@ -184,7 +184,7 @@
 	changes, ended := make(chan bool, 9), make(chan error)
 	go func() { ended <- Watch(ctx, path, func() { changes <- true }) }()
 	time.Sleep(50 * time.Millisecond) // the watch has to be running before the first change, and must then miss none
-	var ring *links.KeySet
+	var keySet *links.KeySet
 	for range 3 {
 		if err := f.Rotate(); err != nil {
 			t.Fatal(err)
@@ -199,16 +199,16 @@
 		}
 		var got *keyfile.File
 		var err error
-		if got, ring, err = keyfile.Read(path); err != nil || fmt.Sprint(got.Keys) != fmt.Sprint(f.Keys) {
+		if got, keySet, err = keyfile.Read(path); err != nil || fmt.Sprint(got.Keys) != fmt.Sprint(f.Keys) {
 			t.Fatalf("%v, %v", got, err)
 		}
-		token, err := ring.Sign(links.Claims{ID: "x", URI: "regex:.*", Expires: 1})
+		token, err := keySet.Sign(links.Claims{ID: "x", URI: "regex:.*", Expires: 1})
 		if err != nil || token == "" {
 			t.Fatal(err)
 		}
 	}
-	if ring.SigningKeyID() != "k2" || f.Rotate() == nil {
-		t.Errorf("signing key: %s", ring.SigningKeyID())
+	if keySet.SigningKeyID() != "k2" || f.Rotate() == nil {
+		t.Errorf("signing key: %s", keySet.SigningKeyID())
 	}
 	cancel()
 	if err := <-ended; err != nil {
--- a/internal/links/keyfile/keyfile.go
+++ b/internal/links/keyfile/keyfile.go
@@ -42,11 +42,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	ring, err := links.NewKeySet(f.Keys, f.AddressSecret)
+	keySet, err := links.NewKeySet(f.Keys, f.AddressSecret)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return f, ring, nil
+	return f, keySet, nil
 }
 
 // parse parses the HCL of a key file. It does not validate the keys as a set.
--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -46,7 +46,7 @@
 	return k
 }
 
-func testRing(t testing.TB, keys ...Key) *KeySet {
+func newTestKeySet(t testing.TB, keys ...Key) *KeySet {
 	t.Helper()
 	r, err := NewKeySet(keys, addressSecret)
 	if err != nil {
@@ -98,13 +98,13 @@
 // Each kind of invalid token is refused with its own reason and the claim that failed. A valid token is admitted, the second
 // time from the cache without a signature check.
 func TestAdmit(t *testing.T) {
-	r := testRing(t, testKey("now", "EdDSA", Signing), testKey("old", "ES256", Verifying), testKey("gone", "HS256", Retired), testKey("leak", "HS256", Withdrawn))
+	r := newTestKeySet(t, testKey("now", "EdDSA", Signing), testKey("old", "ES256", Verifying), testKey("gone", "HS256", Retired), testKey("leak", "HS256", Withdrawn))
 	sealed, err := r.SealAddress("10.0.0.0/8")
 	if err != nil {
 		t.Fatal(err)
 	}
 	elsewhere, _ := r.SealAddress("192.0.2.0/24")
-	by := func(k Key) *KeySet { k.State = Signing; return testRing(t, k) }
+	by := func(k Key) *KeySet { k.State = Signing; return newTestKeySet(t, k) }
 	rewrite := func(part int, change func(string) string) string {
 		parts := strings.Split(sign(t, r, validClaims()), ".")
 		raw, _ := b64.DecodeString(parts[part])
@@ -177,7 +177,7 @@
 
 // A write runs at most once, whichever tokens of one chain request it. A write that is known not to have run may be repeated.
 func TestSpend(t *testing.T) {
-	r := testRing(t, testKey("now", "EdDSA", Signing))
+	r := newTestKeySet(t, testKey("now", "EdDSA", Signing))
 	token := sign(t, r, validClaims().with(asWrite))
 	d := New(testSettings(), r, []byte("secret"), testTime)
 	if v := d.Admit(writeAsk(token, "a")); v.Reason != Admitted || v.SpentToken != nil || v.Client != "member-1" {
@@ -254,7 +254,7 @@
 // Concurrent requests with one token get the same successor. It never exceeds the chain's limit and grants
 // nothing more, and can be requested repeatedly.
 func TestRenew(t *testing.T) {
-	r := testRing(t, testKey("now", "ES256", Signing))
+	r := newTestKeySet(t, testKey("now", "ES256", Signing))
 	near := validClaims().with(func(c *Claims) { c.Expires, c.RenewSeconds, c.Transport, c.CookieDepth = testTime/1000+20, 60, 1, 1 })
 	token := sign(t, r, near)
 	d := New(testSettings(), r, []byte("secret"), testTime)
@@ -295,14 +295,14 @@
 func TestKeyRotation(t *testing.T) {
 	old, upcoming := testKey("old", "EdDSA", Signing), testKey("new", "ES256", Upcoming)
 	state := func(k Key, s State) Key { k.State = s; return k }
-	d := New(testSettings(), testRing(t, old, upcoming), []byte("secret"), testTime)
-	byOld, byNew := sign(t, testRing(t, old), validClaims()), sign(t, testRing(t, state(upcoming, Signing)), validClaims())
+	d := New(testSettings(), newTestKeySet(t, old, upcoming), []byte("secret"), testTime)
+	byOld, byNew := sign(t, newTestKeySet(t, old), validClaims()), sign(t, newTestKeySet(t, state(upcoming, Signing)), validClaims())
 	for _, c := range []struct {
 		ring        *KeySet
 		first, then Reason
 	}{
-		{testRing(t, old, upcoming), Admitted, Admitted}, {testRing(t, state(old, Verifying), state(upcoming, Signing)), Admitted, Admitted},
-		{testRing(t, state(old, Withdrawn), state(upcoming, Signing)), KeyInactive, Admitted}, {testRing(t, state(upcoming, Signing)), UnknownKey, Admitted},
+		{newTestKeySet(t, old, upcoming), Admitted, Admitted}, {newTestKeySet(t, state(old, Verifying), state(upcoming, Signing)), Admitted, Admitted},
+		{newTestKeySet(t, state(old, Withdrawn), state(upcoming, Signing)), KeyInactive, Admitted}, {newTestKeySet(t, state(upcoming, Signing)), UnknownKey, Admitted},
 	} {
 		d.SetKeys(c.ring)
 		if a, b := d.Admit(readAsk(byOld)).Reason, d.Admit(readAsk(byNew)).Reason; a != c.first || b != c.then {
@@ -325,7 +325,7 @@
 
 // A flood of forged tokens leaves room for sources that have shown a good token, and causes a bounded number of checks.
 func TestForgeryFlood(t *testing.T) {
-	r := testRing(t, testKey("now", "EdDSA", Signing))
+	r := newTestKeySet(t, testKey("now", "EdDSA", Signing))
 	d := New(testSettings(), r, []byte("secret"), testTime)
 	forged := strings.Split(sign(t, r, validClaims()), ".")
 	admitted, asked := 0, 0
@@ -358,7 +358,7 @@
 
 // The compact form is checked, and no second spelling of a token is valid.
 func TestCompact(t *testing.T) {
-	r := testRing(t, testKey("h", "HS256", Signing), testKey("e", "ES256", Verifying))
+	r := newTestKeySet(t, testKey("h", "HS256", Signing), testKey("e", "ES256", Verifying))
 	s := testSettings()
 	s.Form = "compact"
 	uri := URI(testBase, "video", testObject, 3)
@@ -488,7 +488,7 @@
 
 func BenchmarkAdmit(b *testing.B) {
 	for _, alg := range []string{"HS256", "EdDSA", "ES256"} {
-		r := testRing(b, testKey("now", alg, Signing))
+		r := newTestKeySet(b, testKey("now", alg, Signing))
 		token := sign(b, r, validClaims())
 		s := testSettings()
 		s.ChecksPerSource, s.ChecksTotal = 1e12, 1e12
@@ -512,7 +512,7 @@
 			}
 		})
 	}
-	r := testRing(b, testKey("now", "EdDSA", Signing))
+	r := newTestKeySet(b, testKey("now", "EdDSA", Signing))
 	old := sign(b, r, validClaims().with(func(c *Claims) { c.Expires = 1000 }))
 	b.Run("refused by its times", func(b *testing.B) {
 		d := New(testSettings(), r, []byte("secret"), testTime)
--- a/internal/maintenance/driver/coordinator.go
+++ b/internal/maintenance/driver/coordinator.go
@@ -49,9 +49,9 @@
 type Coordinator struct {
 	block         Block
 	state         *maintenance.State
-	crew          *ownerdriver.Runner
+	runner        *ownerdriver.Runner
 	core          Core
-	council       *quorumdriver.Replica
+	replica       *quorumdriver.Replica
 	log           logrus.FieldLogger
 	status        quorumdriver.LogAdvanced // this gateway's standing in the quorum, as of the last event
 	now           float64                  // ms, by the loop's clock, as are the next three
@@ -92,8 +92,8 @@
 }
 
 // Open creates a gateway's part. Without the block it only follows the log, and still drains machines that are about to leave.
-func Open(b Block, crew *ownerdriver.Runner, core Core, log logrus.FieldLogger) *Coordinator {
-	return &Coordinator{block: b, state: maintenance.New(), crew: crew, core: core, log: log, inFlight: map[string]float64{},
+func Open(b Block, runner *ownerdriver.Runner, core Core, log logrus.FieldLogger) *Coordinator {
+	return &Coordinator{block: b, state: maintenance.New(), runner: runner, core: core, log: log, inFlight: map[string]float64{},
 		loggedStages: map[string]string{}, unixMillis: func() float64 { return float64(time.Now().UnixMilli()) }}
 }
 
@@ -103,7 +103,7 @@
 }
 
 // Start sets the council that commands are proposed to.
-func (y *Coordinator) Start(c *quorumdriver.Replica) { y.council = c }
+func (y *Coordinator) Start(c *quorumdriver.Replica) { y.replica = c }
 
 // NextDeadline returns the time of the next check.
 func (y *Coordinator) NextDeadline() float64 {
@@ -156,7 +156,7 @@
 	if y.status.Leads && y.block.On {
 		y.runLeaderDuties()
 	}
-	if token, owns := y.crew.Owns(Schedule); owns && y.block.On {
+	if token, owns := y.runner.Owns(Schedule); owns && y.block.On {
 		y.grantPlanned(token)
 	}
 }
@@ -168,7 +168,7 @@
 		return
 	}
 	y.inFlight[key] = y.now + 1000
-	y.council.Propose(quorum.Command{StateMachine: StateMachineName, Kind: kind, Data: codec.Encode(content)}, func(o quorum.Outcome) {
+	y.replica.Propose(quorum.Command{StateMachine: StateMachineName, Kind: kind, Data: codec.Encode(content)}, func(o quorum.Outcome) {
 		delete(y.inFlight, key)
 		if o.Err != nil && !errors.Is(o.Err, quorum.ErrGivenUp) && !errors.Is(o.Err, quorum.ErrBusy) {
 			y.inFlight[key] = y.now + checkEvery // rejected when applied: the next check decides whether to propose it again
@@ -190,7 +190,7 @@
 	if !slices.Equal(nodes, y.leftNodes) {
 		y.leftNodes = nodes
 		y.leaveNumber++
-		y.core.StopUsing(nodes, y.leaveNumber, func(number int) { y.council.Post(drainedNodes{number}) })
+		y.core.StopUsing(nodes, y.leaveNumber, func(number int) { y.replica.Post(drainedNodes{number}) })
 	}
 }
 
@@ -212,13 +212,13 @@
 	if y.block.Inventory.Version > y.state.Inventory.Version {
 		y.propose(maintenance.SetInventory, "", y.block.Inventory)
 	}
-	if !y.crew.IsRunning(Schedule) {
-		y.council.Propose(quorum.Command{StateMachine: ownerdriver.StateMachineName, Kind: owner.Start, Data: codec.Encode(owner.Job{Name: Schedule, Kind: ownerdriver.KindHold, Steps: 1, Window: 1})}, func(quorum.Outcome) {})
+	if !y.runner.IsRunning(Schedule) {
+		y.replica.Propose(quorum.Command{StateMachine: ownerdriver.StateMachineName, Kind: owner.Start, Data: codec.Encode(owner.Job{Name: Schedule, Kind: ownerdriver.KindHold, Steps: 1, Window: 1})}, func(quorum.Outcome) {})
 	}
-	if voters := y.council.Voters(); len(voters) > 0 && !slices.Equal(voters, y.state.Voters) {
+	if voters := y.replica.Voters(); len(voters) > 0 && !slices.Equal(voters, y.state.Voters) {
 		y.propose(maintenance.SetVoters, "", maintenance.CommandData{Names: voters})
 	}
-	y.council.Retire(y.state.LeavingGateways())
+	y.replica.Retire(y.state.LeavingGateways())
 	if y.listed != nil {
 		var lost []string
 		for _, m := range y.state.Inventory.Machines {
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -35,8 +35,8 @@
 	return i
 }
 
-// newTestBook returns a state with that inventory and all its gateways live.
-func newTestBook(t interface{ Fatalf(string, ...any) }, l Limits) *State {
+// newTestState returns a state with that inventory and all its gateways live.
+func newTestState(t interface{ Fatalf(string, ...any) }, l Limits) *State {
 	b := New()
 	if r := b.apply(t, SetInventory, testInventory(l)); r != nil {
 		t.Fatalf("inventory: %v", r)
@@ -110,7 +110,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{MaxMachines: rapid.IntRange(0, 4).Draw(t, "most"), PerClub: rapid.IntRange(0, 2).Draw(t, "club"), PerZone: rapid.IntRange(0, 2).Draw(t, "zone"),
 			Boxes: rapid.SampledFrom([]float64{0, 0.4, 0.7}).Draw(t, "boxes"), BeginTimeout: 50, DrainTimeout: 100, WarmTimeout: 100, Overdue: 2, Grace: 30, MissingAck: MissingAckPolicy(rapid.IntRange(0, 1).Draw(t, "silent"))}
-		b := newTestBook(t, l)
+		b := newTestState(t, l)
 		names := []string{}
 		for _, m := range b.Inventory.Machines {
 			names = append(names, m.Name)
@@ -232,7 +232,7 @@
 // Takes one machine through its whole lifecycle, with every command that is refused on the way.
 func TestMachineLifecycle(t *testing.T) {
 	l := Limits{MaxMachines: 1, BeginTimeout: 1000, DrainTimeout: 500, WarmTimeout: 300, Overdue: 2, Grace: 100}
-	b := newTestBook(t, l)
+	b := newTestState(t, l)
 	for i, c := range []struct {
 		kind  string
 		o     CommandData
@@ -305,7 +305,7 @@
 }
 
 // An agent starts the work once per grant, however often the agent itself restarts, and never under another grant.
-func TestKeeper(t *testing.T) {
+func TestAgentState(t *testing.T) {
 	for _, c := range []struct {
 		k    AgentState
 		w    *Window
@@ -325,7 +325,7 @@
 
 // Grants from a replaced owner of the schedule are refused, as when that owner was paused and resumes late.
 func TestOldSchedulerIsRefused(t *testing.T) {
-	b := newTestBook(t, Limits{})
+	b := newTestState(t, Limits{})
 	for _, m := range []string{"amber-1", "birch-1"} {
 		b.apply(t, Submit, CommandData{At: 1, Request: &Request{ID: m, Machine: m, Duration: 100}})
 	}
@@ -341,7 +341,7 @@
 // does not acknowledge holds up only that machine, for the configured drain time. An overdue machine keeps counting as out.
 func TestGoWaitsForAcks(t *testing.T) {
 	for _, policy := range []MissingAckPolicy{Requeue, ProceedWithoutAck} {
-		b := newTestBook(t, Limits{MaxMachines: 1, DrainTimeout: 500, Grace: 100, Overdue: 2, MissingAck: policy})
+		b := newTestState(t, Limits{MaxMachines: 1, DrainTimeout: 500, Grace: 100, Overdue: 2, MissingAck: policy})
 		for _, m := range []string{"amber-2", "birch-2"} {
 			b.apply(t, Submit, CommandData{At: 1, Request: &Request{ID: m, Machine: m, Duration: 100}})
 		}
@@ -401,7 +401,7 @@
 		{Limits{Gateways: 0.3}, "amber-1", "birch-1", "gateways: 1 of 4", 0}, {Limits{}, "amber-1", "amber-3", "gateways: the last ones of amber", 0},
 		{Limits{}, "amber-hub", "birch-hub", "hubs: the last ones", 0}, {Limits{Reserve: 0.5}, "amber-1", "amber-2", "reserve: what is left at amber carries 0", 5},
 	} {
-		b := newTestBook(t, c.l)
+		b := newTestState(t, c.l)
 		b.apply(t, SetPeak, CommandData{Club: "amber", Peak: c.peak})
 		ask(b, c.first, c.then)
 		if r, ok := b.apply(t, Grant, CommandData{At: 2, Machine: c.first}).(error); ok {
@@ -411,7 +411,7 @@
 			t.Errorf("%+v: %s beside %s: %v, want %s", c.l, c.then, c.first, r, c.why)
 		}
 	}
-	b := newTestBook(t, Limits{MaxMachines: 2})
+	b := newTestState(t, Limits{MaxMachines: 2})
 	ask(b, "amber-1", "birch-2")
 	b.apply(t, Grant, CommandData{At: 2, Machine: "amber-1"})
 	b.apply(t, Grant, CommandData{At: 2, Machine: "birch-2"})
@@ -424,7 +424,7 @@
 	if b.Windows["amber-1"].Stage != Queued || !strings.Contains(b.Windows["amber-1"].Reason, "a loss: most") {
 		t.Errorf("after two losses: %+v", b.Windows["amber-1"])
 	}
-	b = newTestBook(t, Limits{})
+	b = newTestState(t, Limits{})
 	b.apply(t, SetVoters, CommandData{Names: []string{"g1amber", "g1birch", "g2birch"}})
 	ask(b, "amber-1")
 	b.apply(t, Grant, CommandData{At: 2, Machine: "amber-1"})
@@ -443,7 +443,7 @@
 
 // Errors in an inventory name the machine, and an inventory never removes a machine that has been granted or is out.
 func TestInventory(t *testing.T) {
-	b := newTestBook(t, Limits{})
+	b := newTestState(t, Limits{})
 	for _, c := range []struct {
 		change func(*Inventory)
 		want   string
@@ -530,7 +530,7 @@
 		t.Errorf("%d of 50 deadlines are missed", late)
 	}
 	// A request whose deadline can be met precedes one that misses it, which precedes one without a deadline.
-	b = newTestBook(t, Limits{MaxMachines: 1, DrainTimeout: 10, WarmTimeout: 10})
+	b = newTestState(t, Limits{MaxMachines: 1, DrainTimeout: 10, WarmTimeout: 10})
 	for i, r := range []Request{{ID: "none", Machine: "amber-2", Duration: 100}, {ID: "late", Machine: "birch-2", Duration: 200, Deadline: 205}, {ID: "soon", Machine: "amber-1", Duration: 100, Deadline: 300}} {
 		if err, ok := b.Apply(uint64(i+1), Submit, codec.Encode(CommandData{At: 1, Request: &r})).(error); ok {
 			t.Fatal(err)
@@ -547,7 +547,7 @@
 
 // A machine that should be back and is not still counts as out in the plan, so the plan starts nothing now that the log would refuse.
 func TestPlanWaitsForLateMachines(t *testing.T) {
-	b := newTestBook(t, Limits{MaxMachines: 1, DrainTimeout: 10, WarmTimeout: 10})
+	b := newTestState(t, Limits{MaxMachines: 1, DrainTimeout: 10, WarmTimeout: 10})
 	for _, m := range []string{"amber-1", "birch-1"} {
 		b.apply(t, Submit, CommandData{At: 1, Request: &Request{ID: m, Machine: m, Duration: 100}})
 	}
@@ -578,7 +578,7 @@
 	c := prng.Source(11)
 	worst, sum, n := 0.0, 0.0, 0
 	for range 60 {
-		b := newTestBook(t, Limits{MaxMachines: 2, PerClub: 1, PerZone: 1, WarmTimeout: 10})
+		b := newTestState(t, Limits{MaxMachines: 2, PerClub: 1, PerZone: 1, WarmTimeout: 10})
 		var works []*Window
 		for i, m := range b.Inventory.Machines[:6] {
 			r := Request{ID: m.Name, Machine: m.Name, Duration: 20 + float64(int(100*c.Float64()))}
--- a/internal/maintenance/measure_test.go
+++ b/internal/maintenance/measure_test.go
@@ -24,12 +24,12 @@
 		{"a machine with a hub", "amber-hub", nil, false},
 		{"only a gateway", "amber-3", nil, true},
 	} {
-		b := newTestBook(t, l)
+		b := newTestState(t, l)
 		if got := b.IsWarm(b.Machine(c.machine), Load{Boxes: c.boxes}); got != c.want {
 			t.Errorf("%s: %t", c.name, got)
 		}
 	}
-	b := newTestBook(t, l)
+	b := newTestState(t, l)
 	b.Lost["e2amber"] = true // a peer is lost
 	if b.IsWarm(b.Machine("amber-1"), Load{Boxes: map[string]PullCounts{"e1amber": {40, 30}, "e2amber": {40, 30}, "e3amber": {40, 30}}}) {
 		t.Error("compared with a lost edge cache")
@@ -43,7 +43,7 @@
 // A returned machine is back in service once more than half of its club's live gateways report it warm under its current grant, but not
 // while part of it is lost.
 func TestWarmByMajority(t *testing.T) {
-	b := newTestBook(t, Limits{MaxMachines: 1, BeginTimeout: 1000, DrainTimeout: 500, WarmTimeout: 60_000, Overdue: 2, Grace: 100, MissingAck: ProceedWithoutAck})
+	b := newTestState(t, Limits{MaxMachines: 1, BeginTimeout: 1000, DrainTimeout: 500, WarmTimeout: 60_000, Overdue: 2, Grace: 100, MissingAck: ProceedWithoutAck})
 	send := func(at float64, kind, from string, token uint64) any {
 		return b.apply(t, kind, CommandData{At: at, Machine: "amber-2", Gateway: from, Token: token})
 	}
@@ -89,7 +89,7 @@
 
 // A gateway that restarts while a machine drains must acknowledge again: the acknowledgement of its previous process does not count.
 func TestRestartedGatewayMustAckAgain(t *testing.T) {
-	b := newTestBook(t, Limits{MaxMachines: 1, BeginTimeout: 1000, DrainTimeout: 500, WarmTimeout: 300, Overdue: 2, Grace: 100})
+	b := newTestState(t, Limits{MaxMachines: 1, BeginTimeout: 1000, DrainTimeout: 500, WarmTimeout: 300, Overdue: 2, Grace: 100})
 	b.apply(t, Submit, CommandData{At: 10, Request: &Request{ID: "a", Machine: "amber-1", Duration: 1000}})
 	b.apply(t, Grant, CommandData{At: 20, Machine: "amber-1"})
 	b.apply(t, Drain, CommandData{At: 30, Machine: "amber-1", Token: 1})
@@ -109,7 +109,7 @@
 // The logged peak of an hour is that of the previous day, or today's once it is higher. Peaks keep machines in service, and a peak set by
 // an operator overrides the measured one.
 func TestPeakMeter(t *testing.T) {
-	b := newTestBook(t, Limits{Reserve: 0.5})
+	b := newTestState(t, Limits{Reserve: 0.5})
 	day, lost := 24*hourMillis, 0
 	var meter PeakMeter
 	rate := func(at float64) float64 { return 10 + 8*math.Sin(at/day*2*math.Pi) }
@@ -171,7 +171,7 @@
 // within the last 24 hours.
 func TestPeakMeterReportsMeasuredRates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newTestBook(t, Limits{})
+		b := newTestState(t, Limits{})
 		var meter PeakMeter
 		at, hours := 50*24*hourMillis, map[float64][]float64{}
 		for range rapid.IntRange(1, 60).Draw(t, "measurements") {
--- a/internal/owner/driver/runner.go
+++ b/internal/owner/driver/runner.go
@@ -40,8 +40,8 @@
 type Runner struct {
 	block       Block
 	agent       *owner.Agent
-	place       *effectlog.Log
-	council     *quorumdriver.Replica
+	effectLog   *effectlog.Log
+	replica     *quorumdriver.Replica
 	handlers    map[string]Handler
 	log         logrus.FieldLogger
 	followed    quorumdriver.LogAdvanced
@@ -80,10 +80,10 @@
 			folder = filepath.Clean(folder)
 		}
 		var err error
-		if c.place, err = effectlog.Open(folder, log); err != nil {
+		if c.effectLog, err = effectlog.Open(folder, log); err != nil {
 			return nil, fmt.Errorf("jobs: %w", err)
 		}
-		go c.place.Run()
+		go c.effectLog.Run()
 	}
 	return c, nil
 }
@@ -94,7 +94,7 @@
 }
 
 // Start sets the council.
-func (c *Runner) Start(council *quorumdriver.Replica) { c.council = council }
+func (c *Runner) Start(council *quorumdriver.Replica) { c.replica = council }
 
 // NextDeadline returns the time of the next deadline.
 func (c *Runner) NextDeadline() float64 {
@@ -126,10 +126,10 @@
 // Close stops handling events and closes the record of effects.
 func (c *Runner) Close() error {
 	c.closed = true
-	if c.place == nil {
+	if c.effectLog == nil {
 		return nil
 	}
-	return c.place.Close()
+	return c.effectLog.Close()
 }
 
 // Handle processes an event from the council, the local executing gateway or a Hand.
@@ -196,12 +196,12 @@
 			if a.Job != nil {
 				data = codec.Encode(a.Job)
 			}
-			c.council.Propose(quorum.Command{StateMachine: StateMachineName, Kind: a.Kind, Data: data}, func(o quorum.Outcome) {
+			c.replica.Propose(quorum.Command{StateMachine: StateMachineName, Kind: a.Kind, Data: data}, func(o quorum.Outcome) {
 				// Any other error means that this process may no longer propose; a retry would not help.
 				c.Handle(c.now, owner.ProposalDone{Failed: errors.Is(o.Err, quorum.ErrGivenUp) || errors.Is(o.Err, quorum.ErrBusy)})
 			})
 		case owner.RaiseToken:
-			c.place.Raise(a.Job, a.Token)
+			c.effectLog.Raise(a.Job, a.Token)
 		case owner.SendEffect:
 			failpoint.Here(failpoint.Sending)
 			c.send(a)
@@ -218,7 +218,7 @@
 		} else if end == owner.NotRun {
 			c.log.WithFields(logrus.Fields{"job": e.Job, "step": e.Step, "place": do.Job.ExecutingGateway(do.Step)}).Warn("jobs: step was not executed")
 		}
-		c.council.Post(owner.StepEnded{Job: e.Job, Token: e.Token, Step: e.Step, End: end})
+		c.replica.Post(owner.StepEnded{Job: e.Job, Token: e.Token, Step: e.Step, End: end})
 	}
 	if handler, registered := c.handlers[e.Kind]; registered {
 		handler.Do(e, ended)
@@ -226,10 +226,10 @@
 	}
 	if to := do.Job.ExecutingGateway(do.Step); to != "" && to != c.followed.Name {
 		e.Data = nil
-		c.council.Send(to, quorum.Frame{Kind: quorum.KindEffect, Data: codec.Encode(e)}, func() { ended(owner.NotRun) })
+		c.replica.Send(to, quorum.Frame{Kind: quorum.KindEffect, Data: codec.Encode(e)}, func() { ended(owner.NotRun) })
 		return
 	}
-	c.place.Do(e, func(r effectlog.Result) { ended(r.End) })
+	c.effectLog.Do(e, func(r effectlog.Result) { ended(r.End) })
 }
 
 // handleFrame processes an effect from another gateway, or the result of an effect sent by this one.
@@ -260,7 +260,7 @@
 	case e.Kind != KindDrill || e.Type < owner.Safe || e.Type > owner.Unsafe:
 		refusal.Why = "nothing of that kind happens here"
 	default:
-		c.place.Do(e, answer)
+		c.effectLog.Do(e, answer)
 		return
 	}
 	answer(refusal)
@@ -316,11 +316,11 @@
 		}
 		return nil, fmt.Errorf("job %q: %w", name, owner.ErrUnknownJob)
 	case "effects":
-		if c.place == nil {
+		if c.effectLog == nil {
 			return nil, errors.New("jobs: off at this gateway")
 		}
 		list := []effectlog.Entry{}
-		for _, e := range c.place.Entries() {
+		for _, e := range c.effectLog.Entries() {
 			if name == "" || e.Effect.Job == name {
 				list = append(list, e)
 			}
--- a/internal/owner/driver/runner_test.go
+++ b/internal/owner/driver/runner_test.go
@@ -17,7 +17,7 @@
 
 // Tests that a gateway executes no effects before it has applied the log up to its own start, and none of an
 // unknown kind, and that each field of an operator's command is checked.
-func TestCrew(t *testing.T) {
+func TestRunner(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	var b Block
--- a/internal/owner/effectlog/effectlog_test.go
+++ b/internal/owner/effectlog/effectlog_test.go
@@ -36,7 +36,7 @@
 
 // Tests that a step's effect happens once and that tokens older than one seen are refused, whether it was seen
 // with an effect or came from the log, also after a restart. Without a disk only safe steps happen.
-func TestPlace(t *testing.T) {
+func TestLog(t *testing.T) {
 	dir := t.TempDir()
 	runCases := func(p *Log, cases []string) {
 		t.Helper()
--- a/internal/purges/driver/service.go
+++ b/internal/purges/driver/service.go
@@ -51,10 +51,10 @@
 // Service is the purge service of one gateway. It runs in the loop of the council.
 type Service struct {
 	block          Block
-	book           *purges.StateMachine
-	crew           *ownerdriver.Runner
+	stateMachine   *purges.StateMachine
+	runner         *ownerdriver.Runner
 	core           Core
-	council        *quorumdriver.Replica
+	replica        *quorumdriver.Replica
 	log            logrus.FieldLogger
 	followed       quorumdriver.LogAdvanced
 	now            float64
@@ -89,21 +89,21 @@
 
 // Open returns the purge service of a gateway. Where the block is off, it applies the purges of other gateways, but
 // accepts none itself and keeps trusting older copies while it cannot reach the log.
-func Open(b Block, crew *ownerdriver.Runner, core Core, log logrus.FieldLogger) *Service {
-	return &Service{block: b, book: purges.New(), crew: crew, core: core, log: log, pending: map[string]float64{}, loggedStages: map[string]purges.Stage{}}
+func Open(b Block, runner *ownerdriver.Runner, core Core, log logrus.FieldLogger) *Service {
+	return &Service{block: b, stateMachine: purges.New(), runner: runner, core: core, log: log, pending: map[string]float64{}, loggedStages: map[string]purges.Stage{}}
 }
 
 // StateMachines returns the state machines that the service replicates.
 func (s *Service) StateMachines() map[string]quorum.StateMachine {
-	return map[string]quorum.StateMachine{StateMachineName: logAdapter{s.book}}
+	return map[string]quorum.StateMachine{StateMachineName: logAdapter{s.stateMachine}}
 }
 
 // Start sets the council through which commands are proposed.
-func (s *Service) Start(c *quorumdriver.Replica) { s.council = c }
+func (s *Service) Start(c *quorumdriver.Replica) { s.replica = c }
 
 // NextDeadline returns the time of the next check; +Inf if no purge is open.
 func (s *Service) NextDeadline() float64 {
-	if s.followed.Incarnation == 0 || !s.book.AnyOpen() {
+	if s.followed.Incarnation == 0 || !s.stateMachine.AnyOpen() {
 		return math.Inf(1)
 	}
 	return s.nextCheck
@@ -121,7 +121,7 @@
 func (s *Service) Handle(now float64, e any) {
 	s.now = now
 	if s.block.On {
-		s.core.SetKnown(s.council.ViewAge())
+		s.core.SetKnown(s.replica.ViewAge())
 	}
 	switch event := e.(type) {
 	case quorumdriver.LogAdvanced:
@@ -146,31 +146,31 @@
 // publishMarks passes newly published marks to the core. After a snapshot was restored it passes all marks: bounds
 // never decrease, so those that the core has already are not lost.
 func (s *Service) publishMarks(restored bool) {
-	marks := s.book.TakeMarks()
+	marks := s.stateMachine.TakeMarks()
 	if restored {
-		marks = s.book.Bounds.Marks()
+		marks = s.stateMachine.Bounds.Marks()
 	}
-	if len(marks) == 0 && s.book.LastIndex <= s.publishedIndex {
+	if len(marks) == 0 && s.stateMachine.LastIndex <= s.publishedIndex {
 		return
 	}
-	s.publishedIndex = max(s.publishedIndex, s.book.LastIndex)
-	s.core.ApplyMarks(marks, s.publishedIndex, func(index uint64) { s.council.Post(marksApplied{index}) })
+	s.publishedIndex = max(s.publishedIndex, s.stateMachine.LastIndex)
+	s.core.ApplyMarks(marks, s.publishedIndex, func(index uint64) { s.replica.Post(marksApplied{index}) })
 }
 
 // proposeDue proposes the commands that are due from this gateway: confirmations, misses, ticks and batches.
 func (s *Service) proposeDue() {
-	if g := s.book.Gateways[s.followed.Name]; g.Confirmed < min(s.appliedIndex, s.book.LastIndex) && g.Incarnation == s.followed.Incarnation {
+	if g := s.stateMachine.Gateways[s.followed.Name]; g.Confirmed < min(s.appliedIndex, s.stateMachine.LastIndex) && g.Incarnation == s.followed.Incarnation {
 		s.propose(purges.Confirm, "", purges.CommandData{At: unixMillis(), From: s.followed.Name, Index: s.appliedIndex})
 	}
-	if !s.block.On || !s.book.AnyOpen() {
+	if !s.block.On || !s.stateMachine.AnyOpen() {
 		return
 	}
-	if s.book.AwaitsMisses() && s.now >= s.nextMissesAt {
+	if s.stateMachine.AwaitsMisses() && s.now >= s.nextMissesAt {
 		s.nextMissesAt = s.now + missesInterval
 		s.propose(purges.ReportMisses, "", purges.CommandData{At: unixMillis(), From: s.followed.Name, Rate: s.misses})
 	}
 	if s.followed.Leads {
-		if !s.crew.IsRunning(BatchJob) && s.block.Limits.Rate > 0 {
+		if !s.runner.IsRunning(BatchJob) && s.block.Limits.Rate > 0 {
 			s.proposeTo(ownerdriver.StateMachineName, owner.Start, "", owner.Job{Name: BatchJob, Kind: ownerdriver.KindHold, Steps: 1, Window: 1})
 		}
 		if s.now >= s.tickedAt+tickInterval {
@@ -178,8 +178,8 @@
 			s.propose(purges.Tick, "", purges.CommandData{At: unixMillis()})
 		}
 	}
-	token, owns := s.crew.Owns(BatchJob)
-	if o, ok := s.book.BatchToSend(unixMillis(), token, owns, s.followed.Leads); ok {
+	token, owns := s.runner.Owns(BatchJob)
+	if o, ok := s.stateMachine.BatchToSend(unixMillis(), token, owns, s.followed.Leads); ok {
 		s.propose(purges.Batch, fmt.Sprint(o.ID, o.First), o)
 	}
 }
@@ -190,7 +190,7 @@
 }
 
 // proposeTo proposes a command, and not again within a second while the first is in flight.
-func (s *Service) proposeTo(book, kind, key string, content any) {
+func (s *Service) proposeTo(stateMachine, kind, key string, content any) {
 	key = kind + " " + key
 	if s.now < s.pending[key] {
 		return
@@ -199,23 +199,23 @@
 		clear(s.pending)
 	}
 	s.pending[key] = s.now + 1000
-	s.council.Propose(quorum.Command{StateMachine: book, Kind: kind, Data: codec.Encode(content)}, func(quorum.Outcome) { delete(s.pending, key) })
+	s.replica.Propose(quorum.Command{StateMachine: stateMachine, Kind: kind, Data: codec.Encode(content)}, func(quorum.Outcome) { delete(s.pending, key) })
 }
 
 // logStages logs each purge whose stage has changed.
 func (s *Service) logStages() {
-	if s.loggedChanges == s.book.Changes() {
+	if s.loggedChanges == s.stateMachine.Changes() {
 		return
 	}
-	s.loggedChanges = s.book.Changes()
-	for id, x := range s.book.Purges {
+	s.loggedChanges = s.stateMachine.Changes()
+	for id, x := range s.stateMachine.Purges {
 		if was, known := s.loggedStages[id]; !known || was != x.Stage {
 			s.loggedStages[id] = x.Stage
 			s.log.WithFields(logrus.Fields{"purge": id, "is": x.Stage.String(), "sent": x.Published, "of": len(x.Purge.Objects), "without": x.Missing}).Info("purges: stage")
 		}
 	}
 	for id := range s.loggedStages {
-		if s.book.Purges[id] == nil {
+		if s.stateMachine.Purges[id] == nil {
 			delete(s.loggedStages, id)
 		}
 	}
@@ -252,7 +252,7 @@
 func (s *Service) describe(x *purges.State) PurgeReport {
 	p := PurgeReport{State: *x, Stage: x.Stage.String(), Effective: x.Effective()}
 	if x.Stage <= purges.Sent {
-		p.Unconfirmed = s.book.Unconfirmed(x)
+		p.Unconfirmed = s.stateMachine.Unconfirmed(x)
 	}
 	return p
 }
@@ -276,25 +276,25 @@
 		}
 		return s.block.Limits, nil
 	case "purge":
-		if x := s.book.Purges[name]; x != nil {
+		if x := s.stateMachine.Purges[name]; x != nil {
 			return s.describe(x), nil
 		}
 		return nil, fmt.Errorf("purge %q: %w", name, purges.ErrUnknown)
 	case "purge followers":
 		all := []GatewayReport{}
-		for _, name := range slices.Sorted(maps.Keys(s.book.Gateways)) {
-			g := s.book.Gateways[name]
-			all = append(all, GatewayReport{Name: name, Joined: g.Joined, Since: g.Since, Confirmed: g.Confirmed, Follows: g.Confirmed >= s.book.LastIndex, Misses: g.Misses})
+		for _, name := range slices.Sorted(maps.Keys(s.stateMachine.Gateways)) {
+			g := s.stateMachine.Gateways[name]
+			all = append(all, GatewayReport{Name: name, Joined: g.Joined, Since: g.Since, Confirmed: g.Confirmed, Follows: g.Confirmed >= s.stateMachine.LastIndex, Misses: g.Misses})
 		}
-		return map[string]any{"last": s.book.LastIndex, "gateways": all}, nil
+		return map[string]any{"last": s.stateMachine.LastIndex, "gateways": all}, nil
 	case "purges":
 		all := []PurgeReport{}
-		for _, x := range s.book.All() {
+		for _, x := range s.stateMachine.All() {
 			p := s.describe(x)
 			p.Purge.Objects = nil // the whole list has to fit one frame
 			all = append(all, p)
 		}
-		return map[string]any{"held": s.book.Bounds.Len(), "floor": s.book.Bounds.Floor, "purges": all[max(0, len(all)-500):]}, nil
+		return map[string]any{"held": s.stateMachine.Bounds.Len(), "floor": s.stateMachine.Bounds.Floor, "purges": all[max(0, len(all)-500):]}, nil
 	}
 	return nil, quorumdriver.ErrUnknownSubject
 }
--- a/internal/quorum/driver/driver_test.go
+++ b/internal/quorum/driver/driver_test.go
@@ -260,7 +260,7 @@
 // Over TCP: a single founder that is configured without peers, and two followers of it, one with a store and one
 // without. Commands of all of them are committed and survive a restart of the founder, which learns the addresses of
 // the others from the log. A gateway that joins receives a state that is larger than a frame.
-func TestCouncil(t *testing.T) {
+func TestReplica(t *testing.T) {
 	dir, log := t.TempDir(), logrus.New()
 	log.SetOutput(io.Discard)
 	until := func(condition string, holds func() bool) {
--- a/internal/quorum/driver/recover.go
+++ b/internal/quorum/driver/recover.go
@@ -14,7 +14,7 @@
 // Recover reads the store in a directory, of a gateway that is not running. With commit set it writes a new fleet to
 // the store (see quorum.Recover); the operator must have confirmed what that can lose. Without it only the
 // report is returned.
-func Recover(dir string, books map[string]quorum.StateMachine, commit bool) (report quorum.Recovery, err error) {
+func Recover(dir string, stateMachines map[string]quorum.StateMachine, commit bool) (report quorum.Recovery, err error) {
 	path := filepath.Join(dir, "agreed")
 	if _, err := os.Stat(path); err != nil {
 		return report, fmt.Errorf("store: %w", err)
@@ -26,7 +26,7 @@
 	defer func() { err = errors.Join(err, s.close()) }()
 	var seed [8]byte
 	rand.Read(seed[:])
-	record, report, err := quorum.Recover(stored, books, binary.LittleEndian.Uint64(seed[:]))
+	record, report, err := quorum.Recover(stored, stateMachines, binary.LittleEndian.Uint64(seed[:]))
 	if err != nil || !commit {
 		report.NextFleet = 0
 		return report, err
--- a/internal/quorum/driver/replica.go
+++ b/internal/quorum/driver/replica.go
@@ -37,7 +37,7 @@
 	start     time.Time
 	lastToken uint64
 	pending   map[uint64]func(quorum.Outcome) // callbacks of the proposed commands, by token
-	part      Subsystem                       // nil: none
+	subsystem Subsystem                       // nil: none
 	notified  LogAdvanced                     // the last state passed to the part; Restored: not passed on yet
 	advanced  bool                            // whether the log advanced since
 }
@@ -95,12 +95,12 @@
 
 // Open reads the store and listens for peers, with maxConns connections at most; Run then starts the loop. Without a
 // store, or with an unusable one, this gateway follows and never votes. An unusable store is logged with its error.
-func Open(b Block, name, zone string, maxConns int, part Subsystem, log logrus.FieldLogger) (*Replica, error) {
-	var books map[string]quorum.StateMachine
-	if part != nil {
-		books = part.StateMachines()
+func Open(b Block, name, zone string, maxConns int, subsystem Subsystem, log logrus.FieldLogger) (*Replica, error) {
+	var stateMachines map[string]quorum.StateMachine
+	if subsystem != nil {
+		stateMachines = subsystem.StateMachines()
 	}
-	c := &Replica{part: part, inbox: make(chan any, inboxCapacity), writes: make(chan quorum.Record, 1), log: log, start: time.Now(), pending: map[uint64]func(quorum.Outcome){}}
+	c := &Replica{subsystem: subsystem, inbox: make(chan any, inboxCapacity), writes: make(chan quorum.Record, 1), log: log, start: time.Now(), pending: map[uint64]func(quorum.Outcome){}}
 	var seed [16]byte
 	rand.Read(seed[:])
 	settings := b.Settings
@@ -137,11 +137,11 @@
 	}
 	nonce := binary.LittleEndian.Uint64(seed[8:]) | 1
 	c.notified.Name = name
-	if c.node, err = newNode(settings, stored, books, nonce, c.now()); err != nil {
+	if c.node, err = newNode(settings, stored, stateMachines, nonce, c.now()); err != nil {
 		log.WithError(err).Error("quorum: the store can't be used: this gateway only follows")
 		c.closeStore()
 		c.store, settings.Founders, settings.Diskless = nil, nil, true
-		if c.node, err = newNode(settings, quorum.Store{}, books, nonce, c.now()); err != nil {
+		if c.node, err = newNode(settings, quorum.Store{}, stateMachines, nonce, c.now()); err != nil {
 			l.Close()
 			return nil, fmt.Errorf("quorum: %w", err)
 		}
@@ -155,28 +155,28 @@
 		case quorum.KindStatus:
 			c.post(call(func() { c.answerQuestion(f, answer) }))
 		case quorum.KindEffect, quorum.KindEffectResult:
-			if part != nil {
+			if subsystem != nil {
 				c.Post(PeerRequest{From: from, Frame: f, Answer: answer})
 			}
 		default:
 			c.post(quorum.Received{From: from, Frame: f})
 		}
 	}
-	if part != nil {
-		part.Start(c)
+	if subsystem != nil {
+		subsystem.Start(c)
 	}
 	return c, nil
 }
 
 // newNode creates a node with the state of a store. It returns an error when raft panics, as it does on a state that
 // contradicts itself.
-func newNode(settings quorum.Settings, stored quorum.Store, books map[string]quorum.StateMachine, nonce uint64, now float64) (n *quorum.Node, err error) {
+func newNode(settings quorum.Settings, stored quorum.Store, stateMachines map[string]quorum.StateMachine, nonce uint64, now float64) (n *quorum.Node, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("store: %v", p)
 		}
 	}()
-	return quorum.New(settings, stored, books, nonce, now)
+	return quorum.New(settings, stored, stateMachines, nonce, now)
 }
 
 // Address returns the address on which this gateway listens for peers.
@@ -195,7 +195,7 @@
 
 // Post queues an event for the part. It may be called from any goroutine, and drops the event when the inbox is full.
 func (c *Replica) Post(e any) {
-	c.post(call(func() { c.part.Handle(c.now(), e) }))
+	c.post(call(func() { c.subsystem.Handle(c.now(), e) }))
 }
 
 // Send sends a frame to a peer; the frame may be lost. When it is certain that no byte of it was sent, notSent is
@@ -250,8 +250,8 @@
 	done := ctx.Done()
 	for over := false; !over; {
 		next := c.node.Next()
-		if c.part != nil {
-			next = min(next, c.part.NextDeadline())
+		if c.subsystem != nil {
+			next = min(next, c.subsystem.NextDeadline())
 		}
 		timer.Reset(time.Duration(min(3.6e6, max(0, next-c.now())) * float64(time.Millisecond)))
 		var e any
@@ -261,8 +261,8 @@
 		case <-timer.C:
 		case <-done:
 			done, handOverExpired = nil, time.After(handOverTimeout)
-			if c.part != nil {
-				c.part.Handle(c.now(), ShuttingDown{})
+			if c.subsystem != nil {
+				c.subsystem.Handle(c.now(), ShuttingDown{})
 			}
 		case <-handOverExpired:
 			handOverExpired, leaveFlushed = nil, time.After(leaveFlushTime)
@@ -276,8 +276,8 @@
 			e = nil
 		}
 		c.perform(c.handle(e))
-		c.notifyPart()
-		if handOverExpired != nil && (c.part == nil || c.part.Idle()) {
+		c.notifySubsystem()
+		if handOverExpired != nil && (c.subsystem == nil || c.subsystem.Idle()) {
 			handOverExpired, leaveFlushed = nil, time.After(leaveFlushTime)
 			failpoint.Here(failpoint.Leaving)
 			c.perform(c.handle(quorum.Leave{}))
@@ -286,8 +286,8 @@
 	close(c.writes)
 	<-writerDone
 	c.peers.close()
-	if c.part != nil {
-		if err := c.part.Close(); err != nil {
+	if c.subsystem != nil {
+		if err := c.subsystem.Close(); err != nil {
 			c.log.WithError(err).Error("jobs: the record of effects can't be closed")
 		}
 	}
@@ -297,19 +297,19 @@
 	return c.closeStore()
 }
 
-// notifyPart passes the part the current state of the log, or only the time when nothing changed.
-func (c *Replica) notifyPart() {
-	if c.part == nil {
+// notifySubsystem passes the part the current state of the log, or only the time when nothing changed.
+func (c *Replica) notifySubsystem() {
+	if c.subsystem == nil {
 		return
 	}
 	f := LogAdvanced{Name: c.notified.Name, Incarnation: c.node.Incarnation(), Leads: c.node.IsLeader(), Restored: c.notified.Restored}
 	if !c.advanced && f == c.notified {
-		c.part.Handle(c.now(), nil)
+		c.subsystem.Handle(c.now(), nil)
 		return
 	}
 	c.advanced, c.notified = false, f
 	c.notified.Restored = false
-	c.part.Handle(c.now(), f)
+	c.subsystem.Handle(c.now(), f)
 }
 
 // handle passes an event to the node. When raft panics, as it does when its log contradicts that of other voters, the
@@ -397,11 +397,11 @@
 		}
 	}
 	switch command := q.Command; {
-	case command != nil && c.part == nil:
+	case command != nil && c.subsystem == nil:
 		c.reply(q, 0, errors.New("this gateway agrees on nothing of that kind"), answer)
 		return
 	case command != nil:
-		if err := c.part.CheckCommand(*command); err != nil {
+		if err := c.subsystem.CheckCommand(*command); err != nil {
 			c.reply(q, 0, err, answer)
 			return
 		}
@@ -428,8 +428,8 @@
 	r.Report.Frames = c.peers.framesSent.Load()
 	if err == nil && q.Subject != "" {
 		var body any
-		if err = errors.New("this gateway knows of nothing of that kind"); c.part != nil {
-			body, err = c.part.Query(q.Subject, q.Name)
+		if err = errors.New("this gateway knows of nothing of that kind"); c.subsystem != nil {
+			body, err = c.subsystem.Query(q.Subject, q.Name)
 		}
 		if err == nil {
 			r.Body, err = json.Marshal(body)
--- a/internal/quorum/driver/subsystems.go
+++ b/internal/quorum/driver/subsystems.go
@@ -13,33 +13,33 @@
 type Subsystems []Subsystem
 
 // StateMachines returns the state machines of all parts.
-func (p Subsystems) StateMachines() map[string]quorum.StateMachine {
+func (s Subsystems) StateMachines() map[string]quorum.StateMachine {
 	all := map[string]quorum.StateMachine{}
-	for _, part := range p {
-		maps.Copy(all, part.StateMachines())
+	for _, subsystem := range s {
+		maps.Copy(all, subsystem.StateMachines())
 	}
 	return all
 }
 
 // Start passes the council to all parts.
-func (p Subsystems) Start(c *Replica) {
-	for _, part := range p {
-		part.Start(c)
+func (s Subsystems) Start(c *Replica) {
+	for _, subsystem := range s {
+		subsystem.Start(c)
 	}
 }
 
 // Handle passes the event to all parts. Each ignores the events of others.
-func (p Subsystems) Handle(now float64, e any) {
-	for _, part := range p {
-		part.Handle(now, e)
+func (s Subsystems) Handle(now float64, e any) {
+	for _, subsystem := range s {
+		subsystem.Handle(now, e)
 	}
 }
 
 // NextDeadline returns the earliest time at which a part has something due.
-func (p Subsystems) NextDeadline() float64 {
+func (s Subsystems) NextDeadline() float64 {
 	next := math.Inf(1)
-	for _, part := range p {
-		next = min(next, part.NextDeadline())
+	for _, subsystem := range s {
+		next = min(next, subsystem.NextDeadline())
 	}
 	return next
 }
@@ -48,9 +48,9 @@
 var ErrUnknownSubject = errors.New("this gateway knows nothing of that")
 
 // Query returns the answer of the first part that knows the subject.
-func (p Subsystems) Query(about, name string) (any, error) {
-	for _, part := range p {
-		if body, err := part.Query(about, name); !errors.Is(err, ErrUnknownSubject) {
+func (s Subsystems) Query(about, name string) (any, error) {
+	for _, subsystem := range s {
+		if body, err := subsystem.Query(about, name); !errors.Is(err, ErrUnknownSubject) {
 			return body, err
 		}
 	}
@@ -58,19 +58,19 @@
 }
 
 // CheckCommand asks the part that owns the command's state machine.
-func (p Subsystems) CheckCommand(c quorum.Command) error {
-	for _, part := range p {
-		if part.StateMachines()[c.StateMachine] != nil {
-			return part.CheckCommand(c)
+func (s Subsystems) CheckCommand(c quorum.Command) error {
+	for _, subsystem := range s {
+		if subsystem.StateMachines()[c.StateMachine] != nil {
+			return subsystem.CheckCommand(c)
 		}
 	}
 	return fmt.Errorf("%q: %w", c.StateMachine, ErrUnknownSubject)
 }
 
 // Idle reports whether all parts are idle.
-func (p Subsystems) Idle() bool {
-	for _, part := range p {
-		if !part.Idle() {
+func (s Subsystems) Idle() bool {
+	for _, subsystem := range s {
+		if !subsystem.Idle() {
 			return false
 		}
 	}
@@ -78,9 +78,9 @@
 }
 
 // Close closes all parts.
-func (p Subsystems) Close() (err error) {
-	for _, part := range p {
-		err = errors.Join(err, part.Close())
+func (s Subsystems) Close() (err error) {
+	for _, subsystem := range s {
+		err = errors.Join(err, subsystem.Close())
 	}
 	return err
 }
--- a/internal/quorum/members.go
+++ b/internal/quorum/members.go
@@ -28,8 +28,8 @@
 
 // The kinds of commands of this package's own state machine.
 const (
-	membersBook = "members"
-	cmdNoop     = "nothing" // uses up a sequence number of the sender
+	membersStateMachine = "members"
+	cmdNoop             = "nothing" // uses up a sequence number of the sender
 	// All but cmdNoop carry a Member, of which only the fields listed here are set.
 	cmdJoin    = "join"    // name, zone, address, nonce, identity; incarnation: the last one of that name known to the sender
 	cmdLeave   = "leave"   // name, incarnation
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -28,7 +28,7 @@
 	storage          *raft.MemoryStorage
 	conf             *raftpb.ConfState
 	members          *Members
-	books            map[string]StateMachine
+	stateMachines    map[string]StateMachine
 	applied          uint64
 	incarnation      uint64 // of this process; 0: not assigned yet
 	seq              uint64
@@ -116,9 +116,9 @@
 const initialIndex = 1
 
 // New returns a node with the state of its store. Each process must draw a nonce of its own.
-func New(settings Settings, store Store, books map[string]StateMachine, nonce uint64, now float64) (*Node, error) {
+func New(settings Settings, store Store, stateMachines map[string]StateMachine, nonce uint64, now float64) (*Node, error) {
 	n := &Node{settings: settings, now: now, rng: prng.Source((settings.Seed^nonce)>>1 | 1), nonce: nonce, id: store.Identity, founding: store.Founding,
-		members: newMembers(settings.MaxMembers), books: books, emptyFounders: map[string]founderHello{}, lastRenewal: map[uint64]float64{},
+		members: newMembers(settings.MaxMembers), stateMachines: stateMachines, emptyFounders: map[string]founderHello{}, lastRenewal: map[uint64]float64{},
 		pendingRenewals: map[uint64]Renewal{}, proposedByLeader: map[leaderProposal]float64{}, peerNames: map[uint64]string{}, foreignPeers: map[string]bool{}, renewAt: now, joinAt: now,
 		starts: store.Starts + 1, highWaterMarks: map[uint64]HighWaterMark{}, retiring: map[string]bool{}}
 	maps.Copy(n.highWaterMarks, store.HighWaterMarks)
@@ -182,12 +182,12 @@
 	if err := n.members.Load(state.Members); err != nil {
 		return err
 	}
-	for name, book := range n.books {
+	for name, stateMachine := range n.stateMachines {
 		saved, found := state.Books[name]
-		if err := book.Load(saved); err != nil {
+		if err := stateMachine.Load(saved); err != nil {
 			return fmt.Errorf("book %s: %w", name, err)
 		}
-		if observer, ok := book.(MembershipObserver); ok && !found { // the snapshot was written before this state machine existed
+		if observer, ok := stateMachine.(MembershipObserver); ok && !found { // the snapshot was written before this state machine existed
 			for _, m := range n.members.All() {
 				observer.MemberChanged(index, *m)
 			}
@@ -210,8 +210,8 @@
 // encodeState returns all replicated state as a snapshot.
 func (n *Node) encodeState() []byte {
 	state := replicatedState{Members: n.members.Save(), Books: map[string][]byte{}}
-	for name, book := range n.books {
-		state.Books[name] = book.Save()
+	for name, stateMachine := range n.stateMachines {
+		state.Books[name] = stateMachine.Save()
 	}
 	return codec.Encode(state)
 }
@@ -600,13 +600,13 @@
 	var result any
 	if err := n.members.checkSequence(c); err != nil {
 		result = err
-	} else if c.StateMachine == membersBook {
+	} else if c.StateMachine == membersStateMachine {
 		result = n.members.Apply(index, c)
 		n.memberChanged(c, result)
 		if result == ErrOldStore {
 			n.storeRejected(c)
 		}
-	} else if b := n.books[c.StateMachine]; b != nil {
+	} else if b := n.stateMachines[c.StateMachine]; b != nil {
 		result = b.Apply(index, c)
 	} else {
 		result = ErrUnknown
@@ -630,8 +630,8 @@
 	if !ok {
 		return
 	}
-	for _, name := range slices.Sorted(maps.Keys(n.books)) {
-		if observer, ok := n.books[name].(MembershipObserver); ok {
+	for _, name := range slices.Sorted(maps.Keys(n.stateMachines)) {
+		if observer, ok := n.stateMachines[name].(MembershipObserver); ok {
 			if n.members.evicted != "" {
 				observer.MemberChanged(n.applied, Member{Name: n.members.evicted})
 			}
--- a/internal/quorum/peers.go
+++ b/internal/quorum/peers.go
@@ -209,7 +209,7 @@
 		if n.now >= p.expiresAt() {
 			// Its sequence number must be used up, as later commands wait for it.
 			n.emit(Outcome{Token: p.token, Err: ErrGivenUp})
-			p.token, p.command = 0, Command{From: p.command.From, Seq: p.command.Seq, StateMachine: membersBook, Kind: cmdNoop}
+			p.token, p.command = 0, Command{From: p.command.From, Seq: p.command.Seq, StateMachine: membersStateMachine, Kind: cmdNoop}
 		}
 	}
 	if n.incarnation == 0 || n.onSaved != nil && n.isLeader() {
@@ -281,7 +281,7 @@
 	if m := n.members.Names[n.settings.Name]; m != nil {
 		previous = m.Incarnation
 	}
-	n.forward([]Command{{StateMachine: membersBook, Kind: cmdJoin, Data: codec.Encode(Member{Name: n.settings.Name, Zone: n.settings.Zone, Address: n.settings.Address,
+	n.forward([]Command{{StateMachine: membersStateMachine, Kind: cmdJoin, Data: codec.Encode(Member{Name: n.settings.Name, Zone: n.settings.Zone, Address: n.settings.Address,
 		Nonce: n.nonce, Identity: id, Incarnation: previous, RunsOwnedWork: n.settings.RunsOwnedWork, Starts: n.starts})}})
 }
 
@@ -292,7 +292,7 @@
 		return
 	}
 	// Proposed first: raft drops proposals during a leadership transfer.
-	n.forward([]Command{{StateMachine: membersBook, Kind: cmdLeave, Data: codec.Encode(Member{Name: n.settings.Name, Incarnation: n.incarnation})}})
+	n.forward([]Command{{StateMachine: membersStateMachine, Kind: cmdLeave, Data: codec.Encode(Member{Name: n.settings.Name, Incarnation: n.incarnation})}})
 	n.transferLeadership()
 	n.left = true
 }
@@ -401,7 +401,7 @@
 		return
 	}
 	n.proposedByLeader[key] = n.now
-	n.raft.Propose(codec.Encode(Command{StateMachine: membersBook, Kind: kind, Data: codec.Encode(m)}))
+	n.raft.Propose(codec.Encode(Command{StateMachine: membersStateMachine, Kind: kind, Data: codec.Encode(m)}))
 }
 
 // checkLeases proposes at the leader that members with expired leases are silent. Nothing else does.
--- a/internal/quorum/recover.go
+++ b/internal/quorum/recover.go
@@ -36,7 +36,7 @@
 // all entries in the store count as committed, and incarnations and tokens skip all that can have been given out. The
 // record is to be written to that store; no other copy of the store may be in use. Books are the state machines of
 // the gateway; the nonce must be a fresh random number.
-func Recover(store Store, books map[string]StateMachine, nonce uint64) (Record, Recovery, error) {
+func Recover(store Store, stateMachines map[string]StateMachine, nonce uint64) (Record, Recovery, error) {
 	report := Recovery{Name: store.Identity.Name, Identity: store.Identity.ID, Starts: store.Starts}
 	switch {
 	case store.Identity.ID == 0 || store.Founding == nil:
@@ -44,7 +44,7 @@
 	case store.Snapshot.GetMetadata().GetIndex() == 0:
 		return Record{}, report, errors.New("the store holds nothing of the log: its gateway never voted")
 	}
-	n := &Node{settings: Settings{Name: store.Identity.Name}, rng: prng.Source(nonce>>1 | 1), id: store.Identity, founding: store.Founding, members: newMembers(maxListed), books: books,
+	n := &Node{settings: Settings{Name: store.Identity.Name}, rng: prng.Source(nonce>>1 | 1), id: store.Identity, founding: store.Founding, members: newMembers(maxListed), stateMachines: stateMachines,
 		peerNames: map[uint64]string{}, lastRenewal: map[uint64]float64{}}
 	meta := store.Snapshot.GetMetadata()
 	if err := n.restoreState(store.Snapshot.GetData(), meta.GetIndex()); err != nil {
@@ -63,8 +63,8 @@
 		report.Voters = append(report.Voters, n.nameOf(id))
 	}
 	n.members.LastIncarnation += incarnationLeap
-	for _, book := range books {
-		if allocator, ok := book.(TokenAllocator); ok {
+	for _, stateMachine := range stateMachines {
+		if allocator, ok := stateMachine.(TokenAllocator); ok {
 			allocator.SkipTokens()
 		}
 	}
--- a/internal/rehearsal/virtual/replicated_log.go
+++ b/internal/rehearsal/virtual/replicated_log.go
@@ -71,7 +71,7 @@
 
 // propose commits an entry after a delay and lets all running members apply it.
 func (l *replicatedLog) propose(entry logEntry) {
-	l.d.agenda.Add(l.d.now+commitDelay, func() {
+	l.d.queue.Add(l.d.now+commitDelay, func() {
 		l.entries = append(l.entries, entry)
 		upTo := len(l.entries)
 		for i, m := range l.members {
@@ -83,7 +83,7 @@
 				delay = followerDelay * float64(i%16) / 16
 			}
 			process := m.process
-			l.d.agenda.Add(l.d.now+delay, func() {
+			l.d.queue.Add(l.d.now+delay, func() {
 				if m.process == process {
 					m.follow(upTo)
 				}
@@ -101,7 +101,7 @@
 	limits := owner.DefaultLimits()
 	limits.WarmRounds, limits.WarmEach = m.consensus.d.script.Quorum.Warm, 24
 	m.agent = owner.NewAgent(limits)
-	m.timer = m.consensus.d.agenda.Add(math.Inf(1), func() { m.handle(nil) })
+	m.timer = m.consensus.d.queue.Add(math.Inf(1), func() { m.handle(nil) })
 	m.consensus.propose(logEntry{name: m.name, worker: owner.Member{Incarnation: m.incarnation, Present: true, Losses: m.losses, Zone: m.zone}})
 	m.g.core.OnNodeListed(func(n router.Entry) {
 		if remaining := gateway.ColdRemaining(m.g.config, n, m.consensus.d.unix()); remaining > 0 {
@@ -117,7 +117,7 @@
 	}
 	m.agent = nil
 	m.process++
-	m.consensus.d.agenda.Move(m.timer, math.Inf(1))
+	m.consensus.d.queue.Move(m.timer, math.Inf(1))
 	incarnation, delay := m.incarnation, silenceTimeout
 	if announced {
 		delay = 0
@@ -125,7 +125,7 @@
 		m.losses++
 	}
 	losses := m.losses
-	m.consensus.d.agenda.Add(m.consensus.d.now+delay, func() {
+	m.consensus.d.queue.Add(m.consensus.d.now+delay, func() {
 		if m.incarnation == incarnation {
 			m.consensus.propose(logEntry{name: m.name, worker: owner.Member{Incarnation: incarnation, Losses: losses, Zone: m.zone}})
 		}
@@ -161,7 +161,7 @@
 		}
 	}
 	if m.agent != nil {
-		d.agenda.Move(m.timer, max(d.now, m.agent.NextDeadline()))
+		d.queue.Move(m.timer, max(d.now, m.agent.NextDeadline()))
 	}
 }
 
--- a/internal/rehearsal/virtual/virtual.go
+++ b/internal/rehearsal/virtual/virtual.go
@@ -74,7 +74,7 @@
 	Options
 	script       *script.Script
 	world        *world.World
-	agenda       world.EventQueue
+	queue        world.EventQueue
 	now          float64
 	gateways     []*gatewayProcess
 	wires        map[int64]*wire
@@ -128,7 +128,7 @@
 	}
 	end := s.Length() + 2*s.LongestExpiry() + 10_000
 	for !d.world.Done() && d.now < end {
-		at, ok := d.agenda.Next()
+		at, ok := d.queue.Next()
 		worldDue, worldOK := d.world.Next()
 		switch {
 		case worldOK && (!ok || worldDue < at):
@@ -138,7 +138,7 @@
 			}
 		case ok:
 			d.now = max(d.now, at)
-			d.agenda.Step()
+			d.queue.Step()
 		default:
 			return d.stats, fmt.Errorf("nothing is due at %.1f ms", d.now)
 		}
@@ -153,7 +153,7 @@
 func (d *driver) unix() float64 { return epoch + d.now }
 
 // runNext schedules a callback at the present time, after the current one: a core must not be called from within itself.
-func (d *driver) runNext(do func()) { d.agenda.Add(d.now, do) }
+func (d *driver) runNext(do func()) { d.queue.Add(d.now, do) }
 
 // post passes an event to the world and executes the resulting actions.
 func (d *driver) post(e world.Event) {
@@ -221,11 +221,11 @@
 	if err != nil {
 		return err
 	}
-	news, err := channel.Parse(text)
+	event, err := channel.Parse(text)
 	if err != nil {
 		return fmt.Errorf("event %d: %w", a.Cursor, err)
 	}
-	d.published = append(d.published, news)
+	d.published = append(d.published, event)
 	takes := channelDelay
 	if d.channelState == world.Silent {
 		takes = mutedChannelDelay
@@ -235,7 +235,7 @@
 			continue
 		}
 		core := g.core
-		d.agenda.Add(d.now+takes, func() {
+		d.queue.Add(d.now+takes, func() {
 			if g.core == core {
 				g.deliver(a.Cursor)
 			}
@@ -287,12 +287,12 @@
 	if s := d.world.LinkSettings(); s.Base != "" {
 		s.Audience = append(s.Audience, c.Name)
 		g.block = linksdriver.Block{On: true, From: "query", Name: "URISigningPackage", Settings: s}
-		ring, err := links.NewKeySet(d.world.LinkKeys(), nil)
+		keySet, err := links.NewKeySet(d.world.LinkKeys(), nil)
 		if err != nil {
 			return err
 		}
 		if d.Faults.Links == nil || d.Faults.Links(&s) {
-			g.core.RequireSignedLinks(links.New(s, ring, []byte(c.Name), d.unix()), g.block, nil, nil, d.unix)
+			g.core.RequireSignedLinks(links.New(s, keySet, []byte(c.Name), d.unix()), g.block, nil, nil, d.unix)
 		}
 	}
 	if d.AgreedUntil != nil {
@@ -305,8 +305,8 @@
 	}
 	answered, _ := gateway.ShutdownDeadlines(c)
 	g.cursor, g.callers, g.terminatedAt, g.answerWithin = cursor, map[string]*caller{}, -1, float64(answered)/float64(time.Millisecond)
-	g.coreTimer = d.agenda.Add(math.Inf(1), func() { g.handle(nil) })
-	g.watchTimer = d.agenda.Add(d.now+watchInterval, g.watch)
+	g.coreTimer = d.queue.Add(math.Inf(1), func() { g.handle(nil) })
+	g.watchTimer = d.queue.Add(d.now+watchInterval, g.watch)
 	g.handle(nil)
 	d.post(world.Ready{Gateway: g.number})
 	return nil
@@ -322,9 +322,9 @@
 // updateKeys makes a gateway load changed link keys after the delay of its file watch.
 func (d *driver) updateKeys(g *gatewayProcess, a world.Keys) {
 	core := g.core
-	d.agenda.Add(d.now+d.world.KeyReloadDelay(g.number), func() {
-		if ring, err := links.NewKeySet(a.Keys, nil); err == nil && g.core == core && core != nil {
-			g.handle(gateway.KeysReloaded{Ring: ring, Block: g.block})
+	d.queue.Add(d.now+d.world.KeyReloadDelay(g.number), func() {
+		if keySet, err := links.NewKeySet(a.Keys, nil); err == nil && g.core == core && core != nil {
+			g.handle(gateway.KeysReloaded{Ring: keySet, Block: g.block})
 		}
 	})
 }
@@ -340,9 +340,9 @@
 		g.core.Handle(e)
 	}
 	if at, ok := g.core.Next(); ok {
-		g.d.agenda.Move(g.coreTimer, max(g.d.now, at-epoch))
+		g.d.queue.Move(g.coreTimer, max(g.d.now, at-epoch))
 	} else {
-		g.d.agenda.Move(g.coreTimer, math.Inf(1))
+		g.d.queue.Move(g.coreTimer, math.Inf(1))
 	}
 }
 
@@ -376,7 +376,7 @@
 		d.post(world.Exited{Gateway: g.number, Crashed: crashes})
 		return
 	}
-	d.agenda.Move(g.watchTimer, d.now+watchInterval)
+	d.queue.Move(g.watchTimer, d.now+watchInterval)
 }
 
 // close ends a gateway's process and all its connections.
@@ -388,8 +388,8 @@
 	d.stats.Downloads += g.core.Taken
 	d.stats.Overdue += g.core.Overdue
 	d.stats.Panics += g.core.Panics
-	d.agenda.Remove(g.coreTimer)
-	d.agenda.Remove(g.watchTimer)
+	d.queue.Remove(g.coreTimer)
+	d.queue.Remove(g.watchTimer)
 	g.core = nil
 	for _, id := range slices.Sorted(maps.Keys(d.wires)) {
 		if w := d.wires[id]; w.g == g {
@@ -469,7 +469,7 @@
 		w := &wire{g: g, id: d.conns, answers: caches.NewParser(d.buffers)}
 		d.wires[w.id] = w
 		d.post(world.Dialled{Conn: w.id, Address: address})
-		w.connectTimer = d.agenda.Add(d.now+within, func() {
+		w.connectTimer = d.queue.Add(d.now+within, func() {
 			if !w.connected && !w.closed {
 				w.fail()
 				d.post(world.ConnClosed{Conn: w.id})
@@ -484,7 +484,7 @@
 		return
 	}
 	w.connected = true
-	w.g.d.agenda.Remove(w.connectTimer)
+	w.g.d.queue.Remove(w.connectTimer)
 	w.g.handle(caches.Up{Wire: w, At: w.g.d.unix()})
 	queue := w.queue
 	w.queue = nil
@@ -551,7 +551,7 @@
 func (w *wire) release() {
 	w.closed = true
 	delete(w.g.d.wires, w.id)
-	w.g.d.agenda.Remove(w.connectTimer)
+	w.g.d.queue.Remove(w.connectTimer)
 	for _, i := range w.queue {
 		i.MarkWritten(false)
 	}
--- a/internal/rehearsal/virtual/work_order_test.go
+++ b/internal/rehearsal/virtual/work_order_test.go
@@ -29,18 +29,18 @@
 // planNight returns when each cache goes out by the rules of package maintenance, and when the last is done. order returns the
 // waiting caches in the order to try; the state machine refuses those that must not go.
 func planNight(boxes, clubs []string, limits maintenance.Limits, lost string, order func(*maintenance.State) []string) (outAt map[string]float64, doneAt float64) {
-	book := maintenance.New()
+	state := maintenance.New()
 	inventory := maintenance.Inventory{Version: 1, Limits: limits}
 	for i, name := range boxes {
 		inventory.Machines = append(inventory.Machines, maintenance.Machine{Name: name, Club: clubs[i], Boxes: []string{name}, Capacity: 1})
 	}
-	apply := func(kind string, content any) any { return book.Apply(1, kind, codec.Encode(content)) }
+	apply := func(kind string, content any) any { return state.Apply(1, kind, codec.Encode(content)) }
 	apply(maintenance.SetInventory, inventory)
 	for _, name := range boxes {
 		apply(maintenance.Submit, maintenance.CommandData{At: nightStart, Request: &maintenance.Request{ID: name, Machine: name, Duration: workTime}})
 	}
 	outAt = map[string]float64{}
-	for now := nightStart; len(book.Windows) > 0 && now < 1e6; now += 100 {
+	for now := nightStart; len(state.Windows) > 0 && now < 1e6; now += 100 {
 		doneAt = now
 		if lost != "" && (now == lossAt || now == lossAt+lossDuration) {
 			names := []string{}
@@ -50,16 +50,16 @@
 			apply(maintenance.SetLost, maintenance.CommandData{At: now, Names: names})
 		}
 		apply(maintenance.Tick, maintenance.CommandData{At: now})
-		for _, name := range order(book) {
+		for _, name := range order(state) {
 			apply(maintenance.Grant, maintenance.CommandData{At: now, Machine: name})
 		}
-		for name, w := range book.Windows {
+		for name, w := range state.Windows {
 			o := maintenance.CommandData{At: now, Machine: name, Token: w.Token}
 			switch {
 			case w.Stage == maintenance.Granted:
 				apply(maintenance.Drain, o)
 			case w.Stage == maintenance.Draining && now >= w.Since+drainTime:
-				if apply(maintenance.Leave, o); book.Windows[name].Stage == maintenance.OutOfService {
+				if apply(maintenance.Leave, o); state.Windows[name].Stage == maintenance.OutOfService {
 					outAt[name] = now
 				}
 			case w.Stage == maintenance.OutOfService && now >= w.Since+workTime:
--- a/internal/rehearsal/world/box.go
+++ b/internal/rehearsal/world/box.go
@@ -103,7 +103,7 @@
 	} else if r == core {
 		slots, maxPerJob = 0, fillSpeedup
 	}
-	b.cpu = newSharedResource(&w.agenda, w.clock, cores, maxPerJob, slots)
+	b.cpu = newSharedResource(&w.queue, w.clock, cores, maxPerJob, slots)
 	if r == core {
 		b.cpu.crowding = w.script.Core.Congestion
 	}
@@ -297,7 +297,7 @@
 		}
 		ended = true
 		b.activeFills--
-		w.agenda.Remove(r.timer)
+		w.queue.Remove(r.timer)
 		if !r.done && b.up {
 			done(m, word)
 		}
@@ -446,7 +446,7 @@
 		if to.countWork(r.expectedWork(), true); !to.up {
 			w.scheduleAfter(hop, func() {
 				if !timedOut && b.up {
-					w.agenda.Remove(r.timer)
+					w.queue.Remove(r.timer)
 					b.answerBriefly(r, "BROKE")
 				}
 			})
@@ -460,7 +460,7 @@
 			}
 			w.scheduleAfter(hop+w.script.Core.Latency, func() {
 				if !timedOut && b.up {
-					w.agenda.Remove(r.timer)
+					w.queue.Remove(r.timer)
 					j := b.cpu.add(r.work, func() {
 						b.answer(r, "DONE", "fill", &objectCopy{key: r.key, tag: w.random.id("ran", r.id), createdAt: w.now, size: 64})
 					})
@@ -479,7 +479,7 @@
 	}
 	r.done = true
 	delete(r.conn.requests, r.id)
-	w.agenda.Remove(r.timer)
+	w.queue.Remove(r.timer)
 	a := Reply{Conn: r.conn.id, Tag: r.id, Word: word, Fields: "gauges=" + b.loadReport()}
 	f := Served{At: w.now, ID: r.id, Box: b.id, Word: word, Note: note}
 	if m != nil {
--- a/internal/rehearsal/world/clients.go
+++ b/internal/rehearsal/world/clients.go
@@ -295,8 +295,8 @@
 }
 
 func (w *World) closeRequest(a *openRequest) {
-	w.agenda.Remove(a.expiryTimer)
-	w.agenda.Remove(a.leaveTimer)
+	w.queue.Remove(a.expiryTimer)
+	w.queue.Remove(a.leaveTimer)
 	delete(w.openRequests, a.ID)
 	delete(w.gateways[a.gateway].openRequests, a.ID)
 }
--- a/internal/rehearsal/world/shared_resource.go
+++ b/internal/rehearsal/world/shared_resource.go
@@ -5,7 +5,7 @@
 // sharedResource divides a capacity among jobs (processor sharing): cores among downloads, a link among transfers. Jobs in
 // service get equal shares, limited to maxPerJob each; jobs beyond the slots wait in FIFO order.
 type sharedResource struct {
-	agenda              *EventQueue
+	queue               *EventQueue
 	now                 func() float64
 	capacity, maxPerJob float64 // work per ms: of all jobs, of one job
 	crowding            float64 // relative loss of capacity for each multiple of it that is requested
@@ -25,7 +25,7 @@
 }
 
 func newSharedResource(a *EventQueue, now func() float64, capacity, maxPerJob float64, slots int) *sharedResource {
-	s := &sharedResource{agenda: a, now: now, capacity: capacity, maxPerJob: maxPerJob, slots: slots, updatedAt: now()}
+	s := &sharedResource{queue: a, now: now, capacity: capacity, maxPerJob: maxPerJob, slots: slots, updatedAt: now()}
 	s.timer = &Entry{index: -1, run: s.completeDue}
 	return s
 }
@@ -116,9 +116,9 @@
 
 func (s *sharedResource) reschedule() {
 	if rate := s.ratePerJob(); rate > 0 {
-		s.agenda.Move(s.timer, s.now()+max(0, s.serving[0].at-s.workPerJob)/rate)
+		s.queue.Move(s.timer, s.now()+max(0, s.serving[0].at-s.workPerJob)/rate)
 	} else {
-		s.agenda.Remove(s.timer)
+		s.queue.Remove(s.timer)
 	}
 }
 
--- a/internal/rehearsal/world/signed_links.go
+++ b/internal/rehearsal/world/signed_links.go
@@ -14,10 +14,10 @@
 
 // issuer signs the members' links and rotates its keys.
 type issuer struct {
-	keys     []links.Key
-	ring     *links.KeySet
-	boxRing  *links.KeySet // the boxes' keys, which change after the gateways' keys
-	keysMade int
+	keys      []links.Key
+	keySet    *links.KeySet
+	boxKeySet *links.KeySet // the boxes' keys, which change after the gateways' keys
+	keysMade  int
 }
 
 // The gateways share no state, so the link of a write names the only gateway that may accept it: its audience is that gateway's
@@ -47,15 +47,15 @@
 
 func (w *World) setKeys(keys ...links.Key) {
 	w.issuer.keys = keys
-	ring, err := links.NewKeySet(keys, nil)
+	keySet, err := links.NewKeySet(keys, nil)
 	if err != nil {
 		panic(err) // keys made here are always valid
 	}
-	w.issuer.ring = ring
-	if w.issuer.boxRing == nil {
-		w.issuer.boxRing = ring
+	w.issuer.keySet = keySet
+	if w.issuer.boxKeySet == nil {
+		w.issuer.boxKeySet = keySet
 	}
-	w.scheduleAfter(1000, func() { w.issuer.boxRing = ring })
+	w.scheduleAfter(1000, func() { w.issuer.boxKeySet = keySet })
 }
 
 // rotateKeys starts signing with the upcoming key and gives the present one the state old; a withdrawn key stays in the file.
@@ -101,7 +101,7 @@
 			c.Audience = []string{name}
 			c.Write, c.Critical, c.URI = true, links.CriticalWrite, links.Hash(links.URI(LinkBase, op.typ.Name, op.object, int64(op.part)))
 		}
-		token, err := w.issuer.ring.Sign(c)
+		token, err := w.issuer.keySet.Sign(c)
 		if err != nil {
 			panic(err)
 		}
@@ -120,7 +120,7 @@
 	s.Audience, s.HasStore = []string{b.id}, true
 	s.Memory = 1 << 10
 	a := links.Request{At: w.epoch + w.now, Token: token, ID: r.id, Type: r.typ.Name, Object: r.key.object, Part: int64(r.key.part), Write: r.typ.Write}
-	return links.New(s, w.issuer.boxRing, []byte(b.id), 0).Admit(a).Reason == links.Admitted
+	return links.New(s, w.issuer.boxKeySet, []byte(b.id), 0).Admit(a).Reason == links.Admitted
 }
 
 // heldLink is a signed link that a client holds for all parts of an object.
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -17,7 +17,7 @@
 	acceptUnknown  bool
 	bodyDivisor    int // body sizes on real sockets are divided by this; 0: only the first line
 	now            float64
-	agenda         EventQueue
+	queue          EventQueue
 	actions        []Action
 	onFact         func(Fact)
 	boxes          map[string]*box
@@ -68,7 +68,7 @@
 	}
 	hubs := min(s.Hub.Count, max(1, (len(s.Clubs)+2)/3))
 	for i, c := range s.Clubs {
-		w.clubLinks[c] = newSharedResource(&w.agenda, w.clock, s.Link/1000, fillSpeedup*s.Flow/1000, 0)
+		w.clubLinks[c] = newSharedResource(&w.queue, w.clock, s.Link/1000, fillSpeedup*s.Flow/1000, 0)
 		w.hubOf[c] = fmt.Sprintf("hub-%d", i%hubs)
 	}
 	for i := range s.Box.Count {
@@ -122,8 +122,8 @@
 
 func (w *World) clock() float64 { return w.now }
 
-func (w *World) scheduleAt(t float64, do func()) *Entry     { return w.agenda.Add(max(t, w.now), do) }
-func (w *World) scheduleAfter(ms float64, do func()) *Entry { return w.agenda.Add(w.now+ms, do) }
+func (w *World) scheduleAt(t float64, do func()) *Entry     { return w.queue.Add(max(t, w.now), do) }
+func (w *World) scheduleAfter(ms float64, do func()) *Entry { return w.queue.Add(w.now+ms, do) }
 func (w *World) emit(a Action)                              { w.actions = append(w.actions, a) }
 func (w *World) report(f Fact)                              { w.onFact(f) }
 func (w *World) reportTransfer(link string, bytes float64) {
@@ -140,7 +140,7 @@
 }
 
 // Next returns the time of the next scheduled callback, and false if there is none.
-func (w *World) Next() (float64, bool) { return w.agenda.Next() }
+func (w *World) Next() (float64, bool) { return w.queue.Next() }
 
 // Done reports whether the traffic has ended and all operations are complete.
 func (w *World) Done() bool { return w.trafficEnded && w.openOperations == 0 }
@@ -148,12 +148,12 @@
 // RunUntil runs everything that is due up to a time and returns the resulting actions.
 func (w *World) RunUntil(now float64) []Action {
 	for {
-		at, ok := w.agenda.Next()
+		at, ok := w.queue.Next()
 		if !ok || at > now {
 			break
 		}
 		w.now = max(w.now, at)
-		w.agenda.Step()
+		w.queue.Step()
 	}
 	w.now = max(w.now, now)
 	out := w.actions
@@ -246,7 +246,7 @@
 	r.done = true
 	delete(r.conn.requests, r.id)
 	if r.timer != nil && !r.typ.Write { // a write under way to the core runs anyway
-		w.agenda.Remove(r.timer)
+		w.queue.Remove(r.timer)
 	}
 	if r.cancel != nil {
 		r.cancel()
--- a/internal/rehearsal/world/world_test.go
+++ b/internal/rehearsal/world/world_test.go
@@ -22,22 +22,22 @@
 		}), 1, 12).Draw(t, "jobs")
 		slices.SortStableFunc(jobs, func(a, b *testJob) int { return int(a.at - b.at) })
 
-		var agenda EventQueue
+		var queue EventQueue
 		now := 0.0
-		s := newSharedResource(&agenda, func() float64 { return now }, capacity, maxPerJob, slots)
+		s := newSharedResource(&queue, func() float64 { return now }, capacity, maxPerJob, slots)
 		got := make([]float64, len(jobs))
 		for i, j := range jobs {
 			got[i] = -1
-			agenda.Add(j.at, func() {
+			queue.Add(j.at, func() {
 				job := s.add(j.work, func() { got[i] = now })
 				if j.cancelAfter > 0 {
-					agenda.Add(now+j.cancelAfter, func() { s.remove(job) })
+					queue.Add(now+j.cancelAfter, func() { s.remove(job) })
 				}
 			})
 		}
-		for at, ok := agenda.Next(); ok; at, ok = agenda.Next() {
+		for at, ok := queue.Next(); ok; at, ok = queue.Next() {
 			now = at
-			agenda.Step()
+			queue.Step()
 		}
 
 		// The model: steps of a thousandth of a ms; as many jobs as there are slots, in FIFO order, get an equal share.
