--- a/cmd/poppymill/job.go
+++ b/cmd/poppymill/job.go
@@ -232,8 +232,8 @@
 	return submitJobCommand(ctx, cmd, 3, owner.Resolve, owner.Claim{Job: cmd.Args().Get(1), Step: step, Ran: cmd.Bool("ran")})
 }
 
-// settleByRecord settles all steps that may have run by the records of the places. That a record lacks a step proves
-// nothing until the place knows a newer token than that under which the step was sent, so the job is fenced first.
+// settleByRecord settles all steps that may have run by the records of their executing gateways. That a record lacks a step proves
+// nothing until that gateway knows a newer token than that under which the step was sent, so the job is fenced first.
 func settleByRecord(ctx context.Context, cmd *cli.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
@@ -279,7 +279,7 @@
 				break
 			}
 			ran, fenced = ownerdriver.CheckRecord(entries, name, d)
-			if !ran && !fenced { // the place does not know the next grant yet
+			if !ran && !fenced { // the executing gateway does not know the next grant yet
 				select {
 				case <-time.After(50 * time.Millisecond):
 				case <-ctx.Done():
--- a/internal/boltstore/boltstore.go
+++ b/internal/boltstore/boltstore.go
@@ -32,8 +32,8 @@
 	return false
 }
 
-// RecoverCorruption turns a panic of bbolt into ErrSpoilt: bbolt panics on an inconsistent page, or faults as it reads past the
-// end of its mapped file. Use it as `defer RecoverCorruption(&err)()`.
+// RecoverCorruption turns a panic of bbolt into ErrCorrupt: bbolt panics on an inconsistent page, or faults as it
+// reads past the end of its mapped file. Use it as `defer RecoverCorruption(&err)()`.
 func RecoverCorruption(err *error) func() {
 	previous := debug.SetPanicOnFault(true)
 	return func() {
--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -71,7 +71,7 @@
 }
 
 // Body is a reference-counted body in pooled buffers. Passing it on passes the reference too, unless the caller takes
-// another one by Hold. The last Release returns the buffers. A nil Body is an empty body.
+// another one by Retain. The last Release returns the buffers. A nil Body is an empty body.
 type Body struct {
 	pool  *Pool
 	parts [][]byte
--- a/internal/caches/pool.go
+++ b/internal/caches/pool.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// Pull sends a pull. Ends reports its result, immediately if it can't be sent.
+// Pull sends a pull. TakeResults reports its result, immediately if it can't be sent.
 func (p *Pool) Pull(pull *Pull, now float64) {
 	p.send(pull, appendCommand(make([]byte, 0, 256), []string{"GET", pull.ID, pull.Fields}, pull.Body.Len()), now)
 }
@@ -342,7 +342,7 @@
 	c.endedOrder = append(c.endedOrder, id)
 }
 
-// Cancel cancels a pull. Ends reports it with the given status, or as never sent (or not connected) if it provably wasn't
+// Cancel cancels a pull. TakeResults reports it with the given status, or as never sent (or not connected) if it provably wasn't
 // written.
 func (p *Pool) Cancel(pull *Pull, status router.Status, now float64) {
 	if pull.ended {
@@ -399,7 +399,7 @@
 	}
 }
 
-// Probe asks a node for its health, and for its load if the limits say so. Ends reports the result.
+// Probe asks a node for its health, and for its load if the limits say so. TakeResults reports the result.
 func (p *Pool) Probe(id string, now float64) *Pull {
 	name := "PING"
 	if p.limits.RequestLoad {
--- a/internal/fair/calendar.go
+++ b/internal/fair/calendar.go
@@ -127,7 +127,7 @@
 }
 
 // sweep updates the show rate from slots that are over. The more bookings go unused, the less capacity is held back for
-// those still pending. Capacity held back for clients that never return made a gate serve half of what it could.
+// those still pending. Capacity held back for clients that never return made a controller serve half of what it could.
 func (c *calendar) sweep(now float64) {
 	from, _ := c.slotsAround(now)
 	for c.sweptTo = max(c.sweptTo, from-int64(len(c.slots))); c.sweptTo < from; c.sweptTo++ {
--- a/internal/fair/gate.go
+++ b/internal/fair/controller.go
@@ -40,7 +40,7 @@
 	at   float64
 }
 
-// New returns a gate. The seed keys its hashes and must differ at each start.
+// New returns a Controller. The seed keys its hashes and must differ at each start.
 func New(s Settings, seed uint64, at float64) *Controller {
 	g := &Controller{settings: s, now: at, startedAt: at, reseededAt: at, seed: seed, clubs: map[string]*Club{}, heavyClients: newHeavyHitters(s.HeavyClients), queued: map[string]*queuedRequest{},
 		open: map[string]admitted{}, limit: concurrencyLimit{minimum: s.MinLimit, current: math.Inf(1)}, calendar: newCalendar(s), throttledKeys: make([]uint64, 4*s.Flows)}
@@ -430,7 +430,7 @@
 	return all[:min(n, len(all))]
 }
 
-// Stats returns the state of the gate: the numbers of open and queued downloads, the concurrency limit, and the ratio
+// Stats returns the state of the controller: the numbers of open and queued downloads, the concurrency limit, and the ratio
 // of the latency of downloads to their cost, now and at its lowest.
 func (g *Controller) Stats() (open, queued int, limit, stretch, fastest float64) {
 	return len(g.open), len(g.queued), g.limit.current, g.limit.stretch(g.now), g.limit.fastest
@@ -442,9 +442,9 @@
 
 // concurrencyLimit learns how many open downloads finish in time. If over a quarter of the recent outcomes are late, it
 // drops to 0.8 of the open downloads; if latency relative to cost exceeds 2.2 times its lowest value, to 0.9, because
-// whatever queues behind the gate is served in order of arrival, where the shares are lost. It drops at most twice a
+// whatever queues behind the controller is served in order of arrival, where the shares are lost. It drops at most twice a
 // second, and rises with each download that finishes in time while the limit is nearly used and latency is low. It is
-// looser than the limiters of the router, which judge by node: their rejections count as late here, so the gate closes
+// looser than the limiters of the router, which judge by node: their rejections count as late here, so the controller closes
 // when they do.
 type concurrencyLimit struct {
 	minimum, current, lastCut float64
--- a/internal/fair/fair.go
+++ b/internal/fair/fair.go
@@ -7,7 +7,7 @@
 // costs are milliseconds of sending time.
 package fair
 
-// Settings configure a gate.
+// Settings configure a Controller.
 type Settings struct {
 	Weights        map[string]float64 // by club; 1 for clubs not listed
 	Clubs          int                // clubs tracked individually; all others share as many hashed entries again
@@ -73,7 +73,7 @@
 	Aborted  // cancelled by its client, or failed: says nothing about the load
 )
 
-// Counters count the events of a gate since its start.
+// Counters count the events of a Controller since its start.
 type Counters struct {
 	Asked, Admitted, Waited, Throttled, Retries int
 	Made, Kept, Missed, Forged                  int // appointments
--- a/internal/fair/fair_test.go
+++ b/internal/fair/fair_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// server simulates a gate and the capacity behind it: up to cores downloads run at full speed, beyond that all slow
+// server simulates a controller and the capacity behind it: up to cores downloads run at full speed, beyond that all slow
 // down by sharing.
 type server struct {
 	controller *Controller
@@ -69,7 +69,7 @@
 }
 
 // carry executes actions. The duration of a download is fixed when it starts, by the number of open downloads, so that
-// a queue behind the gate shows as late downloads.
+// a queue behind the controller shows as late downloads.
 func (s *server) carry(actions []Action) {
 	for _, action := range actions {
 		if s.answered != nil {
@@ -301,7 +301,7 @@
 	}
 }
 
-// Clients that return at their appointment are admitted and finish in time, at any load; the gate never books more than
+// Clients that return at their appointment are admitted and finish in time, at any load; the controller never books more than
 // its measured capacity.
 func TestAppointmentsAreHonoured(t *testing.T) {
 	for _, over := range []float64{1.2, 2, 5} {
--- a/internal/fair/fairqueue.go
+++ b/internal/fair/fairqueue.go
@@ -18,7 +18,7 @@
 	club      *Club
 	flow      *flow
 	cost      float64 // as charged to its flow
-	heapIndex int     // in Gate.deadlines; -1: not queued
+	heapIndex int     // in Controller.deadlines; -1: not queued
 	next      *queuedRequest
 	deadline  float64 // latest time of admission; it is throttled then
 	removed   bool    // no longer queued, but perhaps still linked in its fifo
--- a/internal/gateway/fairness.go
+++ b/internal/gateway/fairness.go
@@ -104,7 +104,7 @@
 // FairnessChanged reports that the block "fair" was reloaded.
 type FairnessChanged struct{ Block Fairness }
 
-// requestFairAdmission asks the fair gate to admit an accepted download.
+// requestFairAdmission asks the fair admission controller to admit an accepted download.
 func (g *Core) requestFairAdmission(d *download, params map[string]string) {
 	f := g.fair
 	ask := fair.Request{At: g.now, ID: d.id, Object: d.object, Part: d.part, Expiry: d.expiry, Ticket: params[ticketParam],
@@ -127,7 +127,7 @@
 	g.executeFair(f.controller.Request(ask))
 }
 
-// fairShare is the state of a download at the fair gate.
+// fairShare is the state of a download at the fair admission controller.
 type fairShare struct {
 	target     float64 // target time, by the core's clock
 	admittedAt float64
@@ -147,7 +147,7 @@
 	return 1
 }
 
-// executeFair executes the actions of the fair gate and sets its timer.
+// executeFair executes the actions of the fair admission controller and sets its timer.
 func (g *Core) executeFair(actions []fair.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -179,14 +179,14 @@
 	return &clients.Link{Ticket: text}
 }
 
-// releaseShare tells the fair gate how an admitted download ended, or that a waiting one is gone.
+// releaseShare tells the fair admission controller how an admitted download ended, or that a waiting one is gone.
 func (g *Core) releaseShare(d *download, status int) {
 	f := g.fair
 	if f == nil {
 		return
 	}
 	if d.share == nil || !d.share.admitted {
-		if status != 503 { // the gate already knows those that it throttled
+		if status != 503 { // the controller already knows those that it throttled
 			g.executeFair(f.controller.Disconnected(g.now, d.id))
 		}
 		return
@@ -209,7 +209,7 @@
 	g.executeFair(f.controller.Ended(g.now, d.id, end, cost))
 }
 
-// FairStats describes the state of the fair gate and its heaviest clubs for the log; empty if disabled.
+// FairStats describes the state of the fair admission controller and its heaviest clubs for the log; empty if disabled.
 func (g *Core) FairStats() string {
 	if g.fair == nil {
 		return ""
--- a/internal/gatewayconfig/config.go
+++ b/internal/gatewayconfig/config.go
@@ -37,7 +37,7 @@
 	RouterSettings        router.Settings
 	Types                 []ContentType
 
-	// Settings that the gateway itself uses; the router gets those it needs through Footprint.
+	// Settings that the gateway itself uses; the router gets those it needs through RouterSettings.
 	StreamsPerConn                           int
 	MaxPulls, MaxOpen                        int
 	ConnectTimeout, IdleTimeout, AnswerSlack float64 // ms
--- a/internal/links/authorizer.go
+++ b/internal/links/authorizer.go
@@ -14,7 +14,7 @@
 	"strings"
 )
 
-// Counters count what a Door has done since its start.
+// Counters count what an Authorizer has done since its start.
 type Counters struct {
 	Reasons                     [ReasonCount]int
 	Checked, CacheHits, Renewed int // signatures checked; tokens found in the cache; successors issued
@@ -34,13 +34,13 @@
 	spending  map[string]SpentToken // by download id: the token that a running download has spent
 }
 
-// New returns a Door. The secret keys the hashes of its tables and must differ at each start.
+// New returns an Authorizer. The secret keys the hashes of its tables and must differ at each start.
 func New(s Settings, r *KeySet, secret []byte, at float64) *Authorizer {
 	return &Authorizer{settings: s, keySet: r, secret: secret, startedAt: at, replays: newReplayTable(s.Memory), verified: newTokenCache(s.Memory),
 		limiter: checkLimiter{perSource: s.ChecksPerSource, total: s.ChecksTotal}, spending: map[string]SpentToken{}}
 }
 
-// SetKeys replaces the key ring. Downloads that were admitted continue; later ones are checked against the new ring.
+// SetKeys replaces the key set. Downloads that were admitted continue; later ones are checked against the new set.
 func (d *Authorizer) SetKeys(r *KeySet) { d.keySet = r }
 
 // SetSettings replaces the settings. The tables keep their size until the next start.
--- a/internal/links/keys.go
+++ b/internal/links/keys.go
@@ -62,7 +62,7 @@
 	addressSecret []byte // A256GCM key for cdniip; nil: cdniip can be neither issued nor read
 }
 
-// NewKeySet validates keys and makes a ring of them. The error names the key and what is wrong with it.
+// NewKeySet validates keys and makes a set of them. The error names the key and what is wrong with it.
 func NewKeySet(keys []Key, addressSecret []byte) (*KeySet, error) {
 	if len(keys) == 0 || len(keys) > maxKeys {
 		return nil, fmt.Errorf("keys: %d, want 1 to %d", len(keys), maxKeys)
--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -25,7 +25,7 @@
 	Write  bool // the download has a side effect and must not run twice
 }
 
-// Verdict is the decision on an Ask.
+// Verdict is the decision on a Request.
 type Verdict struct {
 	Reason     Reason      // Admitted, or the reason of the refusal
 	Claim      string      // the first claim that failed, for operators; never sent to the client
--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -298,15 +298,15 @@
 	d := New(testSettings(), newTestKeySet(t, old, upcoming), []byte("secret"), testTime)
 	byOld, byNew := sign(t, newTestKeySet(t, old), validClaims()), sign(t, newTestKeySet(t, state(upcoming, Signing)), validClaims())
 	for _, c := range []struct {
-		ring        *KeySet
+		keySet      *KeySet
 		first, then Reason
 	}{
 		{newTestKeySet(t, old, upcoming), Admitted, Admitted}, {newTestKeySet(t, state(old, Verifying), state(upcoming, Signing)), Admitted, Admitted},
 		{newTestKeySet(t, state(old, Withdrawn), state(upcoming, Signing)), KeyInactive, Admitted}, {newTestKeySet(t, state(upcoming, Signing)), UnknownKey, Admitted},
 	} {
-		d.SetKeys(c.ring)
+		d.SetKeys(c.keySet)
 		if a, b := d.Admit(readAsk(byOld)).Reason, d.Admit(readAsk(byNew)).Reason; a != c.first || b != c.then {
-			t.Errorf("%v: %v and %v, want %v and %v", c.ring.Describe(), a, b, c.first, c.then)
+			t.Errorf("%v: %v and %v, want %v and %v", c.keySet.Describe(), a, b, c.first, c.then)
 		}
 	}
 	for want, keys := range map[string][]Key{"duplicate id": {old, old}, "is already the signing key": {old, testKey("x", "ES256", Signing)},
--- a/internal/maintenance/agent.go
+++ b/internal/maintenance/agent.go
@@ -28,9 +28,9 @@
 const (
 	ActionWait       Action = iota // check again later
 	ActionDrain                    // start draining: propose the command Drain
-	ActionLeave                    // ask whether the machine may leave: propose the command Go
+	ActionLeave                    // ask whether the machine may leave: propose the command Leave
 	ActionWork                     // save the phase Started, then run the work
-	ActionCheckReady               // check whether everything on the machine runs; once it does, propose the command Back
+	ActionCheckReady               // check whether everything on the machine runs; once it does, propose the command Return
 	ActionDone                     // the machine is back in service and the request is done
 )
 
--- a/internal/maintenance/driver/coordinator.go
+++ b/internal/maintenance/driver/coordinator.go
@@ -45,7 +45,7 @@
 // drainedNodes is the event by which the core reports that no request is in flight to the nodes of that call of Leave.
 type drainedNodes struct{ number int }
 
-// Coordinator is one gateway's part in maintenance windows. It runs in the loop of the quorum's driver.
+// Coordinator carries out one gateway's duties in maintenance windows. It runs in the loop of the quorum's driver.
 type Coordinator struct {
 	block         Block
 	state         *maintenance.State
@@ -70,7 +70,7 @@
 	changed       bool // an event since the last check may require action
 }
 
-// stateMachine adapts maintenance.Book to the log's commands.
+// stateMachine adapts maintenance.State to the log's commands.
 type stateMachine struct{ *maintenance.State }
 
 // Apply applies a committed command.
@@ -91,204 +91,204 @@
 	return map[string]quorum.StateMachine{StateMachineName: stateMachine{maintenance.New()}}
 }
 
-// Open creates a gateway's part. Without the block it only follows the log, and still drains machines that are about to leave.
+// Open creates the coordinator of a gateway. Without the block it only follows the log, and still drains machines that are about to leave.
 func Open(b Block, runner *ownerdriver.Runner, core Core, log logrus.FieldLogger) *Coordinator {
 	return &Coordinator{block: b, state: maintenance.New(), runner: runner, core: core, log: log, inFlight: map[string]float64{},
 		loggedStages: map[string]string{}, unixMillis: func() float64 { return float64(time.Now().UnixMilli()) }}
 }
 
 // StateMachines returns its state machine under its name in the log.
-func (y *Coordinator) StateMachines() map[string]quorum.StateMachine {
-	return map[string]quorum.StateMachine{StateMachineName: stateMachine{y.state}}
+func (co *Coordinator) StateMachines() map[string]quorum.StateMachine {
+	return map[string]quorum.StateMachine{StateMachineName: stateMachine{co.state}}
 }
 
-// Start sets the council that commands are proposed to.
-func (y *Coordinator) Start(c *quorumdriver.Replica) { y.replica = c }
+// Start sets the replica that commands are proposed to.
+func (co *Coordinator) Start(c *quorumdriver.Replica) { co.replica = c }
 
 // NextDeadline returns the time of the next check.
-func (y *Coordinator) NextDeadline() float64 {
-	if len(y.state.Windows) == 0 && (!y.block.On || y.status.Incarnation == 0) {
+func (co *Coordinator) NextDeadline() float64 {
+	if len(co.state.Windows) == 0 && (!co.block.On || co.status.Incarnation == 0) {
 		return math.Inf(1)
 	}
-	return y.nextCheck
+	return co.nextCheck
 }
 
 // Idle reports that there is no outstanding work to wait for.
-func (y *Coordinator) Idle() bool { return true }
+func (co *Coordinator) Idle() bool { return true }
 
 // Close has nothing to release.
-func (y *Coordinator) Close() error { return nil }
+func (co *Coordinator) Close() error { return nil }
 
-// Handle processes an event of the council or of the core.
-func (y *Coordinator) Handle(now float64, e any) {
-	y.now = now
+// Handle processes an event of the replica or of the core.
+func (co *Coordinator) Handle(now float64, e any) {
+	co.now = now
 	switch e := e.(type) {
 	case quorumdriver.LogAdvanced:
-		y.status = e
-		y.logStages()
-		y.changed = true
+		co.status = e
+		co.logStages()
+		co.changed = true
 	case maintenance.Load:
-		y.load = e
-		if y.status.Incarnation != 0 && y.block.On {
-			if o := y.peakMeter.Observe(y.unixMillis(), e, y.state, y.status.Name); o != nil {
-				y.propose(maintenance.ReportPeak, "", o)
+		co.load = e
+		if co.status.Incarnation != 0 && co.block.On {
+			if o := co.peakMeter.Observe(co.unixMillis(), e, co.state, co.status.Name); o != nil {
+				co.propose(maintenance.ReportPeak, "", o)
 			}
 		}
 	case ListedNodes:
-		y.listed, y.changed = e.Present, true
+		co.listed, co.changed = e.Present, true
 	case drainedNodes:
-		if e.number > y.drainedNumber {
-			y.drainedNumber, y.changed = e.number, true
+		if e.number > co.drainedNumber {
+			co.drainedNumber, co.changed = e.number, true
 		}
 	}
-	if y.changed || now >= y.nextCheck {
-		y.changed, y.nextCheck = false, now+checkEvery
-		y.leaveNodes() // at once, even while this gateway may not propose commands
-		if y.status.Incarnation != 0 {
-			y.runDuties()
+	if co.changed || now >= co.nextCheck {
+		co.changed, co.nextCheck = false, now+checkEvery
+		co.leaveNodes() // at once, even while this gateway may not propose commands
+		if co.status.Incarnation != 0 {
+			co.runDuties()
 		}
 	}
 }
 
 // runDuties performs what this gateway has to do in its current roles.
-func (y *Coordinator) runDuties() {
-	y.acknowledge()
-	if y.status.Leads && y.block.On {
-		y.runLeaderDuties()
+func (co *Coordinator) runDuties() {
+	co.acknowledge()
+	if co.status.Leads && co.block.On {
+		co.runLeaderDuties()
 	}
-	if token, owns := y.runner.Owns(Schedule); owns && y.block.On {
-		y.grantPlanned(token)
+	if token, owns := co.runner.Owns(Schedule); owns && co.block.On {
+		co.grantPlanned(token)
 	}
 }
 
 // propose proposes a command, unless the same one was proposed less than a second ago and is still undecided, or was just rejected.
-func (y *Coordinator) propose(kind, key string, content any) {
+func (co *Coordinator) propose(kind, key string, content any) {
 	key = kind + " " + key
-	if y.now < y.inFlight[key] {
+	if co.now < co.inFlight[key] {
 		return
 	}
-	y.inFlight[key] = y.now + 1000
-	y.replica.Propose(quorum.Command{StateMachine: StateMachineName, Kind: kind, Data: codec.Encode(content)}, func(o quorum.Outcome) {
-		delete(y.inFlight, key)
+	co.inFlight[key] = co.now + 1000
+	co.replica.Propose(quorum.Command{StateMachine: StateMachineName, Kind: kind, Data: codec.Encode(content)}, func(o quorum.Outcome) {
+		delete(co.inFlight, key)
 		if o.Err != nil && !errors.Is(o.Err, quorum.ErrGivenUp) && !errors.Is(o.Err, quorum.ErrBusy) {
-			y.inFlight[key] = y.now + checkEvery // rejected when applied: the next check decides whether to propose it again
+			co.inFlight[key] = co.now + checkEvery // rejected when applied: the next check decides whether to propose it again
 		}
 	})
-	if len(y.inFlight) > 4096 {
-		maps.DeleteFunc(y.inFlight, func(_ string, until float64) bool { return y.now >= until })
+	if len(co.inFlight) > 4096 {
+		maps.DeleteFunc(co.inFlight, func(_ string, until float64) bool { return co.now >= until })
 	}
 }
 
 // leaveNodes makes the core send no new requests to machines that are draining or out.
-func (y *Coordinator) leaveNodes() {
+func (co *Coordinator) leaveNodes() {
 	var nodes []string
-	for _, name := range slices.Sorted(maps.Keys(y.state.Windows)) {
-		if w, m := y.state.Windows[name], y.state.Machine(name); m != nil && (w.Stage == maintenance.Draining || w.Stage == maintenance.OutOfService || w.Stage == maintenance.Overdue) {
+	for _, name := range slices.Sorted(maps.Keys(co.state.Windows)) {
+		if w, m := co.state.Windows[name], co.state.Machine(name); m != nil && (w.Stage == maintenance.Draining || w.Stage == maintenance.OutOfService || w.Stage == maintenance.Overdue) {
 			nodes = append(append(nodes, m.Boxes...), m.Hubs...)
 		}
 	}
-	if !slices.Equal(nodes, y.leftNodes) {
-		y.leftNodes = nodes
-		y.leaveNumber++
-		y.core.StopUsing(nodes, y.leaveNumber, func(number int) { y.replica.Post(drainedNodes{number}) })
+	if !slices.Equal(nodes, co.leftNodes) {
+		co.leftNodes = nodes
+		co.leaveNumber++
+		co.core.StopUsing(nodes, co.leaveNumber, func(number int) { co.replica.Post(drainedNodes{number}) })
 	}
 }
 
 // acknowledge proposes that this gateway has drained a draining machine, and that it finds a returned machine warm.
-func (y *Coordinator) acknowledge() {
-	for _, name := range slices.Sorted(maps.Keys(y.state.Windows)) {
-		w, m := y.state.Windows[name], y.state.Machine(name)
-		if m != nil && w.Stage == maintenance.Warming && !w.Warm[y.status.Name] && y.state.IsWarm(m, y.load) {
-			y.propose(maintenance.ReportWarm, name, maintenance.CommandData{At: y.unixMillis(), Machine: name, Token: w.Token, Gateway: y.status.Name})
+func (co *Coordinator) acknowledge() {
+	for _, name := range slices.Sorted(maps.Keys(co.state.Windows)) {
+		w, m := co.state.Windows[name], co.state.Machine(name)
+		if m != nil && w.Stage == maintenance.Warming && !w.Warm[co.status.Name] && co.state.IsWarm(m, co.load) {
+			co.propose(maintenance.ReportWarm, name, maintenance.CommandData{At: co.unixMillis(), Machine: name, Token: w.Token, Gateway: co.status.Name})
 		}
-		if y.drainedNumber == y.leaveNumber && m != nil && w.Stage == maintenance.Draining && !w.Acks[y.status.Name] && !slices.Contains(m.Gateways, y.status.Name) {
-			y.propose(maintenance.Ack, name, maintenance.CommandData{At: y.unixMillis(), Machine: name, Token: w.Token, Gateway: y.status.Name})
+		if co.drainedNumber == co.leaveNumber && m != nil && w.Stage == maintenance.Draining && !w.Acks[co.status.Name] && !slices.Contains(m.Gateways, co.status.Name) {
+			co.propose(maintenance.Ack, name, maintenance.CommandData{At: co.unixMillis(), Machine: name, Token: w.Token, Gateway: co.status.Name})
 		}
 	}
 }
 
 // runLeaderDuties proposes what only the leader proposes: the inventory, the voters, lost nodes, ticks and the job that owns the schedule.
-func (y *Coordinator) runLeaderDuties() {
-	if y.block.Inventory.Version > y.state.Inventory.Version {
-		y.propose(maintenance.SetInventory, "", y.block.Inventory)
+func (co *Coordinator) runLeaderDuties() {
+	if co.block.Inventory.Version > co.state.Inventory.Version {
+		co.propose(maintenance.SetInventory, "", co.block.Inventory)
 	}
-	if !y.runner.IsRunning(Schedule) {
-		y.replica.Propose(quorum.Command{StateMachine: ownerdriver.StateMachineName, Kind: owner.Start, Data: codec.Encode(owner.Job{Name: Schedule, Kind: ownerdriver.KindHold, Steps: 1, Window: 1})}, func(quorum.Outcome) {})
+	if !co.runner.IsRunning(Schedule) {
+		co.replica.Propose(quorum.Command{StateMachine: ownerdriver.StateMachineName, Kind: owner.Start, Data: codec.Encode(owner.Job{Name: Schedule, Kind: ownerdriver.KindHold, Steps: 1, Window: 1})}, func(quorum.Outcome) {})
 	}
-	if voters := y.replica.Voters(); len(voters) > 0 && !slices.Equal(voters, y.state.Voters) {
-		y.propose(maintenance.SetVoters, "", maintenance.CommandData{Names: voters})
+	if voters := co.replica.Voters(); len(voters) > 0 && !slices.Equal(voters, co.state.Voters) {
+		co.propose(maintenance.SetVoters, "", maintenance.CommandData{Names: voters})
 	}
-	y.replica.Retire(y.state.LeavingGateways())
-	if y.listed != nil {
+	co.replica.Retire(co.state.LeavingGateways())
+	if co.listed != nil {
 		var lost []string
-		for _, m := range y.state.Inventory.Machines {
+		for _, m := range co.state.Inventory.Machines {
 			for _, n := range slices.Concat(m.Boxes, m.Hubs) {
-				if !y.listed[n] {
+				if !co.listed[n] {
 					lost = append(lost, n)
 				}
 			}
 		}
 		slices.Sort(lost)
-		if known := slices.Sorted(maps.Keys(y.state.Lost)); !slices.Equal(known, lost) {
-			y.propose(maintenance.SetLost, "", maintenance.CommandData{At: y.unixMillis(), Names: lost})
+		if known := slices.Sorted(maps.Keys(co.state.Lost)); !slices.Equal(known, lost) {
+			co.propose(maintenance.SetLost, "", maintenance.CommandData{At: co.unixMillis(), Names: lost})
 		}
 	}
-	if len(y.state.Windows) > 0 && y.now >= y.lastTick+tickEvery { // by the local clock, since other commands advance the log's time too
-		y.lastTick = y.now
-		y.propose(maintenance.Tick, "", maintenance.CommandData{At: y.unixMillis()})
+	if len(co.state.Windows) > 0 && co.now >= co.lastTick+tickEvery { // by the local clock, since other commands advance the log's time too
+		co.lastTick = co.now
+		co.propose(maintenance.Tick, "", maintenance.CommandData{At: co.unixMillis()})
 	}
 }
 
 // grantPlanned finishes the warm-up of machines reported warm, and grants the machines that the plan starts now.
-func (y *Coordinator) grantPlanned(token uint64) {
-	if len(y.state.Windows) == 0 {
+func (co *Coordinator) grantPlanned(token uint64) {
+	if len(co.state.Windows) == 0 {
 		return
 	}
-	for _, name := range slices.Sorted(maps.Keys(y.state.Windows)) {
-		if m := y.state.Machine(name); m != nil && y.state.WarmByMajority(m, y.state.Windows[name]) {
-			y.propose(maintenance.FinishWarming, name, maintenance.CommandData{At: y.unixMillis(), Machine: name, OwnerToken: token})
+	for _, name := range slices.Sorted(maps.Keys(co.state.Windows)) {
+		if m := co.state.Machine(name); m != nil && co.state.WarmByMajority(m, co.state.Windows[name]) {
+			co.propose(maintenance.FinishWarming, name, maintenance.CommandData{At: co.unixMillis(), Machine: name, OwnerToken: token})
 		}
 	}
-	if y.now < y.nextPlan {
+	if co.now < co.nextPlan {
 		return
 	}
 	started := time.Now()
-	plan := y.state.Plan()
-	y.nextPlan = y.now + 10*float64(time.Since(started))/float64(time.Millisecond)
+	plan := co.state.Plan()
+	co.nextPlan = co.now + 10*float64(time.Since(started))/float64(time.Millisecond)
 	for _, slot := range plan {
-		if w := y.state.Windows[slot.Machine]; !slot.Never && slot.Start <= y.state.Now && w != nil && w.Stage == maintenance.Queued {
+		if w := co.state.Windows[slot.Machine]; !slot.Never && slot.Start <= co.state.Now && w != nil && w.Stage == maintenance.Queued {
 			failpoint.Here(failpoint.Scheduling)
-			y.propose(maintenance.Grant, slot.Machine, maintenance.CommandData{At: y.unixMillis(), Machine: slot.Machine, OwnerToken: token})
+			co.propose(maintenance.Grant, slot.Machine, maintenance.CommandData{At: co.unixMillis(), Machine: slot.Machine, OwnerToken: token})
 		}
 	}
 }
 
 // logStages logs each machine that entered another stage.
-func (y *Coordinator) logStages() {
-	for _, name := range slices.Sorted(maps.Keys(y.state.Windows)) {
-		w := y.state.Windows[name]
-		if current := fmt.Sprint(w.Stage, w.Token); y.loggedStages[name] != current {
-			y.loggedStages[name] = current
-			y.log.WithFields(logrus.Fields{"machine": name, "is": w.Stage.String(), "token": w.Token, "why": w.Reason, "request": w.Request.ID}).Info("machines: stage")
+func (co *Coordinator) logStages() {
+	for _, name := range slices.Sorted(maps.Keys(co.state.Windows)) {
+		w := co.state.Windows[name]
+		if current := fmt.Sprint(w.Stage, w.Token); co.loggedStages[name] != current {
+			co.loggedStages[name] = current
+			co.log.WithFields(logrus.Fields{"machine": name, "is": w.Stage.String(), "token": w.Token, "why": w.Reason, "request": w.Request.ID}).Info("machines: stage")
 		}
 	}
-	for name := range y.loggedStages {
-		if y.state.Windows[name] == nil {
-			delete(y.loggedStages, name)
-			y.log.WithField("machine", name).Info("machines: in")
+	for name := range co.loggedStages {
+		if co.state.Windows[name] == nil {
+			delete(co.loggedStages, name)
+			co.log.WithField("machine", name).Info("machines: in")
 		}
 	}
 }
 
 // CheckCommand checks whether operators, or a machine's agent, may propose a command.
-func (y *Coordinator) CheckCommand(c quorum.Command) error {
+func (co *Coordinator) CheckCommand(c quorum.Command) error {
 	switch c.Kind {
 	case maintenance.Submit, maintenance.Cancel, maintenance.Withdraw, maintenance.Drain, maintenance.Leave, maintenance.Return, maintenance.SetPeak:
 		var o maintenance.CommandData
 		if err := codec.Decode(c.Data, &o); err != nil {
 			return err
 		}
-		if !y.block.On {
+		if !co.block.On {
 			return errors.New("machines: off at this gateway")
 		}
 		return nil
@@ -306,34 +306,34 @@
 }
 
 // describeMachine returns the answer for one machine.
-func (y *Coordinator) describeMachine(m maintenance.Machine) Machine {
-	answer := Machine{Machine: m, Stage: maintenance.InService.String(), Degraded: y.state.Degraded(m.Name), Work: y.state.Windows[m.Name]}
+func (co *Coordinator) describeMachine(m maintenance.Machine) Machine {
+	answer := Machine{Machine: m, Stage: maintenance.InService.String(), Degraded: co.state.Degraded(m.Name), Work: co.state.Windows[m.Name]}
 	if answer.Work != nil {
 		if answer.Stage = answer.Work.Stage.String(); answer.Work.Stage == maintenance.Draining {
-			answer.PendingAcks = y.state.PendingAcks(answer.Work, &m)
+			answer.PendingAcks = co.state.PendingAcks(answer.Work, &m)
 		}
 	}
 	return answer
 }
 
 // Query answers an operator's question.
-func (y *Coordinator) Query(about, name string) (any, error) {
+func (co *Coordinator) Query(about, name string) (any, error) {
 	switch about {
 	case "machines":
 		all := []Machine{}
-		for _, m := range y.state.Inventory.Machines {
-			all = append(all, y.describeMachine(m))
+		for _, m := range co.state.Inventory.Machines {
+			all = append(all, co.describeMachine(m))
 		}
-		return map[string]any{"version": y.state.Inventory.Version, "limits": y.state.Inventory.Limits, "machines": all, "strangers": y.state.InventoryMismatches(), "here": y.block.Inventory.Version}, nil
+		return map[string]any{"version": co.state.Inventory.Version, "limits": co.state.Inventory.Limits, "machines": all, "strangers": co.state.InventoryMismatches(), "here": co.block.Inventory.Version}, nil
 	case "machine":
-		if m := y.state.Machine(name); m != nil {
-			return y.describeMachine(*m), nil
+		if m := co.state.Machine(name); m != nil {
+			return co.describeMachine(*m), nil
 		}
 		return nil, fmt.Errorf("machine %q: %w", name, maintenance.ErrUnknownMachine)
 	case "plan":
-		return map[string]any{"now": y.state.Now, "plan": append([]maintenance.Slot{}, y.state.Plan()...), "near": y.state.LimitUsage()}, nil
+		return map[string]any{"now": co.state.Now, "plan": append([]maintenance.Slot{}, co.state.Plan()...), "near": co.state.LimitUsage()}, nil
 	case "ended":
-		return append([]maintenance.FinishedRequest{}, y.state.Ended...), nil
+		return append([]maintenance.FinishedRequest{}, co.state.Ended...), nil
 	}
 	return nil, quorumdriver.ErrUnknownSubject
 }
--- a/internal/owner/agent.go
+++ b/internal/owner/agent.go
@@ -27,7 +27,7 @@
 
 // Agent is one gateway's part in executing jobs. It combines the state machine as far as this gateway has applied
 // the log, the planner (active on the leader), the executor of its own jobs, and the effects in flight. It is
-// pure; the caller applies log entries to Book between calls.
+// pure; the caller applies log entries to State between calls.
 type Agent struct {
 	State        *StateMachine
 	limits       Limits
@@ -79,7 +79,7 @@
 	}
 )
 
-// RaiseToken is an action besides Do and Ask: the local executing gateway must learn of a grant in the log, whether or
+// RaiseToken is an action besides SendEffect and Propose: the local executing gateway must learn of a grant in the log, whether or
 // not an effect under it arrives there.
 type RaiseToken struct {
 	Job   string
--- a/internal/owner/driver/runner.go
+++ b/internal/owner/driver/runner.go
@@ -1,5 +1,5 @@
 // Package driver connects jobs (package owner) to the replicated log of the gateways: it applies log entries to the
-// state machine, feeds the council's events to the agent, and sends effects to their executing gateways over the
+// state machine, feeds the replica's events to the agent, and sends effects to their executing gateways over the
 // peer connections. It makes no decisions of its own.
 package driver
 
@@ -36,7 +36,7 @@
 	Do    func(e effectlog.Effect, done func(owner.Outcome))
 }
 
-// Runner runs jobs on one gateway. All methods are called from the council's loop.
+// Runner runs jobs on one gateway. All methods are called from the replica's loop.
 type Runner struct {
 	block       Block
 	agent       *owner.Agent
@@ -52,7 +52,7 @@
 	now         float64
 }
 
-// stateMachine adapts owner.Book to the interface of the log.
+// stateMachine adapts owner.StateMachine to the interface of the log.
 type stateMachine struct{ *owner.StateMachine }
 
 func (b stateMachine) Apply(index uint64, c quorum.Command) any {
@@ -71,7 +71,7 @@
 	return map[string]quorum.StateMachine{StateMachineName: stateMachine{owner.New(owner.DefaultLimits().MaxJobs)}}
 }
 
-// Open creates the Crew of a gateway that keeps its record of effects in a folder. Without the block it applies
+// Open creates the Runner of a gateway that keeps its record of effects in a folder. Without the block it applies
 // the log, but owns nothing and executes no effects.
 func Open(b Block, folder string, handlers map[string]Handler, log logrus.FieldLogger) (*Runner, error) {
 	c := &Runner{block: b, agent: owner.NewAgent(b.limits()), handlers: handlers, log: log}
@@ -88,13 +88,13 @@
 	return c, nil
 }
 
-// StateMachines returns the state machines that this part keeps in the log.
+// StateMachines returns the state machines that this subsystem keeps in the log.
 func (c *Runner) StateMachines() map[string]quorum.StateMachine {
 	return map[string]quorum.StateMachine{StateMachineName: stateMachine{c.agent.State}}
 }
 
-// Start sets the council.
-func (c *Runner) Start(council *quorumdriver.Replica) { c.replica = council }
+// Start sets the replica.
+func (c *Runner) Start(replica *quorumdriver.Replica) { c.replica = replica }
 
 // NextDeadline returns the time of the next deadline.
 func (c *Runner) NextDeadline() float64 {
@@ -132,7 +132,7 @@
 	return c.effectLog.Close()
 }
 
-// Handle processes an event from the council, the local executing gateway or a Hand.
+// Handle processes an event from the replica, the local executing gateway or a Handler.
 func (c *Runner) Handle(now float64, e any) {
 	if c.now = now; c.closed || !c.block.On {
 		return
@@ -209,7 +209,7 @@
 	}
 }
 
-// send delivers an effect: to a Hand of this gateway, to its own record, or to another gateway.
+// send delivers an effect: to a Handler of this gateway, to its own record, or to another gateway.
 func (c *Runner) send(do owner.SendEffect) {
 	e := effectlog.Effect{Job: do.Job.Name, Kind: do.Job.Kind, Token: do.Token, Step: do.Step, Type: do.Job.Type, Data: do.Job.Data, From: c.followed.Name, Incarnation: c.followed.Incarnation}
 	ended := func(end owner.Outcome) {
--- a/internal/owner/effectlog/effectlog.go
+++ b/internal/owner/effectlog/effectlog.go
@@ -52,7 +52,7 @@
 	FromLog    bool   `cbor:"5,keyasint,omitempty" json:"told,omitempty"`    // not an effect: a token learned from the log
 }
 
-// Limits of a Place.
+// Limits of a Log.
 const (
 	maxQueued  = 512  // effects waiting for the disk
 	maxJobs    = 1024 // jobs whose tokens are remembered individually
@@ -192,7 +192,7 @@
 	return p.db.Close()
 }
 
-// Do executes or refuses an effect. done is called from the Place's goroutine, or immediately if the queue is
+// Do executes or refuses an effect. done is called from the Log's goroutine, or immediately if the queue is
 // full. Do must not be called after Close.
 func (p *Log) Do(e Effect, done func(Result)) {
 	select {
--- a/internal/owner/executor.go
+++ b/internal/owner/executor.go
@@ -22,7 +22,7 @@
 type ownedJob struct {
 	token       uint64
 	sent        map[int]bool    // steps sent, outcome not known
-	intending   map[int]bool    // steps with a Mean proposal in flight
+	intending   map[int]bool    // steps with an Intend proposal in flight
 	unconfirmed map[int]Propose // proposals that report the end of steps, not yet applied on this member
 	releasing   bool            // its Release is proposed
 	refused     bool            // an executing gateway refused the token: nothing more is sent under it
--- a/internal/owner/interleavings_test.go
+++ b/internal/owner/interleavings_test.go
@@ -39,7 +39,7 @@
 type memberModel struct {
 	incarnation uint64
 	applied     int // log entries applied
-	book        view
+	state       view
 	executor    *Executor
 }
 
@@ -143,7 +143,7 @@
 	b.WriteString(s.full.encoded)
 	for _, m := range s.members {
 		fmt.Fprintf(&b, "|%d %d ", m.incarnation, len(s.log)-m.applied)
-		b.WriteString(m.book.encoded)
+		b.WriteString(m.state.encoded)
 		for _, name := range []string{"j", "k"} {
 			if owned := m.executor.jobs[name]; owned != nil {
 				fmt.Fprint(&b, name, owned.token, owned.sent, owned.intending, len(owned.unconfirmed), owned.releasing, owned.refused)
@@ -200,9 +200,9 @@
 		if m.applied < len(s.log) {
 			branch(-1, func(n *model) { // applies one entry and acts on it
 				x := &n.members[i]
-				x.book = x.book.after(n.log[x.applied], x.applied+1)
+				x.state = x.state.after(n.log[x.applied], x.applied+1)
 				x.applied++
-				n.perform(i, x.executor.Sync(0, x.book.StateMachine))
+				n.perform(i, x.executor.Sync(0, x.state.StateMachine))
 			})
 		}
 		w := s.full.Workers[memberNames[i]]
@@ -219,7 +219,7 @@
 			inc := uint64(10 + n.budget[crashes])
 			inc = 20 - inc
 			n.add(entry{name: memberNames[i], worker: Member{Incarnation: inc, Present: true, Losses: w.Losses + 1}})
-			n.members[i] = memberModel{incarnation: inc, applied: n.members[i].applied, book: n.members[i].book, executor: &Executor{Name: memberNames[i], Incarnation: inc}}
+			n.members[i] = memberModel{incarnation: inc, applied: n.members[i].applied, state: n.members[i].state, executor: &Executor{Name: memberNames[i], Incarnation: inc}}
 		})
 	}
 	for x := range s.proposals {
@@ -301,7 +301,7 @@
 			initial.add(entry{kind: Start, data: codec.Encode(Job{Name: name, Kind: "x", Steps: 1, Type: c.types[i], Window: 1})})
 		}
 		for i, name := range memberNames {
-			initial.members = append(initial.members, memberModel{incarnation: uint64(i + 1), applied: len(initial.log), book: initial.full, executor: &Executor{Name: name, Incarnation: uint64(i + 1)}})
+			initial.members = append(initial.members, memberModel{incarnation: uint64(i + 1), applied: len(initial.log), state: initial.full, executor: &Executor{Name: name, Incarnation: uint64(i + 1)}})
 		}
 		seen, frontier, transitions, finishedStates := map[uint64]bool{xxhash.Sum64String(initial.fingerprint()): true}, []*model{initial}, 0, 0
 		for len(frontier) > 0 {
--- a/internal/owner/job.go
+++ b/internal/owner/job.go
@@ -77,7 +77,7 @@
 
 // Kinds of commands in the log, each with its content.
 const (
-	Start         = "start"   // Job: name, kind, data, steps, type, window, places, zone
+	Start         = "start"   // Job: name, kind, data, steps, type, window, gateways, zone
 	Stop          = "stop"    // Claim: job
 	Grant         = "grant"   // Claim: job, name and incarnation of the new owner; proposed by the leader
 	Release       = "release" // Claim: job and token; proposed by an owner that leaves or whose token was refused
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -15,17 +15,17 @@
 // checks tokens. It states the rules independently of the code: who may run what follows from the order of the log
 // alone.
 type simulation struct {
-	log       []func(*StateMachine, uint64) // committed entries, in order
-	books     []*StateMachine               // per member, as far as it has applied the log
-	applied   []int
-	executors []*Executor
-	inFlight  []delayedEffect // effects and replies in flight, with unbounded delay
-	checkers  map[string]*TokenChecker
-	ran       map[string]int    // by job and step: how often the effect happened
-	admitted  map[string]int    // how often the token alone allowed it
-	highest   map[string]uint64 // highest accepted token, per job
-	lossy     bool              // proposals are lost at random
-	t         *rapid.T
+	log           []func(*StateMachine, uint64) // committed entries, in order
+	stateMachines []*StateMachine               // per member, as far as it has applied the log
+	applied       []int
+	executors     []*Executor
+	inFlight      []delayedEffect // effects and replies in flight, with unbounded delay
+	checkers      map[string]*TokenChecker
+	ran           map[string]int    // by job and step: how often the effect happened
+	admitted      map[string]int    // how often the token alone allowed it
+	highest       map[string]uint64 // highest accepted token, per job
+	lossy         bool              // proposals are lost at random
+	t             *rapid.T
 }
 
 type delayedEffect struct {
@@ -47,10 +47,10 @@
 // follow applies up to so many log entries on a member and performs its actions.
 func (p *simulation) follow(i, places int) {
 	for range min(places, len(p.log)-p.applied[i]) {
-		p.log[p.applied[i]](p.books[i], uint64(p.applied[i]+1))
+		p.log[p.applied[i]](p.stateMachines[i], uint64(p.applied[i]+1))
 		p.applied[i]++
 	}
-	p.perform(i, p.executors[i].Sync(0, p.books[i]))
+	p.perform(i, p.executors[i].Sync(0, p.stateMachines[i]))
 }
 
 func (p *simulation) perform(i int, actions []any) {
@@ -114,7 +114,7 @@
 			inc++
 			workers[name] = Member{Incarnation: inc, Present: true}
 			p.member(name, workers[name])
-			p.books, p.applied, p.executors = append(p.books, New(8)), append(p.applied, 0), append(p.executors, &Executor{Name: name, Incarnation: inc})
+			p.stateMachines, p.applied, p.executors = append(p.stateMachines, New(8)), append(p.applied, 0), append(p.executors, &Executor{Name: name, Incarnation: inc})
 			_ = i
 		}
 		p.agree(Start, Job{Name: "j", Kind: "k", Steps: 6, Type: typ, Window: 2})
--- a/internal/purges/driver/service.go
+++ b/internal/purges/driver/service.go
@@ -48,7 +48,7 @@
 // marksApplied is an event from the core: it applies all marks up to a log index.
 type marksApplied struct{ index uint64 }
 
-// Service is the purge service of one gateway. It runs in the loop of the council.
+// Service is the purge service of one gateway. It runs in the loop of the replica.
 type Service struct {
 	block          Block
 	stateMachine   *purges.StateMachine
@@ -69,7 +69,7 @@
 	nextMissesAt   float64 // when misses may be reported again
 }
 
-// logAdapter adapts purges.Book to the commands and members of the log.
+// logAdapter adapts purges.StateMachine to the commands and members of the log.
 type logAdapter struct{ *purges.StateMachine }
 
 // Apply applies a command of the log.
@@ -98,7 +98,7 @@
 	return map[string]quorum.StateMachine{StateMachineName: logAdapter{s.stateMachine}}
 }
 
-// Start sets the council through which commands are proposed.
+// Start sets the replica through which commands are proposed.
 func (s *Service) Start(c *quorumdriver.Replica) { s.replica = c }
 
 // NextDeadline returns the time of the next check; +Inf if no purge is open.
@@ -117,7 +117,7 @@
 
 func unixMillis() float64 { return float64(time.Now().UnixMilli()) }
 
-// Handle processes an event of the council or of the core.
+// Handle processes an event of the replica or of the core.
 func (s *Service) Handle(now float64, e any) {
 	s.now = now
 	if s.block.On {
--- a/internal/purges/purges_test.go
+++ b/internal/purges/purges_test.go
@@ -148,9 +148,9 @@
 				for _, object := range append([]string{"c", "zz"}, objects...) {
 					for group := range int64(3) {
 						hard, soft := published.bound(club, object, group)
-						for holder, shelf := range map[string]*BoundSet{"the log": b.Bounds, "a core": core} {
+						for holder, bounds := range map[string]*BoundSet{"the log": b.Bounds, "a core": core} {
 							// A soft bound below the hard bound may be left out, as it has no effect.
-							if h, s := shelf.Bound(club, object, group); h != hard || max(h, s) != max(hard, soft) {
+							if h, s := bounds.Bound(club, object, group); h != hard || max(h, s) != max(hard, soft) {
 								t.Fatalf("%d: %s: club %q, object %s, group %d: bounds %v and %v in %s, want %v and %v", n, kind, club, object, group, h, s, holder, hard, soft)
 							}
 						}
@@ -329,14 +329,14 @@
 			t.Errorf("%s: %v", want, err)
 		}
 	}
-	book, l := New(), DefaultLimits()
+	stateMachine, l := New(), DefaultLimits()
 	l.Rate = 1
 	for i := range maxNamed/maxObjects + 2 {
 		objects := make([]string, maxObjects)
 		for k := range objects {
 			objects[k] = fmt.Sprint(i, "-", k)
 		}
-		r := book.applyOrder(uint64(i+1), Accept, CommandData{Purge: &Purge{ID: fmt.Sprint(i), Objects: objects}, Limits: &l})
+		r := stateMachine.applyOrder(uint64(i+1), Accept, CommandData{Purge: &Purge{ID: fmt.Sprint(i), Objects: objects}, Limits: &l})
 		if full := i >= maxNamed/maxObjects; (r == ErrFull) != full {
 			t.Errorf("%d open purges of %d objects, then another: %v", i, maxObjects, r)
 		}
--- a/internal/quorum/api.go
+++ b/internal/quorum/api.go
@@ -114,7 +114,7 @@
 		Command Command
 		Result  any
 	}
-	// Restored reports that a snapshot has replaced the whole state: it covers all commands reported by Agreed
+	// Restored reports that a snapshot has replaced the whole state: it covers all commands reported by Committed
 	// before.
 	Restored struct{ Index uint64 }
 	// Outcome ends a Propose, with the index of the committed command or an error. After ErrGivenUp the command may
@@ -146,7 +146,7 @@
 	Compact        uint64          // entries up to this index, and older snapshots, may be deleted
 }
 
-// Command is an entry of the replicated log. Book names the state machine that applies it; the one of this package is
+// Command is an entry of the replicated log. StateMachine names the state machine that applies it; the one of this package is
 // "members".
 type Command struct {
 	StateMachine string `cbor:"1,keyasint"`
@@ -166,8 +166,8 @@
 	Load([]byte) error
 }
 
-// MembershipObserver is a Book that is notified of changes of members as well, at their place in the log. A member
-// whose Standing is Unknown was evicted.
+// MembershipObserver is a StateMachine that is notified of changes of members as well, at their place in the log. A member
+// whose State is MemberUnknown was evicted.
 type MembershipObserver interface {
 	MemberChanged(index uint64, m Member)
 }
--- a/internal/quorum/driver/replica.go
+++ b/internal/quorum/driver/replica.go
@@ -38,21 +38,21 @@
 	lastToken uint64
 	pending   map[uint64]func(quorum.Outcome) // callbacks of the proposed commands, by token
 	subsystem Subsystem                       // nil: none
-	notified  LogAdvanced                     // the last state passed to the part; Restored: not passed on yet
+	notified  LogAdvanced                     // the last state passed to the subsystem; Restored: not passed on yet
 	advanced  bool                            // whether the log advanced since
 }
 
 // call is a function in the inbox, to be called by the loop.
 type call func()
 
-// Subsystem is a subsystem that runs in the council's loop on top of the replicated log. Its methods are called from that
+// Subsystem is a subsystem that runs in the replica's loop on top of the replicated log. Its methods are called from that
 // loop and must not block.
 type Subsystem interface {
 	// StateMachines returns its state machines by name.
 	StateMachines() map[string]quorum.StateMachine
-	// Start passes it the council, before any event.
+	// Start passes it the replica, before any event.
 	Start(c *Replica)
-	// Handle processes a Followed, an Asked, a Leaving or an event passed to Council.Post; nil only advances the time.
+	// Handle processes a LogAdvanced, a PeerRequest, a ShuttingDown or an event passed to Replica.Post; nil only advances the time.
 	Handle(now float64, e any)
 	// NextDeadline returns when Handle has to be called again at the latest, in ms.
 	NextDeadline() float64
@@ -60,7 +60,7 @@
 	Query(about, name string) (any, error)
 	// CheckCommand returns an error if an operator may not propose a command.
 	CheckCommand(quorum.Command) error
-	// Idle reports whether the process may end, after a Leaving.
+	// Idle reports whether the process may end, after a ShuttingDown.
 	Idle() bool
 	// Close releases its resources when the loop ends.
 	Close() error
@@ -193,7 +193,7 @@
 	}
 }
 
-// Post queues an event for the part. It may be called from any goroutine, and drops the event when the inbox is full.
+// Post queues an event for the subsystem. It may be called from any goroutine, and drops the event when the inbox is full.
 func (c *Replica) Post(e any) {
 	c.post(call(func() { c.subsystem.Handle(c.now(), e) }))
 }
@@ -297,7 +297,7 @@
 	return c.closeStore()
 }
 
-// notifySubsystem passes the part the current state of the log, or only the time when nothing changed.
+// notifySubsystem passes the subsystem the current state of the log, or only the time when nothing changed.
 func (c *Replica) notifySubsystem() {
 	if c.subsystem == nil {
 		return
@@ -379,7 +379,7 @@
 	Command *quorum.Command `cbor:"4,keyasint,omitempty"`
 }
 
-// Reply is the answer to a Question.
+// Reply is the answer to a Query.
 type Reply struct {
 	Error  string          `json:"error,omitempty"`
 	Index  uint64          `json:"index,omitempty"` // of the committed command
--- a/internal/quorum/members.go
+++ b/internal/quorum/members.go
@@ -18,7 +18,7 @@
 	Nonce                uint64      `cbor:"5,keyasint"` // random, drawn by that process, so that a join that is committed twice counts once
 	Identity             uint64      `cbor:"6,keyasint"` // of its store; 0: it has none, and cannot vote
 	State                MemberState `cbor:"7,keyasint"`
-	Since                uint64      `cbor:"8,keyasint"`  // the log index of its last change of Standing
+	Since                uint64      `cbor:"8,keyasint"`  // the log index of its last change of State
 	LeaseExpirations     uint64      `cbor:"9,keyasint"`  // how often its lease expired, or it was replaced without having left
 	DuplicateIncarnation uint64      `cbor:"10,keyasint"` // the newest of its older processes that renewed a lease after being replaced
 	Seq                  uint64      `cbor:"11,keyasint"` // sequence number of the last command applied
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -185,7 +185,7 @@
 	for name, stateMachine := range n.stateMachines {
 		saved, found := state.Books[name]
 		if err := stateMachine.Load(saved); err != nil {
-			return fmt.Errorf("book %s: %w", name, err)
+			return fmt.Errorf("state machine %s: %w", name, err)
 		}
 		if observer, ok := stateMachine.(MembershipObserver); ok && !found { // the snapshot was written before this state machine existed
 			for _, m := range n.members.All() {
--- a/internal/quorum/recover.go
+++ b/internal/quorum/recover.go
@@ -10,7 +10,7 @@
 	"poppymill/internal/prng"
 )
 
-// TokenAllocator is a Book that gives out numbers which must be higher than all given out before, also when those are
+// TokenAllocator is a StateMachine that gives out numbers which must be higher than all given out before, also when those are
 // not known. Leap skips a range that none of them can have reached.
 type TokenAllocator interface{ SkipTokens() }
 
@@ -34,7 +34,7 @@
 
 // Recover creates a new fleet from a store whose fleet has lost its majority for good. Its gateway is the only voter,
 // all entries in the store count as committed, and incarnations and tokens skip all that can have been given out. The
-// record is to be written to that store; no other copy of the store may be in use. Books are the state machines of
+// record is to be written to that store; no other copy of the store may be in use. stateMachines are the state machines of
 // the gateway; the nonce must be a fresh random number.
 func Recover(store Store, stateMachines map[string]StateMachine, nonce uint64) (Record, Recovery, error) {
 	report := Recovery{Name: store.Identity.Name, Identity: store.Identity.ID, Starts: store.Starts}
--- a/internal/rehearsal/auditor/auditor.go
+++ b/internal/rehearsal/auditor/auditor.go
@@ -149,17 +149,17 @@
 
 // effected checks one line of a gateway's log of job steps. Any step may arrive late and is then refused; a safe one may run again.
 func (a *Auditor) effected(f world.StepLogged) {
-	place, step := fmt.Sprint(f.Gateway, " ", f.Job), fmt.Sprint(f.Job, " ", f.Step)
+	gatewayJob, step := fmt.Sprint(f.Gateway, " ", f.Job), fmt.Sprint(f.Job, " ", f.Step)
 	switch {
 	case f.NewerToken > 0:
 		if f.Token >= f.NewerToken {
 			a.record(Work, f.At, f.Gateway, step, "", "refused under token %d for being older than %d", f.Token, f.NewerToken)
 		}
 		return
-	case f.Token < a.highestToken[place]:
-		a.record(Work, f.At, f.Gateway, step, "", "happened under token %d of %s after token %d was seen there", f.Token, f.From, a.highestToken[place])
+	case f.Token < a.highestToken[gatewayJob]:
+		a.record(Work, f.At, f.Gateway, step, "", "happened under token %d of %s after token %d was seen there", f.Token, f.From, a.highestToken[gatewayJob])
 	}
-	if a.highestToken[place] = max(a.highestToken[place], f.Token); f.TokenNotice || f.Repeated || f.Type == "safe" {
+	if a.highestToken[gatewayJob] = max(a.highestToken[gatewayJob], f.Token); f.TokenNotice || f.Repeated || f.Type == "safe" {
 		return
 	}
 	if a.stepRuns[step]++; a.stepRuns[step] > 1 {
--- a/internal/rehearsal/world/config.go
+++ b/internal/rehearsal/world/config.go
@@ -82,7 +82,7 @@
 	return p
 }
 
-// Configuration returns a gateway's full configuration as JSON. Known returns the channel's events so far; change, if not
+// Configuration returns a gateway's full configuration as JSON. known returns the channel's events so far; change, if not
 // nil, alters the settings to inject a fault.
 func (w *World) Configuration(number int, listen, channel string, known func() (int, []map[string]any),
 	change func(map[string]any)) ([]byte, error) {
--- a/internal/rehearsal/world/messages.go
+++ b/internal/rehearsal/world/messages.go
@@ -76,7 +76,7 @@
 	}
 	// Listen makes a box reachable under an address; the driver may map it to any real one.
 	Listen struct{ Address string }
-	// Close makes it unreachable: connections are refused or, if Mute, neither accepted nor refused.
+	// Close makes it unreachable: connections are refused or, if Drop, neither accepted nor refused.
 	Close struct {
 		Address string
 		Drop    bool
@@ -281,7 +281,7 @@
 		Job, From             string
 		Type                  string
 		Token, NewerToken     uint64 // Newer: the step was refused because this higher token was seen
-		Repeated, TokenNotice bool   // Again: it had run before; Told: no step, only a notice of a token
+		Repeated, TokenNotice bool   // Repeated: it had run before; TokenNotice: no step, only a notice of a token
 	}
 	// Down: a gateway's process ended. Crashed: without being told to.
 	Down struct {
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -58,7 +58,7 @@
 	AcceptUnknown bool
 }
 
-// New creates a deployment; its initial actions are returned by the first call of Ring.
+// New creates a deployment; its initial actions are returned by the first call of RunUntil.
 func New(s *script.Script, o Options) *World {
 	w := &World{script: s, random: seededRandom(s.Seed), epoch: o.Epoch, bodyDivisor: o.BodyDivisor, acceptUnknown: o.AcceptUnknown, onFact: o.OnFact, boxes: map[string]*box{},
 		clubLinks: map[string]*sharedResource{}, hubOf: map[string]string{}, typesByName: map[string]*contentType{}, conns: map[int64]*conn{},
--- a/router/events.go
+++ b/router/events.go
@@ -48,7 +48,7 @@
 	}
 	// ClientGone reports that the client has disconnected; the download needs no answer any more.
 	ClientGone struct{ ID string }
-	// TimerFired reports that the Alarm with this token is due.
+	// TimerFired reports that the SetTimer with this token is due.
 	TimerFired struct{ Token int64 }
 	// Purged invalidates copies older than Age: of one object, or of a whole group where Object is empty.
 	Purged struct {
@@ -93,7 +93,7 @@
 	}
 	// Probe requests a health check of a node.
 	Probe struct{ Node string }
-	// SetTimer sets a timer: Rang is to follow at or after a time.
+	// SetTimer sets a timer: TimerFired is to follow at or after a time.
 	SetTimer struct {
 		At    float64
 		Token int64
