--- a/cmd/poppymill/job.go
+++ b/cmd/poppymill/job.go
@@ -232,8 +232,9 @@
 	return submitJobCommand(ctx, cmd, 3, owner.Resolve, owner.Claim{Job: cmd.Args().Get(1), Step: step, Ran: cmd.Bool("ran")})
 }
 
-// settleByRecord settles all steps that may have run by the records of their executing gateways. That a record lacks a step proves
-// nothing until that gateway knows a newer token than that under which the step was sent, so the job is fenced first.
+// settleByRecord settles all steps that may have run by the records of their executing gateways. That a record lacks a
+// step proves nothing until that gateway knows a newer token than that under which the step was sent, so the job is
+// fenced first.
 func settleByRecord(ctx context.Context, cmd *cli.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
--- a/internal/caches/pool.go
+++ b/internal/caches/pool.go
@@ -342,8 +342,8 @@
 	c.endedOrder = append(c.endedOrder, id)
 }
 
-// Cancel cancels a pull. TakeResults reports it with the given status, or as never sent (or not connected) if it provably wasn't
-// written.
+// Cancel cancels a pull. TakeResults reports it with the given status, or as never sent (or not connected) if it
+// provably wasn't written.
 func (p *Pool) Cancel(pull *Pull, status router.Status, now float64) {
 	if pull.ended {
 		return
@@ -387,8 +387,8 @@
 	}
 }
 
-// RecallMatching recalls the matching pulls that are still queued, for instance on a connection that is slow to come up, since
-// a drain or a purge applies to them too. They never ran, so they may be sent again at once.
+// RecallMatching recalls the matching pulls that are still queued, for instance on a connection that is slow to come
+// up, since a drain or a purge applies to them too. They never ran, so they may be sent again at once.
 func (p *Pool) RecallMatching(match func(*Pull) bool, now float64) {
 	for _, c := range p.sortedConns() {
 		for _, id := range slices.Sorted(maps.Keys(c.open)) {
@@ -568,8 +568,8 @@
 // all gateways.
 const healthCheckFactor = 3.0
 
-// CheckStalled finds connections that have stalled in the middle of a reply or gone silent, and fails them as a whole before
-// their pulls time out one by one. A node that is only slow replies to the health check.
+// CheckStalled finds connections that have stalled in the middle of a reply or gone silent, and fails them as a whole
+// before their pulls time out one by one. A node that is only slow replies to the health check.
 func (p *Pool) CheckStalled(now float64) {
 	delayed := now-p.lastWatch > p.limits.AnswerTimeout/2 // this process was paused and may have unread data
 	if p.lastWatch = now; delayed {
--- a/internal/channel/event.go
+++ b/internal/channel/event.go
@@ -93,8 +93,8 @@
 	return n, nil
 }
 
-// ParseKnown parses the past events of the channel in a configuration. It returns the cursor of the last event and the events
-// up to it.
+// ParseKnown parses the past events of the channel in a configuration. It returns the cursor of the last event and the
+// events up to it.
 func ParseKnown(data []byte) (int64, []Event, error) {
 	var known struct {
 		Cursor *int64      `json:"cursor"`
--- a/internal/clients/call.go
+++ b/internal/clients/call.go
@@ -52,8 +52,8 @@
 	return c, nil
 }
 
-// Send sends a request. done is called once, from another goroutine, with the response or with the reason why there is none.
-// It is not called if Send returns an error.
+// Send sends a request. done is called once, from another goroutine, with the response or with the reason why there is
+// none. It is not called if Send returns an error.
 func (c *Client) Send(params map[string]string, body []byte, done func(Response, error)) (id uint16, err error) {
 	var pairs []byte
 	names := make([]string, 0, len(params))
--- a/internal/fair/controller.go
+++ b/internal/fair/controller.go
@@ -442,10 +442,10 @@
 
 // concurrencyLimit learns how many open downloads finish in time. If over a quarter of the recent outcomes are late, it
 // drops to 0.8 of the open downloads; if latency relative to cost exceeds 2.2 times its lowest value, to 0.9, because
-// whatever queues behind the controller is served in order of arrival, where the shares are lost. It drops at most twice a
-// second, and rises with each download that finishes in time while the limit is nearly used and latency is low. It is
-// looser than the limiters of the router, which judge by node: their rejections count as late here, so the controller closes
-// when they do.
+// whatever queues behind the controller is served in order of arrival, where the shares are lost. It drops at most
+// twice a second, and rises with each download that finishes in time while the limit is nearly used and latency is low.
+// It is looser than the limiters of the router, which judge by node: their rejections count as late here, so the
+// controller closes when they do.
 type concurrencyLimit struct {
 	minimum, current, lastCut float64
 	late, all, cost           slidingSum
--- a/internal/fair/fair_test.go
+++ b/internal/fair/fair_test.go
@@ -301,8 +301,8 @@
 	}
 }
 
-// Clients that return at their appointment are admitted and finish in time, at any load; the controller never books more than
-// its measured capacity.
+// Clients that return at their appointment are admitted and finish in time, at any load; the controller never books
+// more than its measured capacity.
 func TestAppointmentsAreHonoured(t *testing.T) {
 	for _, over := range []float64{1.2, 2, 5} {
 		settings := Defaults()
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -42,8 +42,8 @@
 	now       func() float64
 }
 
-// RequireSignedLinks makes the core accept only downloads with a valid signed link. Post passes an event to the core from any
-// goroutine.
+// RequireSignedLinks makes the core accept only downloads with a valid signed link. Post passes an event to the core
+// from any goroutine.
 func (g *Core) RequireSignedLinks(admission *links.Authorizer, block linksdriver.Block, store SpendStore, post func(any), now func() float64) {
 	g.links = &signedLinks{admission: admission, block: block, store: store, post: post, now: now}
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -29,9 +29,9 @@
 	flushPeriod   = 150 * time.Millisecond
 )
 
-// ShutdownDeadlines returns by when all accepted downloads are answered and by when the answers are written, both counted from
-// the start of the shutdown. The flush takes at most a quarter of the longest wait: with short expiries most of that
-// time must remain for the answers, as clients still connect during acceptPeriod.
+// ShutdownDeadlines returns by when all accepted downloads are answered and by when the answers are written, both
+// counted from the start of the shutdown. The flush takes at most a quarter of the longest wait: with short expiries
+// most of that time must remain for the answers, as clients still connect during acceptPeriod.
 func ShutdownDeadlines(c *gatewayconfig.Config) (answered, flushed time.Duration) {
 	longest := 0.0
 	for _, t := range c.Types {
--- a/internal/gatewayconfig/config.go
+++ b/internal/gatewayconfig/config.go
@@ -47,7 +47,8 @@
 	settings []byte // the compacted JSON text, for comparison
 }
 
-// ChangedFixedFields returns the names of the fields that differ in another configuration and can't change in a running gateway.
+// ChangedFixedFields returns the names of the fields that differ in another configuration and can't change in a running
+// gateway.
 func (c *Config) ChangedFixedFields(other *Config) (names []string) {
 	for _, f := range []struct {
 		name    string
--- a/internal/links/authorizer.go
+++ b/internal/links/authorizer.go
@@ -50,8 +50,8 @@
 	d.limiter.perSource, d.limiter.total = s.ChecksPerSource, s.ChecksTotal
 }
 
-// SetWallClock reports a reading of the wall clock. A jump forward is followed at once. A jump back is ignored until the next
-// start, as following it would make expired tokens valid again.
+// SetWallClock reports a reading of the wall clock. A jump forward is followed at once. A jump back is ignored until
+// the next start, as following it would make expired tokens valid again.
 func (d *Authorizer) SetWallClock(at, wall float64) { d.shift = max(d.shift, wall-at) }
 
 // Restore enters a token that was spent before this start into the replay table.
@@ -61,8 +61,8 @@
 	}
 }
 
-// DownloadEnded reports that a download has its final answer. If none of its pulls can have run (harmless), the token that it spent
-// is usable again, and the spend to be deleted from the store is returned.
+// DownloadEnded reports that a download has its final answer. If none of its pulls can have run (harmless), the token
+// that it spent is usable again, and the spend to be deleted from the store is returned.
 func (d *Authorizer) DownloadEnded(id string, harmless bool) (released SpentToken, ok bool) {
 	s, spent := d.spending[id]
 	delete(d.spending, id)
@@ -425,8 +425,8 @@
 	Write        bool
 }
 
-// SignPull issues a link for one pull. It is valid for that cache node and the node's source, for that part, and for a short
-// time. It is empty if cache nodes need no links, or if there is no signing key.
+// SignPull issues a link for one pull. It is valid for that cache node and the node's source, for that part, and for a
+// short time. It is empty if cache nodes need no links, or if there is no signing key.
 func (d *Authorizer) SignPull(s Pull) string {
 	if d.settings.NodeLinkLifetime == 0 || d.keySet.signing == nil {
 		return ""
--- a/internal/maintenance/driver/coordinator.go
+++ b/internal/maintenance/driver/coordinator.go
@@ -1,5 +1,5 @@
-// Package driver connects package maintenance to a gateway: its state machine to the replicated log, draining of machines to the
-// gateway's core, and grants to the gateway that owns the schedule. It makes no decisions of its own.
+// Package driver connects package maintenance to a gateway: its state machine to the replicated log, draining of
+// machines to the gateway's core, and grants to the gateway that owns the schedule. It makes no decisions of its own.
 package driver
 
 import (
@@ -21,7 +21,8 @@
 	quorumdriver "poppymill/internal/quorum/driver"
 )
 
-// StateMachineName is the name of the state machine in the log. Schedule is the name of the job whose owner grants machines.
+// StateMachineName is the name of the state machine in the log. Schedule is the name of the job whose owner grants
+// machines.
 const (
 	StateMachineName = "machines"
 	Schedule         = "machines"
@@ -33,13 +34,14 @@
 	tickEvery  = 500.0
 )
 
-// Core is the gateway's core, which runs in its own loop. Leave makes it send no new requests to the nodes; done is called once, with
-// the same number, when no request to them is in flight any more.
+// Core is the gateway's core, which runs in its own loop. Leave makes it send no new requests to the nodes; done is
+// called once, with the same number, when no request to them is in flight any more.
 type Core interface {
 	StopUsing(nodes []string, number int, done func(number int))
 }
 
-// ListedNodes is the event that reports the edge caches and hubs present in this gateway's node list. All others are lost or drained.
+// ListedNodes is the event that reports the edge caches and hubs present in this gateway's node list. All others are
+// lost or drained.
 type ListedNodes struct{ Present map[string]bool }
 
 // drainedNodes is the event by which the core reports that no request is in flight to the nodes of that call of Leave.
@@ -91,7 +93,8 @@
 	return map[string]quorum.StateMachine{StateMachineName: stateMachine{maintenance.New()}}
 }
 
-// Open creates the coordinator of a gateway. Without the block it only follows the log, and still drains machines that are about to leave.
+// Open creates the coordinator of a gateway. Without the block it only follows the log, and still drains machines that
+// are about to leave.
 func Open(b Block, runner *ownerdriver.Runner, core Core, log logrus.FieldLogger) *Coordinator {
 	return &Coordinator{block: b, state: maintenance.New(), runner: runner, core: core, log: log, inFlight: map[string]float64{},
 		loggedStages: map[string]string{}, unixMillis: func() float64 { return float64(time.Now().UnixMilli()) }}
@@ -161,7 +164,8 @@
 	}
 }
 
-// propose proposes a command, unless the same one was proposed less than a second ago and is still undecided, or was just rejected.
+// propose proposes a command, unless the same one was proposed less than a second ago and is still undecided, or was
+// just rejected.
 func (co *Coordinator) propose(kind, key string, content any) {
 	key = kind + " " + key
 	if co.now < co.inFlight[key] {
@@ -207,7 +211,8 @@
 	}
 }
 
-// runLeaderDuties proposes what only the leader proposes: the inventory, the voters, lost nodes, ticks and the job that owns the schedule.
+// runLeaderDuties proposes what only the leader proposes: the inventory, the voters, lost nodes, ticks and the job that
+// owns the schedule.
 func (co *Coordinator) runLeaderDuties() {
 	if co.block.Inventory.Version > co.state.Inventory.Version {
 		co.propose(maintenance.SetInventory, "", co.block.Inventory)
--- a/internal/operator/read.go
+++ b/internal/operator/read.go
@@ -67,8 +67,8 @@
 	return r.errs
 }
 
-// PeekString returns the value of one top-level string attribute and ignores the rest of the text, for an attribute that must
-// be known before the rest can be read. It returns "" if the attribute is missing.
+// PeekString returns the value of one top-level string attribute and ignores the rest of the text, for an attribute
+// that must be known before the rest can be read. It returns "" if the attribute is missing.
 func PeekString(text []byte, file, name string) (string, error) {
 	parsed, diags := hclsyntax.ParseConfig(text, file, hcl.InitialPos)
 	if diags.HasErrors() {
--- a/internal/owner/agent.go
+++ b/internal/owner/agent.go
@@ -79,8 +79,8 @@
 	}
 )
 
-// RaiseToken is an action besides SendEffect and Propose: the local executing gateway must learn of a grant in the log, whether or
-// not an effect under it arrives there.
+// RaiseToken is an action besides SendEffect and Propose: the local executing gateway must learn of a grant in the log,
+// whether or not an effect under it arrives there.
 type RaiseToken struct {
 	Job   string
 	Token uint64
--- a/internal/purges/driver/block.go
+++ b/internal/purges/driver/block.go
@@ -14,8 +14,8 @@
 	Limits purges.Limits
 }
 
-// EffectiveLimits returns the limits of the block; where it is off, the defaults, which bound the purges followed from other
-// gateways.
+// EffectiveLimits returns the limits of the block; where it is off, the defaults, which bound the purges followed from
+// other gateways.
 func (b Block) EffectiveLimits() purges.Limits {
 	if b.On {
 		return b.Limits
--- a/internal/quorum/api.go
+++ b/internal/quorum/api.go
@@ -146,8 +146,8 @@
 	Compact        uint64          // entries up to this index, and older snapshots, may be deleted
 }
 
-// Command is an entry of the replicated log. StateMachine names the state machine that applies it; the one of this package is
-// "members".
+// Command is an entry of the replicated log. StateMachine names the state machine that applies it; the one of this
+// package is "members".
 type Command struct {
 	StateMachine string `cbor:"1,keyasint"`
 	Kind         string `cbor:"2,keyasint"`
--- a/internal/quorum/driver/replica.go
+++ b/internal/quorum/driver/replica.go
@@ -52,7 +52,8 @@
 	StateMachines() map[string]quorum.StateMachine
 	// Start passes it the replica, before any event.
 	Start(c *Replica)
-	// Handle processes a LogAdvanced, a PeerRequest, a ShuttingDown or an event passed to Replica.Post; nil only advances the time.
+	// Handle processes a LogAdvanced, a PeerRequest, a ShuttingDown or an event passed to Replica.Post; nil only
+	// advances the time.
 	Handle(now float64, e any)
 	// NextDeadline returns when Handle has to be called again at the latest, in ms.
 	NextDeadline() float64
--- a/internal/quorum/recover.go
+++ b/internal/quorum/recover.go
@@ -10,8 +10,8 @@
 	"poppymill/internal/prng"
 )
 
-// TokenAllocator is a StateMachine that gives out numbers which must be higher than all given out before, also when those are
-// not known. Leap skips a range that none of them can have reached.
+// TokenAllocator is a StateMachine that gives out numbers which must be higher than all given out before, also when
+// those are not known. Leap skips a range that none of them can have reached.
 type TokenAllocator interface{ SkipTokens() }
 
 // incarnationLeap is added to the last incarnation when a fleet is recovered from a store: more than can have been
--- a/internal/rehearsal/world/box.go
+++ b/internal/rehearsal/world/box.go
@@ -170,9 +170,9 @@
 	b.updateCapacity()
 }
 
-// countWork adds requested work and brings the box down when the recent sum exceeds its limit. If the box was still warming
-// up and the work from senders that knew of this start exceeds the limit on its own, it also reports ColdOverload: the gateways
-// should not have sent that much.
+// countWork adds requested work and brings the box down when the recent sum exceeds its limit. If the box was still
+// warming up and the work from senders that knew of this start exceeds the limit on its own, it also reports
+// ColdOverload: the gateways should not have sent that much.
 func (b *box) countWork(work float64, senderKnows bool) {
 	w := b.w
 	multiple, span := b.spec.OverloadMultiple, b.spec.OverloadWindow
