--- a/internal/caches/pool.go
+++ b/internal/caches/pool.go
@@ -16,7 +16,7 @@
 
 var errNoBuffer = errors.New("no read buffer available")
 
-// Pull is one request to a node. It is in flight from Pool.Pull until its single End is reported.
+// Pull is one request to a node. It is in flight from Pool.Pull until its single Result is reported.
 type Pull struct {
 	ID, Node    string
 	Fields      string
@@ -30,7 +30,7 @@
 	command     *Command
 	sentAt      float64
 	idleBefore  float64 // ms for which the connection was idle before this pull; 0: new or busy
-	healthCheck bool    // sent by the pool itself; its End is not reported
+	healthCheck bool    // sent by the pool itself; its Result is not reported
 	ended       bool
 }
 
@@ -72,7 +72,7 @@
 	lastWatch     float64
 	meanAnswer    float64 // moving average of the time to a reply, in ms
 
-	Dialed, Malformed, Exhausted, LateReplies, Stalled, TooOld int // counters; Short: no connection or buffer available
+	Dialed, Malformed, Exhausted, LateReplies, Stalled, TooOld int // counters; Exhausted: no connection or buffer available
 }
 
 // node is one node with the connections to it.
@@ -374,7 +374,7 @@
 }
 
 // Recall cancels a pull that must not be sent any more, if it is still queued. If it is being written on a stuck
-// connection, it would go out once the node reads again, so the connection is closed, as in Drop.
+// connection, it would go out once the node reads again, so the connection is closed, as in Cancel.
 func (p *Pool) Recall(pull *Pull, now float64) {
 	switch {
 	case pull.ended:
--- a/internal/caches/resp.go
+++ b/internal/caches/resp.go
@@ -21,7 +21,7 @@
 	maxLengthLine  = 16      // bytes of a line with a length
 )
 
-// Reply is one reply as received: the ID of its command (Tag), a word for the outcome, fields and a body.
+// Reply is one reply as received: the ID of its command, a word for the outcome, fields and a body.
 type Reply struct {
 	ID, Word, Fields string
 	Body             *buffer.Body
--- a/internal/caches/wire.go
+++ b/internal/caches/wire.go
@@ -19,7 +19,7 @@
 	state atomic.Int32
 }
 
-// The states of an Item.
+// The states of a Command.
 const (
 	stateQueued  int32 = iota
 	stateWriting       // the node may receive all of it before the write returns
@@ -29,13 +29,13 @@
 // Wire is a connection as the pool uses it. Its methods never block; it reports what happens by events.
 type Wire interface {
 	Send(*Command) bool                // false: the queue is full, or the wire is closed
-	Remove(*Command) bool              // true: the item has not been written and never will be
+	Remove(*Command) bool              // true: the command has not been written and never will be
 	Stuck() bool                       // a write has blocked for too long, as the node does not read
 	LastRead() (at float64, amid bool) // time of the last read, and whether a reply is incomplete
 	Close()                            // closes the connection with everything in flight on it
 }
 
-// Event is an Up, Answered or Down event of a wire.
+// Event is an Up, Replied or Down event of a wire.
 type Event any
 
 // Events of a wire.
--- a/internal/clients/close_test.go
+++ b/internal/clients/close_test.go
@@ -238,8 +238,8 @@
 	s.stop()
 }
 
-// A connection that is accepted after End, before the listener is closed, gets one request answered and is then closed. One that
-// is accepted after Shut is closed without its request being handled.
+// A connection that is accepted after Drain, before the listener is closed, gets one request answered and is then closed. One that
+// is accepted after DrainAndDiscard is closed without its request being handled.
 func TestAcceptDuringShutdown(t *testing.T) {
 	s := newTestServer(t, 3)
 	s.Drain()
--- a/internal/clients/fastcgi_test.go
+++ b/internal/clients/fastcgi_test.go
@@ -238,7 +238,7 @@
 	return []byte(beginRequest(id, keep) + encodeRecord(4, id, "") + encodeRecord(5, id, ""))
 }
 
-// A client that does not read must not block others: its responses wait in its own queue. After End a server closes idle
+// A client that does not read must not block others: its responses wait in its own queue. After Drain a server closes idle
 // connections at once and the others after their last response. A connection beyond the limit is refused.
 func TestServer(t *testing.T) {
 	bodies, reads := buffer.NewPool(1<<20), buffer.NewPool(1<<20)
--- a/internal/clients/serve.go
+++ b/internal/clients/serve.go
@@ -60,7 +60,7 @@
 
 // Serve accepts connections until the listener is closed, and returns once all of them have closed.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	s.mu.Lock() // End or Shut may have been called before
+	s.mu.Lock() // Drain or DrainAndDiscard may have been called before
 	s.conns = map[*Conn]bool{}
 	s.mu.Unlock()
 	var g errgroup.Group
@@ -253,7 +253,7 @@
 // queuedAnswer is an entry of the queue to write.
 type queuedAnswer struct {
 	id    uint16
-	reply []byte // an encoded protocol-level reply; nil: the Answer is written
+	reply []byte // an encoded protocol-level reply; nil: the Response is written
 	Answer
 }
 
--- a/internal/gateway/channel_events.go
+++ b/internal/gateway/channel_events.go
@@ -34,7 +34,7 @@
 		}
 		g.pool.SetNode(node.Node, node.Address, node.StartedAt)
 		if g.drained.effective(node.Entry).State == router.Draining {
-			g.stopSending(node.Node) // after List, which allows probes of the node
+			g.stopSending(node.Node) // after SetNode, which allows probes of the node
 		}
 	}
 	if n.Scope != router.ListChanges {
--- a/internal/links/tables.go
+++ b/internal/links/tables.go
@@ -46,7 +46,7 @@
 }
 
 // use counts one more use of a key, up to maxUses. It returns false with Replayed if the key has no uses left, and with
-// NoMemory if its group has no free slot.
+// ReplayTableFull if its group has no free slot.
 func (t *replayTable) use(key [16]byte, now, expires float64, maxUses uint16) (Reason, bool) {
 	first := groupIndex(key, len(t.slots)/groupSlots) * groupSlots
 	free := -1
--- a/internal/maintenance/driver/coordinator.go
+++ b/internal/maintenance/driver/coordinator.go
@@ -44,7 +44,7 @@
 // lost or drained.
 type ListedNodes struct{ Present map[string]bool }
 
-// drainedNodes is the event by which the core reports that no request is in flight to the nodes of that call of Leave.
+// drainedNodes is the event by which the core reports that no request is in flight to the nodes of that call of StopUsing.
 type drainedNodes struct{ number int }
 
 // Coordinator carries out one gateway's duties in maintenance windows. It runs in the loop of the quorum's driver.
@@ -61,8 +61,8 @@
 	lastTick      float64
 	nextPlan      float64            // earliest time of the next plan, so that planning a large fleet does not block the loop
 	inFlight      map[string]float64 // commands proposed or just rejected, with the time from which each may be proposed again
-	leftNodes     []string           // nodes that the core was last told to leave
-	leaveNumber   int                // number of calls of Core.Leave
+	leftNodes     []string           // nodes that the core was last told to stop using
+	leaveNumber   int                // number of calls of Core.StopUsing
 	drainedNumber int                // the highest number that the core reported as drained
 	listed        map[string]bool    // nodes in this gateway's node list; nil: no list yet
 	load          maintenance.Load   // this gateway's last measurement
--- a/internal/maintenance/state.go
+++ b/internal/maintenance/state.go
@@ -144,7 +144,7 @@
 	return true
 }
 
-// Apply applies a committed command. It returns a copy of the machine's Work after the command, nil if it has none, or an error.
+// Apply applies a committed command. It returns a copy of the machine's Window after the command, nil if it has none, or an error.
 func (b *State) Apply(index uint64, kind string, data []byte) any {
 	if kind == SetInventory {
 		var i Inventory
--- a/internal/maintenance/types.go
+++ b/internal/maintenance/types.go
@@ -46,7 +46,7 @@
 // Policies for missing acknowledgements.
 const (
 	Requeue           MissingAckPolicy = iota // the machine stays in service and is queued again
-	ProceedWithoutAck                         // the machine leaves, and its Work records which acknowledgements were missing
+	ProceedWithoutAck                         // the machine leaves, and its Window records which acknowledgements were missing
 )
 
 // Inventory is the operator's complete configuration of machines and limits. A higher version replaces a lower one.
@@ -131,27 +131,27 @@
 	{Warming, InService, Timeout, Tick},
 }
 
-// Kinds of commands, and the fields of Order that each one uses.
+// Kinds of commands, and the fields of CommandData that each one uses.
 const (
 	SetInventory  = "inventory" // Inventory
-	Submit        = "ask"       // Request, in an Order
-	Cancel        = "cancel"    // Order: id
-	Withdraw      = "withdraw"  // Order: machine. Its grant is revoked and it is queued again
-	Grant         = "grant"     // Order: machine
-	Drain         = "drain"     // Order: machine, token: the agent starts to drain the machine
-	Ack           = "ack"       // Order: machine, token, from: that gateway sends nothing new to the machine and has nothing in flight there
-	Leave         = "go"        // Order: machine, token: the machine may leave only once this is committed
-	Return        = "back"      // Order: machine, token: the machine is back with everything on it
-	ReportWarm    = "warm"      // Order: machine, token, from: by that gateway's measurement the machine's caches are warm
-	FinishWarming = "warmed"    // Order: machine: back in service, as most gateways of its club report it warm
-	SetLost       = "lost"      // Order: names: the complete list of edge caches and hubs that are missing from or drained in the node list
-	SetVoters     = "votes"     // Order: names: the voters of the quorum
-	SetPeak       = "peak"      // Order: club, hour, peak: set by an operator, overrides the measured peak; 0 removes it
-	ReportPeak    = "measured"  // Order: from, hour, peak: measured by that gateway
-	Tick          = "tick"      // Order: at
+	Submit        = "ask"       // Request, in a CommandData
+	Cancel        = "cancel"    // CommandData: id
+	Withdraw      = "withdraw"  // CommandData: machine. Its grant is revoked and it is queued again
+	Grant         = "grant"     // CommandData: machine
+	Drain         = "drain"     // CommandData: machine, token: the agent starts to drain the machine
+	Ack           = "ack"       // CommandData: machine, token, gateway: that gateway sends nothing new to the machine and has nothing in flight there
+	Leave         = "go"        // CommandData: machine, token: the machine may leave only once this is committed
+	Return        = "back"      // CommandData: machine, token: the machine is back with everything on it
+	ReportWarm    = "warm"      // CommandData: machine, token, gateway: by that gateway's measurement the machine's caches are warm
+	FinishWarming = "warmed"    // CommandData: machine: back in service, as most gateways of its club report it warm
+	SetLost       = "lost"      // CommandData: names: the complete list of edge caches and hubs that are missing from or drained in the node list
+	SetVoters     = "votes"     // CommandData: names: the voters of the quorum
+	SetPeak       = "peak"      // CommandData: club, hour, peak: set by an operator, overrides the measured peak; 0 removes it
+	ReportPeak    = "measured"  // CommandData: gateway, hour, peak: measured by that gateway
+	Tick          = "tick"      // CommandData: at
 )
 
-// CommandData is the content of all commands but Have.
+// CommandData is the content of all commands but SetInventory.
 type CommandData struct {
 	At         float64  `cbor:"1,keyasint"` // when it was proposed
 	Machine    string   `cbor:"2,keyasint,omitempty"`
--- a/internal/owner/warmer.go
+++ b/internal/owner/warmer.go
@@ -11,7 +11,7 @@
 // KindWarm is the kind of jobs that prefill the cache of a node.
 const KindWarm = "warm"
 
-// WarmData is the data of a Warm job.
+// WarmData is the data of a KindWarm job.
 type WarmData struct {
 	Node string `cbor:"1,keyasint"`
 	Each int    `cbor:"2,keyasint"` // objects per step
--- a/internal/purges/purges.go
+++ b/internal/purges/purges.go
@@ -49,7 +49,7 @@
 
 func (s Stage) String() string { return [...]string{"going", "sent", "done", "cancelled"}[s] }
 
-// Kinds of log commands. Each carries an Order; the fields that the kind uses are listed.
+// Kinds of log commands. Each carries a CommandData; the fields that the kind uses are listed.
 const (
 	Accept       = "accept" // purge, limits
 	Batch        = "batch"  // id, first, next, token: publishes the objects first to next-1 of a purge
--- a/internal/quorum/driver/driver_test.go
+++ b/internal/quorum/driver/driver_test.go
@@ -217,7 +217,7 @@
 	}
 }
 
-// ledger is a Part whose state machine keeps the data of all its commands.
+// ledger is a Subsystem whose state machine keeps the data of all its commands.
 type ledger struct {
 	mu    sync.Mutex
 	lines []string
@@ -244,7 +244,7 @@
 	return strings.Join(l.lines, " ")
 }
 
-// The methods of a Part that does nothing but keep its state machine.
+// The methods of a Subsystem that does nothing but keep its state machine.
 
 func (l *ledger) StateMachines() map[string]quorum.StateMachine {
 	return map[string]quorum.StateMachine{"ledger": l}
--- a/internal/quorum/driver/peers.go
+++ b/internal/quorum/driver/peers.go
@@ -23,7 +23,7 @@
 	maxQueuedBytes     = quorum.MaxReassembledSize + 4*quorum.MaxFrameSize // of both queues
 )
 
-// peers manages the connections with other gateways. The first frame on a connection is a Hello with the name of the
+// peers manages the connections with other gateways. The first frame on a connection is a KindHello with the name of the
 // side that opened it; after that both sides send frames.
 type peers struct {
 	name        string
--- a/internal/quorum/driver/replica.go
+++ b/internal/quorum/driver/replica.go
@@ -67,7 +67,7 @@
 	Close() error
 }
 
-// Events of a Part.
+// Events of a Subsystem.
 type (
 	// LogAdvanced reports that the log advanced, or that this gateway's own state in it changed. With incarnation 0 the
 	// gateway must not propose commands.
@@ -200,7 +200,7 @@
 }
 
 // Send sends a frame to a peer; the frame may be lost. When it is certain that no byte of it was sent, notSent is
-// called, from any goroutine; it may be nil. Send must be called from the loop, like all that a Part calls unless it
+// called, from any goroutine; it may be nil. Send must be called from the loop, like all that a Subsystem calls unless it
 // says otherwise.
 func (c *Replica) Send(to string, f quorum.Frame, notSent func()) { c.peers.send(to, f, notSent) }
 
@@ -361,7 +361,7 @@
 
 // Propose proposes a command; it may be called from any goroutine. Its outcome is passed to done, which must not block.
 // It is called once, from the loop, unless the loop ends before it takes the command from the inbox. When the inbox is
-// full, done is called with ErrBusy before Propose returns, so a Part that proposes in Handle must be prepared for that.
+// full, done is called with ErrBusy before Propose returns, so a Subsystem that proposes in Handle must be prepared for that.
 func (c *Replica) Propose(command quorum.Command, done func(quorum.Outcome)) {
 	select {
 	case c.inbox <- call(func() { c.propose(command, done) }):
@@ -370,7 +370,7 @@
 	}
 }
 
-// Query is an operator's query. About selects what a Part reports; empty: only the state of the log. Name selects one
+// Query is an operator's query. Subject selects what a Subsystem reports; empty: only the state of the log. Name selects one
 // item of that. Command is committed before the answer is given. Fresh: the answer reflects all commands that were
 // committed before the query.
 type Query struct {
--- a/internal/quorum/frame.go
+++ b/internal/quorum/frame.go
@@ -14,7 +14,7 @@
 
 // The kinds of frames.
 const (
-	KindHello          Kind = iota + 1 // identity and fleet of the sender; answered by a Hello that echoes its nonce
+	KindHello          Kind = iota + 1 // identity and fleet of the sender; answered by one that echoes its nonce
 	KindFounding                       // a founding to adopt
 	KindRaft                           // a raft message
 	KindPropose                        // commands to propose, on their way to the leader
@@ -24,7 +24,7 @@
 	KindRemoved                        // the receiver lost its vote to another identity: Voters, Applied; without Voters: did the sender?
 	KindStatus                         // an operator's question and its answer
 	KindEffect                         // a step of owned work to run; opaque to this package
-	KindEffectResult                   // the result of an Effect
+	KindEffectResult                   // the result of a KindEffect
 	KindStoreQuery                     // what does the receiver know of the sender's identity? Answered by a KindStoreReply
 	KindStoreReply                     // Data: a StoreEvidence
 	KindFragment                       // Data: a fragment of a larger frame, in order on one connection; Applied: the length of the whole
@@ -40,7 +40,7 @@
 	Nonce         uint64    `cbor:"4,keyasint,omitempty"`
 	EchoNonce     uint64    `cbor:"5,keyasint,omitempty"`
 	Founding      *Founding `cbor:"6,keyasint,omitempty"`
-	Data          []byte    `cbor:"7,keyasint,omitempty"` // the raft message; in the first frame of a connection, who opens it; in a Status, the answer
+	Data          []byte    `cbor:"7,keyasint,omitempty"` // the raft message; in the first frame of a connection, who opens it; in a KindStatus, the answer
 	Commands      []Command `cbor:"8,keyasint,omitempty"`
 	Renewals      []Renewal `cbor:"9,keyasint,omitempty"`
 	Applied       uint64    `cbor:"10,keyasint,omitempty"`
--- a/internal/quorum/peers.go
+++ b/internal/quorum/peers.go
@@ -298,13 +298,13 @@
 }
 
 // renew renews the lease of this gateway: a voter sends the leader all renewals it has collected, a follower sends
-// its own to its upstream voter. A gateway that belongs to no fleet sends a Hello to all known peers.
+// its own to its upstream voter. A gateway that belongs to no fleet sends a KindHello to all known peers.
 func (n *Node) renew() {
 	if n.founding == nil {
 		for _, name := range slices.Sorted(maps.Keys(n.settings.Peers)) {
 			n.send(name, Frame{Kind: KindHello, Nonce: n.nonce})
 		}
-		n.foundFleet() // a single founder gets no Hello
+		n.foundFleet() // a single founder gets no KindHello
 		return
 	}
 	own := Renewal{Incarnation: n.incarnation, Name: n.settings.Name}
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -331,7 +331,7 @@
 	}
 }
 
-// A Hello that answers an earlier process of this gateway founds nothing: its sender may belong to a fleet by now.
+// A KindHello that answers an earlier process of this gateway founds nothing: its sender may belong to a fleet by now.
 func TestStaleHelloDoesNotFoundFleet(t *testing.T) {
 	s := newSim(t, 13, 3, 0)
 	s.start("v0")
--- a/internal/rehearsal/script/script.go
+++ b/internal/rehearsal/script/script.go
@@ -168,7 +168,7 @@
 	Renewals, Abandons float64 // least share of writes that succeed; highest share of all attempts that are abandoned
 }
 
-// Event is a fault or another scheduled event. The meaning of a field depends on Do; Line is its line in the script.
+// Event is a fault or another scheduled event. The meaning of a field depends on Kind; Line is its line in the script.
 type Event struct {
 	Kind                string
 	Line                int
--- a/internal/rehearsal/world/messages.go
+++ b/internal/rehearsal/world/messages.go
@@ -100,14 +100,14 @@
 	}
 	// Keys makes all gateways load another set of keys for signed links.
 	Keys struct{ Keys []links.Key }
-	// Start, Kill, Term and Hup act on a gateway's process: start it without state, kill it, ask it to terminate, make it
+	// Start, Kill, Terminate and Reload act on a gateway's process: start it without state, kill it, ask it to terminate, make it
 	// reload its configuration.
 	Start struct{ Gateway int }
 	Kill  struct {
 		Gateway int
-		Disk    string // what remains of its consensus state: lost, or old (as of its last Copy); empty: all of it
+		Disk    string // what remains of its consensus state: lost, or old (as of its last CopyDisk); empty: all of it
 	}
-	// CopyDisk saves a copy of the gateway's state on disk. Fill makes its disk full or, with Undo, writable again.
+	// CopyDisk saves a copy of the gateway's state on disk. FillDisk makes its disk full or, with Undo, writable again.
 	CopyDisk struct{ Gateway int }
 	FillDisk struct {
 		Gateway int
@@ -207,7 +207,7 @@
 		Box, Zone, Source string
 		Cell              int
 	}
-	// Served: a box ended a GET with a reply word; Born is when the core produced the copy.
+	// Served: a box ended a GET with a reply word; CreatedAt is when the core produced the copy.
 	Served struct {
 		At        float64
 		ID, Box   string
@@ -230,7 +230,7 @@
 		Group      int    // -1: none
 		When       float64
 	}
-	// PurgeAgreed: the gateways accepted a purge of their own. After By, no answer may come from a copy made before When.
+	// PurgeAgreed: the gateways accepted a purge of their own. After Deadline, no answer may come from a copy made before When.
 	PurgeAgreed struct {
 		Object         string // empty: a whole group
 		Group          int
@@ -280,7 +280,7 @@
 		Gateway, Step         int
 		Job, From             string
 		Type                  string
-		Token, NewerToken     uint64 // Newer: the step was refused because this higher token was seen
+		Token, NewerToken     uint64 // NewerToken: the step was refused because this higher token was seen
 		Repeated, TokenNotice bool   // Repeated: it had run before; TokenNotice: no step, only a notice of a token
 	}
 	// Down: a gateway's process ended. Crashed: without being told to.
--- a/router/events.go
+++ b/router/events.go
@@ -30,7 +30,7 @@
 		Write            bool
 		PrefetchNode     string // the only edge cache to fill, ahead of requests; empty: any cache may serve it
 	}
-	// PullEnded reports how a pull ended, after Took ms. Closed means that the download has ended with it. Load holds the
+	// PullEnded reports how a pull ended, after Duration ms. DownloadDone means that the download has ended with it. Load holds the
 	// node's gauges.
 	PullEnded struct {
 		ID           string
