--- a/internal/mutation/main.go
+++ b/internal/mutation/main.go
@@ -23,14 +23,14 @@
 
 // The packages whose tests are run.
 const (
-	quorumPackage      = "./internal/quorum"
-	quorumDrivePackage = "./internal/quorum/driver"
-	ownerPackage       = "./internal/owner"
-	ownerPlacePackage  = "./internal/owner/effectlog"
-	maintenancePackage = "./internal/maintenance"
-	purgesPackage      = "./internal/purges"
-	gatewayPackage     = "./internal/gateway"
-	ownerDrivePackage  = "./internal/owner/driver"
+	quorumPackage       = "./internal/quorum"
+	quorumDriverPackage = "./internal/quorum/driver"
+	ownerPackage        = "./internal/owner"
+	effectLogPackage    = "./internal/owner/effectlog"
+	maintenancePackage  = "./internal/maintenance"
+	purgesPackage       = "./internal/purges"
+	gatewayPackage      = "./internal/gateway"
+	ownerDriverPackage  = "./internal/owner/driver"
 )
 
 // faults are the faults in all parts of the gateway; raceFaults has more.
@@ -61,8 +61,8 @@
 	{"a leader with a slow disk stays leader", "internal/quorum/node.go", "if n.diskSlow && n.raft", "if false && n.raft", quorumPackage, "TestFailedAndSlowDisks"},
 	{"waiting commands are sent under a new incarnation", "internal/quorum/voters.go", "\tn.pending = nil\n\tif founding", "\tif founding", quorumPackage, "TestRemovedVoterDropsPending"},
 	{"a snapshot without the new voter", "internal/quorum/node.go", "\t\tn.snapshotForLearner()\n", "", quorumPackage, "TestVoterReplaced"},
-	{"a checksum is not verified", "internal/boltstore/boltstore.go", "if len(v) < 8 || binary.BigEndian.Uint64(v) != checksum(key, v[8:]) {", "if len(v) < 8 {", quorumDrivePackage, "TestCorruptStore"},
-	{"a torn meta page is accepted", "internal/boltstore/boltstore.go", "if err := checkMetaPages(path); err != nil {", "if err := checkMetaPages(path); false {", quorumDrivePackage, "TestCorruptStore"},
+	{"a checksum is not verified", "internal/boltstore/boltstore.go", "if len(v) < 8 || binary.BigEndian.Uint64(v) != checksum(key, v[8:]) {", "if len(v) < 8 {", quorumDriverPackage, "TestCorruptStore"},
+	{"a torn meta page is accepted", "internal/boltstore/boltstore.go", "if err := checkMetaPages(path); err != nil {", "if err := checkMetaPages(path); false {", quorumDriverPackage, "TestCorruptStore"},
 	{"a voter with an old copy of its store keeps voting", "internal/quorum/storecheck.go", "case cmp.Or(cmp.Compare(evidence.Mark.LogTerm, term), cmp.Compare(evidence.Mark.Index, index)) > 0:", "case cmp.Or(cmp.Compare(evidence.Mark.LogTerm, term), cmp.Compare(evidence.Mark.Index, index)) > 5:", quorumPackage, "TestOldStoreCopy"},
 	{"a copied store started as often keeps voting", "internal/quorum/storecheck.go", "case evidence.Starts >= n.starts && evidence.Nonce != n.nonce:", "case evidence.Starts >= n.starts && evidence.Nonce == 1:", quorumPackage, "TestOldStoreCopy"},
 	{"a pre-vote term is taken as a proof", "internal/quorum/storecheck.go", "case raftpb.MessageType_MsgPreVote, raftpb.MessageType_MsgPreVoteResp:", "case raftpb.MessageType_MsgHup:", quorumPackage, "TestFaults|TestMassRestart"},
@@ -91,11 +91,11 @@
 	{"a resumed gateway uses the time before it was frozen", "internal/gateway/purge_bounds.go", "MinCreated(b.now(), b.knownUntil(),", "MinCreated(b.knownUntil(), b.knownUntil(),", gatewayPackage, "TestPurgeBounds"},
 	{"a first pull accepts a stale copy", "internal/purges/view.go", "\t\treturn max(hard, soft)\n", "\t\treturn max(hard, 0*soft)\n", gatewayPackage, "TestPurgeBounds"},
 	{"a fenced job keeps its grant", "internal/owner/state_machine.go", "\t\tj.endGrant(index, \"fenced\")\n", "", ownerPackage, "TestFence"},
-	{"a place accepts effects before it has caught up with the log", "internal/owner/driver/runner.go", "case c.followed.Incarnation == 0:", "case false:", ownerDrivePackage, "TestRunner"},
+	{"a gateway accepts effects before it has caught up with the log", "internal/owner/driver/runner.go", "case c.followed.Incarnation == 0:", "case false:", ownerDriverPackage, "TestRunner"},
 	{"the place is not told of new grants", "internal/owner/agent.go", "actions = append(actions, RaiseToken{j.Name, j.Token})", "", ownerPackage, "TestAgent"},
 	{"a lost effect never times out", "internal/owner/agent.go", "if now >= x.Deadline {", "if false {", ownerPackage, "TestAgent"},
 	{"a leaving owner gets new grants", "internal/owner/state_machine.go", "case !w.Present || w.Idle || w.Incarnation != c.Incarnation:", "case !w.Present || w.Incarnation != c.Incarnation:", ownerPackage, "TestAgent"},
-	{"an effect is confirmed before it is on disk", "internal/owner/effectlog/effectlog.go", "\terr := p.db.Update(func", "\tgo p.db.Update(func(*bolt.Tx) error { return nil })\n\terr := func(f func(*bolt.Tx) error) error { return nil }(func", ownerPlacePackage, "TestLog|TestKilledDuringWrite"},
+	{"an effect is confirmed before it is on disk", "internal/owner/effectlog/effectlog.go", "\terr := p.db.Update(func", "\tgo p.db.Update(func(*bolt.Tx) error { return nil })\n\terr := func(f func(*bolt.Tx) error) error { return nil }(func", effectLogPackage, "TestLog|TestKilledDuringWrite"},
 	{"a machine is granted beyond a limit", "internal/maintenance/state.go", "m, b.Now, b.Now+w.Request.Duration+b.Inventory.Limits.WarmTimeout)); reason != \"\" {", "m, b.Now, b.Now+w.Request.Duration+b.Inventory.Limits.WarmTimeout)); reason == \"-\" {", maintenancePackage, "TestLimits$"},
 	{"a loss withdraws no grants", "internal/maintenance/state.go", "\t\tif reason == \"\" {\n\t\t\treturn\n\t\t}\n\t\tvar newest", "\t\tif reason != \"-\" {\n\t\t\treturn\n\t\t}\n\t\tvar newest", maintenancePackage, "TestLimits$"},
 	{"a machine goes out without acknowledgements", "internal/maintenance/state.go", "pending := b.PendingAcks(w, m)\n\t\tif len", "pending := b.PendingAcks(w, m)[:0]\n\t\tif len", maintenancePackage, "TestMachineLifecycle"},
