--- a/cmd/poppymill/agent.go
+++ b/cmd/poppymill/agent.go
@@ -16,11 +16,11 @@
 	"github.com/sirupsen/logrus"
 	"github.com/urfave/cli/v3"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/maintenance"
-	machines "poppymill/internal/maintenance/drive"
+	maintenancedriver "poppymill/internal/maintenance/driver"
 	"poppymill/internal/quorum"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 )
 
 func agentCommand() *cli.Command {
@@ -39,7 +39,7 @@
 // agentState is the file that an agent keeps over restarts.
 type agentState struct {
 	Version int `json:"version"`
-	maintenance.Keeper
+	maintenance.AgentState
 }
 
 // stateVersion is the version of the file format.
@@ -51,7 +51,7 @@
 	name         string
 	addresses    []string // of gateways
 	lastAnswered int      // index of the gateway that answered last
-	keeper       maintenance.Keeper
+	state        maintenance.AgentState
 	log          logrus.FieldLogger
 }
 
@@ -75,7 +75,7 @@
 		if err != nil {
 			return usageError(fmt.Errorf("machines agent: --state: %s: %w", cmd.String("state"), err))
 		}
-		a.keeper = saved.Keeper
+		a.state = saved.AgentState
 	}
 	for ctx.Err() == nil {
 		finished, err := a.step(ctx)
@@ -95,20 +95,20 @@
 
 // step asks the gateways for the state of the machine and does what is next. It reports whether a request is finished.
 func (a *agent) step(ctx context.Context) (finished bool, err error) {
-	var m machines.Machine
-	if err := a.query(ctx, drive.Question{About: "machine", Name: a.name, Fresh: true}, &m); err != nil {
+	var m maintenancedriver.Machine
+	if err := a.query(ctx, quorumdriver.Query{Subject: "machine", Name: a.name, Fresh: true}, &m); err != nil {
 		return false, err
 	}
-	switch action := a.keeper.Next(m.Work); action {
-	case maintenance.DoDrain:
+	switch action := a.state.Next(m.Work); action {
+	case maintenance.ActionDrain:
 		if err := a.runCommand(ctx, "drain", m.Work.Token); err != nil {
 			return false, err
 		}
 		return false, a.submit(ctx, maintenance.Drain, m.Work.Token)
-	case maintenance.DoGo:
-		return false, a.submit(ctx, maintenance.Go, m.Work.Token)
-	case maintenance.DoWork:
-		a.keeper.Begin(m.Work.Token)
+	case maintenance.ActionLeave:
+		return false, a.submit(ctx, maintenance.Leave, m.Work.Token)
+	case maintenance.ActionWork:
+		a.state.StartWork(m.Work.Token)
 		if err := a.saveState(); err != nil {
 			return false, err // the work must not begin before its start is on disk
 		}
@@ -117,16 +117,16 @@
 		if ctx.Err() != nil {
 			return false, ctx.Err() // stopped during the work, for example by the shutdown of the machine: the next start finds out the result
 		}
-		a.keeper.End(workErr == nil)
+		a.state.FinishWork(workErr == nil)
 		return false, errors.Join(workErr, a.saveState()) // after a failure the machine stays out until somebody runs `machines back`
-	case maintenance.DoReady:
+	case maintenance.ActionCheckReady:
 		if err := a.runCommand(ctx, "ready", m.Work.Token); err != nil {
 			return false, nil // not yet
 		}
 		a.log.Info("machine is back")
-		return false, a.submit(ctx, maintenance.Back, m.Work.Token)
-	case maintenance.Finished:
-		a.keeper.Over()
+		return false, a.submit(ctx, maintenance.Return, m.Work.Token)
+	case maintenance.ActionDone:
+		a.state.Reset()
 		return true, a.saveState()
 	}
 	return false, nil
@@ -134,11 +134,11 @@
 
 // query asks one gateway after another, starting with the one that answered last, and stores the body of the reply in
 // dst.
-func (a *agent) query(ctx context.Context, q drive.Question, dst any) (err error) {
+func (a *agent) query(ctx context.Context, q quorumdriver.Query, dst any) (err error) {
 	for i := range a.addresses {
 		n := (a.lastAnswered + i) % len(a.addresses)
 		queryCtx, cancel := context.WithTimeout(ctx, a.cmd.Duration("within"))
-		r, queryErr := drive.Put(queryCtx, a.addresses[n], q)
+		r, queryErr := quorumdriver.SendQuery(queryCtx, a.addresses[n], q)
 		cancel()
 		if queryErr != nil {
 			err = errors.Join(err, fmt.Errorf("%s: %w", a.addresses[n], queryErr))
@@ -159,10 +159,10 @@
 // submit has the gateways agree on a command for the machine. A refusal for now, as some gateway is not done with the
 // machine or a limit is reached, is not an error: the agent asks again.
 func (a *agent) submit(ctx context.Context, kind string, token uint64) error {
-	var m machines.Machine
-	err := a.query(ctx, drive.Question{About: "machine", Name: a.name, Command: &quorum.Command{Book: machines.Book, Kind: kind,
-		Data: canon.Encode(maintenance.Order{At: float64(time.Now().UnixMilli()), Machine: a.name, Token: token})}}, &m)
-	if err != nil && (strings.Contains(err.Error(), maintenance.ErrWaits.Error()) || strings.Contains(err.Error(), "limit: ")) {
+	var m maintenancedriver.Machine
+	err := a.query(ctx, quorumdriver.Query{Subject: "machine", Name: a.name, Command: &quorum.Command{StateMachine: maintenancedriver.StateMachineName, Kind: kind,
+		Data: codec.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), Machine: a.name, Token: token})}}, &m)
+	if err != nil && (strings.Contains(err.Error(), maintenance.ErrPendingAcks.Error()) || strings.Contains(err.Error(), "limit: ")) {
 		a.log.WithField("why", err).Debug("the machine may not go out yet")
 		return nil
 	}
@@ -186,7 +186,7 @@
 
 // saveState replaces the state file atomically and syncs file and directory.
 func (a *agent) saveState() error {
-	text, err := json.Marshal(agentState{stateVersion, a.keeper})
+	text, err := json.Marshal(agentState{stateVersion, a.state})
 	if err != nil {
 		return err
 	}
--- a/cmd/poppymill/job.go
+++ b/cmd/poppymill/job.go
@@ -14,12 +14,12 @@
 
 	"github.com/urfave/cli/v3"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/owner"
-	jobs "poppymill/internal/owner/drive"
-	"poppymill/internal/owner/place"
+	ownerdriver "poppymill/internal/owner/driver"
+	"poppymill/internal/owner/effectlog"
 	"poppymill/internal/quorum"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 )
 
 func jobCommand() *cli.Command {
@@ -32,7 +32,7 @@
 		{Name: "history", Usage: "list the owners of a job, and why each ownership ended", ArgsUsage: "ADDRESS NAME", Flags: queryFlags, Action: jobHistory},
 		{Name: "effects", Usage: "list the effects that the record of one gateway has as happened or refused", ArgsUsage: "ADDRESS [NAME]", Flags: flags, Action: jobEffects},
 		{Name: "start", Usage: "start a job; repeating the same request has no effect", ArgsUsage: "ADDRESS NAME", Flags: append(flags[:2:2],
-			&cli.StringFlag{Name: "kind", Value: jobs.Drill, Usage: "kind of work"},
+			&cli.StringFlag{Name: "kind", Value: ownerdriver.KindDrill, Usage: "kind of work"},
 			&cli.StringFlag{Name: "type", Value: "safe", Usage: "type of the steps: safe, keyed or unsafe"},
 			&cli.IntFlag{Name: "steps", Value: 1, Usage: "number of steps"},
 			&cli.IntFlag{Name: "window", Value: 4, Usage: "maximum number of steps in progress at a time"},
@@ -48,14 +48,14 @@
 }
 
 // queryJobs checks the number of arguments and queries the gateway at the address in the first one.
-func queryJobs(ctx context.Context, cmd *cli.Command, args int, q drive.Question) (drive.Reply, error) {
+func queryJobs(ctx context.Context, cmd *cli.Command, args int, q quorumdriver.Query) (quorumdriver.Reply, error) {
 	if n := cmd.Args().Len(); n != args {
-		return drive.Reply{}, usageError(fmt.Errorf("job %s: takes %s", cmd.Name, cmd.ArgsUsage))
+		return quorumdriver.Reply{}, usageError(fmt.Errorf("job %s: takes %s", cmd.Name, cmd.ArgsUsage))
 	}
 	q.Fresh = cmd.Bool("fresh")
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
-	r, err := drive.Put(ctx, cmd.Args().First(), q)
+	r, err := quorumdriver.SendQuery(ctx, cmd.Args().First(), q)
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
 	}
@@ -66,12 +66,12 @@
 }
 
 // viewHeader describes the view that a reply is based on: of which gateway, how old, and up to which log index.
-func viewHeader(r drive.Reply) string {
+func viewHeader(r quorumdriver.Reply) string {
 	return fmt.Sprintf("view of %s, %.0f ms old, applied up to index %d", r.Report.Name, r.Report.Age, r.Report.Applied)
 }
 
 func jobList(ctx context.Context, cmd *cli.Command) error {
-	r, err := queryJobs(ctx, cmd, 1, drive.Question{About: "jobs"})
+	r, err := queryJobs(ctx, cmd, 1, quorumdriver.Query{Subject: "jobs"})
 	if err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s\nJOB\tKIND\tTYPE\tSTATE\tOWNER\tTOKEN\tDONE\tMAY HAVE RUN\tGRANTS\n", viewHeader(r))
 	for _, j := range reports {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d of %d\t%d\t%d\n", j.Name, j.Kind, j.Type, j.State, orDash(j.Owner), j.Token, j.Done, j.Steps, len(j.Doubt), j.Grants)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d of %d\t%d\t%d\n", j.Name, j.Kind, j.Type, j.State, orDash(j.Owner), j.Token, j.Done, j.Steps, len(j.Uncertain), j.Grants)
 	}
 	return t.Flush()
 }
@@ -99,8 +99,8 @@
 }
 
 // queryJob queries one job; the arguments are ADDRESS NAME.
-func queryJob(ctx context.Context, cmd *cli.Command) (r drive.Reply, j owner.Report, err error) {
-	if r, err = queryJobs(ctx, cmd, 2, drive.Question{About: "job", Name: cmd.Args().Get(1)}); err == nil {
+func queryJob(ctx context.Context, cmd *cli.Command) (r quorumdriver.Reply, j owner.Report, err error) {
+	if r, err = queryJobs(ctx, cmd, 2, quorumdriver.Query{Subject: "job", Name: cmd.Args().Get(1)}); err == nil {
 		err = json.Unmarshal(r.Body, &j)
 	}
 	return r, j, err
@@ -118,7 +118,7 @@
 	} else {
 		fmt.Printf("%s\n%s: %s, %s steps, %s\nowner %s, token %d, %d grants\n%d of %d steps done, all before step %d\n", viewHeader(r), j.Name, j.Kind, j.Type,
 			j.State, orDash(j.Owner), j.Token, j.Grants, j.Done, j.Steps, j.Next)
-		for _, d := range j.Doubt {
+		for _, d := range j.Uncertain {
 			where := "at the owner"
 			if d.Place != "" {
 				where = "at " + d.Place
@@ -126,7 +126,7 @@
 			fmt.Printf("step %d may have run: sent under token %d by %s, %s. Once you know whether it ran, record that with `job settle`\n", d.Step, d.Token, orDash(d.Owner), where)
 		}
 	}
-	if len(j.Doubt) > 0 {
+	if len(j.Uncertain) > 0 {
 		return cli.Exit("", 1)
 	}
 	return nil
@@ -143,17 +143,17 @@
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s\nINDEX\tWHAT\tOWNER\tINCARNATION\tTOKEN\n", viewHeader(r))
 	for _, h := range j.History {
-		fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%d\n", h.Index, h.What, orDash(h.Owner), h.Incarnation, h.Token)
+		fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%d\n", h.Index, h.Event, orDash(h.Owner), h.Incarnation, h.Token)
 	}
 	return t.Flush()
 }
 
 func jobEffects(ctx context.Context, cmd *cli.Command) error {
-	r, err := queryJobs(ctx, cmd, max(1, min(2, cmd.Args().Len())), drive.Question{About: "effects", Name: cmd.Args().Get(1)})
+	r, err := queryJobs(ctx, cmd, max(1, min(2, cmd.Args().Len())), quorumdriver.Query{Subject: "effects", Name: cmd.Args().Get(1)})
 	if err != nil {
 		return err
 	}
-	var entries []place.Entry
+	var entries []effectlog.Entry
 	if err := json.Unmarshal(r.Body, &entries); err != nil {
 		return err
 	}
@@ -164,11 +164,11 @@
 	fmt.Fprintf(t, "record of %s\nNUMBER\tJOB\tSTEP\tTYPE\tTOKEN\tFROM\tWHAT\n", r.Report.Name)
 	for _, e := range entries {
 		what := "happened"
-		if e.Refused > 0 {
-			what = fmt.Sprintf("refused: newer token %d was seen", e.Refused)
-		} else if e.Told {
+		if e.NewerToken > 0 {
+			what = fmt.Sprintf("refused: newer token %d was seen", e.NewerToken)
+		} else if e.FromLog {
 			what = "newer token announced by the log"
-		} else if e.Again {
+		} else if e.Repeated {
 			what = "had happened before"
 		}
 		fmt.Fprintf(t, "%d\t%s\t%d\t%v\t%d\t%s\t%s\n", e.Number, e.Effect.Job, e.Effect.Step, e.Effect.Type, e.Effect.Token, e.Effect.From, what)
@@ -182,7 +182,7 @@
 	if cmd.Args().Len() == args && name == "" {
 		return usageError(fmt.Errorf("job %s: NAME is empty", cmd.Name))
 	}
-	r, err := queryJobs(ctx, cmd, args, drive.Question{About: "job", Name: name, Command: &quorum.Command{Book: jobs.Book, Kind: kind, Data: canon.Encode(data)}})
+	r, err := queryJobs(ctx, cmd, args, quorumdriver.Query{Subject: "job", Name: name, Command: &quorum.Command{StateMachine: ownerdriver.StateMachineName, Kind: kind, Data: codec.Encode(data)}})
 	if err != nil {
 		return err
 	}
@@ -199,7 +199,7 @@
 
 func jobStart(ctx context.Context, cmd *cli.Command) error {
 	j := owner.Job{Name: cmd.Args().Get(1), Kind: cmd.String("kind"), Data: []byte(cmd.String("data")), Steps: int(cmd.Int("steps")), Window: int(cmd.Int("window")),
-		Places: cmd.StringSlice("place")}
+		Gateways: cmd.StringSlice("place")}
 	types := []string{owner.Safe.String(), owner.Keyed.String(), owner.Unsafe.String()}
 	for i, name := range types {
 		if name == cmd.String("type") {
@@ -229,11 +229,12 @@
 	case cmd.Bool("ran") == cmd.Bool("never-ran"):
 		return usageError(errors.New("job settle: needs exactly one of --ran, --never-ran and --by-record"))
 	}
-	return submitJobCommand(ctx, cmd, 3, owner.Verdict, owner.Claim{Job: cmd.Args().Get(1), Step: step, Ran: cmd.Bool("ran")})
+	return submitJobCommand(ctx, cmd, 3, owner.Resolve, owner.Claim{Job: cmd.Args().Get(1), Step: step, Ran: cmd.Bool("ran")})
 }
 
-// settleByRecord settles all steps that may have run by the records of the places. That a record lacks a step proves
-// nothing until the place knows a newer token than that under which the step was sent, so the job is fenced first.
+// settleByRecord settles all steps that may have run by the records of their executing gateways. That a record lacks a
+// step proves nothing until that gateway knows a newer token than that under which the step was sent, so the job is
+// fenced first.
 func settleByRecord(ctx context.Context, cmd *cli.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
@@ -241,8 +242,8 @@
 	if cmd.Args().Len() != 2 {
 		return usageError(errors.New("job settle --by-record: takes ADDRESS NAME"))
 	}
-	query := func(address string, q drive.Question, dst any) (quorum.Report, error) {
-		r, err := drive.Put(ctx, address, q)
+	query := func(address string, q quorumdriver.Query, dst any) (quorum.Report, error) {
+		r, err := quorumdriver.SendQuery(ctx, address, q)
 		if err == nil && r.Error != "" {
 			err = errors.New(r.Error)
 		}
@@ -255,12 +256,12 @@
 		return r.Report, err
 	}
 	command := func(kind string, c owner.Claim) *quorum.Command {
-		return &quorum.Command{Book: jobs.Book, Kind: kind, Data: canon.Encode(c)}
+		return &quorum.Command{StateMachine: ownerdriver.StateMachineName, Kind: kind, Data: codec.Encode(c)}
 	}
 	var j owner.Report
-	report, err := query(address, drive.Question{About: "job", Name: name, Command: command(owner.Fence, owner.Claim{Job: name})}, &j)
+	report, err := query(address, quorumdriver.Query{Subject: "job", Name: name, Command: command(owner.Fence, owner.Claim{Job: name})}, &j)
 	settled, unsettled := 0, 0
-	for _, d := range j.Doubt {
+	for _, d := range j.Uncertain {
 		placeAddress := ""
 		for _, m := range report.Members {
 			if m.Name == d.Place {
@@ -274,12 +275,12 @@
 		}
 		ran, fenced := false, false
 		for !ran && !fenced && err == nil {
-			var entries []place.Entry
-			if _, err = query(placeAddress, drive.Question{About: "effects", Name: name}, &entries); err != nil {
+			var entries []effectlog.Entry
+			if _, err = query(placeAddress, quorumdriver.Query{Subject: "effects", Name: name}, &entries); err != nil {
 				break
 			}
-			ran, fenced = jobs.OnRecord(entries, name, d)
-			if !ran && !fenced { // the place does not know the next grant yet
+			ran, fenced = ownerdriver.CheckRecord(entries, name, d)
+			if !ran && !fenced { // the executing gateway does not know the next grant yet
 				select {
 				case <-time.After(50 * time.Millisecond):
 				case <-ctx.Done():
@@ -288,10 +289,10 @@
 			}
 		}
 		if err == nil {
-			_, err = query(address, drive.Question{About: "job", Name: name, Command: command(owner.Verdict, owner.Claim{Job: name, Step: d.Step, Ran: ran})}, &j)
+			_, err = query(address, quorumdriver.Query{Subject: "job", Name: name, Command: command(owner.Resolve, owner.Claim{Job: name, Step: d.Step, Ran: ran})}, &j)
 			var current owner.Report
-			if _, queryErr := query(address, drive.Question{About: "job", Name: name}, &current); err != nil && queryErr == nil &&
-				!slices.ContainsFunc(current.Doubt, func(x owner.Doubt) bool { return x.Step == d.Step }) {
+			if _, queryErr := query(address, quorumdriver.Query{Subject: "job", Name: name}, &current); err != nil && queryErr == nil &&
+				!slices.ContainsFunc(current.Uncertain, func(x owner.UncertainStep) bool { return x.Step == d.Step }) {
 				err = nil // the sender of the step has settled it meanwhile
 			}
 		}
--- a/cmd/poppymill/link.go
+++ b/cmd/poppymill/link.go
@@ -53,7 +53,7 @@
 	if cmd.Args().Len() != 1 {
 		return usageError(errors.New("link sign: takes one OBJECT"))
 	}
-	_, ring, err := keyfile.Read(cmd.String("keys"))
+	_, keySet, err := keyfile.Read(cmd.String("keys"))
 	if err != nil {
 		return usageError(err)
 	}
@@ -66,9 +66,9 @@
 	var token string
 	if cmd.String("form") == "compact" {
 		if part >= 0 {
-			token, err = ring.Compact(links.URI(base, typ, object, int64(part)), "", expires)
+			token, err = keySet.SignCompact(links.URI(base, typ, object, int64(part)), "", expires)
 		} else {
-			token, err = ring.Compact("", base+"/"+typ+"/"+object+"/", expires)
+			token, err = keySet.SignCompact("", base+"/"+typ+"/"+object+"/", expires)
 		}
 	} else {
 		id := make([]byte, 12)
@@ -79,17 +79,17 @@
 			c.URI = links.Hash(links.URI(base, typ, object, int64(part)))
 		}
 		if renew := cmd.Duration("renew"); renew > 0 {
-			c.Renew, c.Transport = renew.Seconds(), 1
+			c.RenewSeconds, c.Transport = renew.Seconds(), 1
 		}
 		if cmd.Bool("write") {
 			c.Write, c.Critical = true, links.CriticalWrite
 		}
 		if address := cmd.String("address"); address != "" {
-			if c.Client, err = ring.SealAddress(address); err != nil {
+			if c.Client, err = keySet.SealAddress(address); err != nil {
 				return usageError(err)
 			}
 		}
-		token, err = ring.Sign(c)
+		token, err = keySet.Sign(c)
 	}
 	if err != nil {
 		return usageError(err)
@@ -102,16 +102,16 @@
 	if cmd.Args().Len() != 2 {
 		return usageError(errors.New("link verify: takes TOKEN OBJECT"))
 	}
-	_, ring, err := keyfile.Read(cmd.String("keys"))
+	_, keySet, err := keyfile.Read(cmd.String("keys"))
 	if err != nil {
 		return usageError(err)
 	}
 	s := links.Defaults()
-	s.Base, s.Form, s.Audience, s.Stored = strings.TrimSuffix(cmd.String("base"), "/"), cmd.String("form"), cmd.StringSlice("audience"), true
+	s.Base, s.Form, s.Audience, s.HasStore = strings.TrimSuffix(cmd.String("base"), "/"), cmd.String("form"), cmd.StringSlice("audience"), true
 	now := float64(time.Now().UnixMilli())
-	request := links.Ask{At: now, Source: cmd.String("address"), Token: cmd.Args().First(), ID: "verify", Type: cmd.String("type"),
+	request := links.Request{At: now, Source: cmd.String("address"), Token: cmd.Args().First(), ID: "verify", Type: cmd.String("type"),
 		Object: objectID(cmd.Args().Get(1)), Part: int64(cmd.Int("part")), Write: cmd.Bool("write")}
-	if err := links.New(s, ring, []byte("of this one look"), now).Explain(request); err != nil {
+	if err := links.New(s, keySet, []byte("of this one look"), now).Explain(request); err != nil {
 		fmt.Println(err)
 		return cli.Exit("", 1)
 	}
@@ -137,8 +137,8 @@
 	f, _, err := keyfile.Read(path)
 	if errors.Is(err, os.ErrNotExist) && cmd.Name == "new" {
 		f, err = &keyfile.File{}, nil
-		f.Secret = make([]byte, 32)
-		rand.Read(f.Secret)
+		f.AddressSecret = make([]byte, 32)
+		rand.Read(f.AddressSecret)
 	}
 	if err == nil {
 		err = apply(f)
@@ -158,7 +158,7 @@
 		if err != nil {
 			return err
 		}
-		k, err := keyfile.New(cmd.String("id"), cmd.String("issuer"), cmd.String("algorithm"), state)
+		k, err := keyfile.GenerateKey(cmd.String("id"), cmd.String("issuer"), cmd.String("algorithm"), state)
 		f.Keys = append(f.Keys, k)
 		return err
 	})
@@ -170,16 +170,16 @@
 
 func keysState(s links.State) cli.ActionFunc {
 	return func(_ context.Context, cmd *cli.Command) error {
-		return updateKeyFile(cmd, func(f *keyfile.File) error { return f.Set(cmd.String("id"), s) })
+		return updateKeyFile(cmd, func(f *keyfile.File) error { return f.SetState(cmd.String("id"), s) })
 	}
 }
 
 func keysList(_ context.Context, cmd *cli.Command) error {
-	_, ring, err := keyfile.Read(cmd.String("keys"))
+	_, keySet, err := keyfile.Read(cmd.String("keys"))
 	if err != nil {
 		return usageError(err)
 	}
-	for _, k := range ring.Names() {
+	for _, k := range keySet.Describe() {
 		fmt.Println(k)
 	}
 	return nil
--- a/cmd/poppymill/machines.go
+++ b/cmd/poppymill/machines.go
@@ -14,11 +14,11 @@
 
 	"github.com/urfave/cli/v3"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/maintenance"
-	machines "poppymill/internal/maintenance/drive"
+	maintenancedriver "poppymill/internal/maintenance/driver"
 	"poppymill/internal/quorum"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 )
 
 func machinesCommand() *cli.Command {
@@ -37,8 +37,8 @@
 		{Name: "cancel", Usage: "cancel a request, unless its machine is out", ArgsUsage: "ADDRESS ID", Flags: flags, Action: machinesCancel},
 		{Name: "withdraw", Usage: "withdraw a grant: the machine stays in service and waits again", ArgsUsage: "ADDRESS NAME", Flags: flags, Action: machinesStep(maintenance.Withdraw)},
 		{Name: "drain", Usage: "for the agent of a machine: draining begins", ArgsUsage: "ADDRESS NAME", Flags: agentFlags, Action: machinesStep(maintenance.Drain)},
-		{Name: "go", Usage: "for the agent of a machine: exit status 0 only once the machine may go out", ArgsUsage: "ADDRESS NAME", Flags: agentFlags, Action: machinesStep(maintenance.Go)},
-		{Name: "back", Usage: "for the agent of a machine: the machine is back", ArgsUsage: "ADDRESS NAME", Flags: agentFlags, Action: machinesStep(maintenance.Back)},
+		{Name: "go", Usage: "for the agent of a machine: exit status 0 only once the machine may go out", ArgsUsage: "ADDRESS NAME", Flags: agentFlags, Action: machinesStep(maintenance.Leave)},
+		{Name: "back", Usage: "for the agent of a machine: the machine is back", ArgsUsage: "ADDRESS NAME", Flags: agentFlags, Action: machinesStep(maintenance.Return)},
 		{Name: "plan", Usage: "show the expected schedule and the use of each limit; exit status 1 if a deadline cannot be met", ArgsUsage: "ADDRESS", Flags: queryFlags, Action: machinesPlan},
 		{Name: "watch", Usage: "print changes until no machine waits or is out", ArgsUsage: "ADDRESS", Flags: append(flags[:2:2], &cli.DurationFlag{Name: "every", Value: time.Second}), Action: machinesWatch},
 		agentCommand(),
@@ -48,27 +48,27 @@
 
 // machinesReply is the state of all machines, as a gateway reports it.
 type machinesReply struct {
-	AgreedVersion int                `json:"version"` // of the operator's file that the gateways agreed on
-	LocalVersion  int                `json:"here"`    // of the operator's file at this gateway
-	Limits        maintenance.Limits `json:"limits"`
-	Machines      []machines.Machine `json:"machines"`
-	Differences   []string           `json:"strangers"` // between the operator's file and the present members
+	AgreedVersion int                         `json:"version"` // of the operator's file that the gateways agreed on
+	LocalVersion  int                         `json:"here"`    // of the operator's file at this gateway
+	Limits        maintenance.Limits          `json:"limits"`
+	Machines      []maintenancedriver.Machine `json:"machines"`
+	Differences   []string                    `json:"strangers"` // between the operator's file and the present members
 }
 
 // queryMachines checks the number of arguments and queries the gateway at the address in the first one.
-func queryMachines(ctx context.Context, cmd *cli.Command, args int, q drive.Question, dst any) (drive.Reply, error) {
+func queryMachines(ctx context.Context, cmd *cli.Command, args int, q quorumdriver.Query, dst any) (quorumdriver.Reply, error) {
 	if cmd.Args().Len() != args {
-		return drive.Reply{}, usageError(fmt.Errorf("machines %s: takes %s", cmd.Name, cmd.ArgsUsage))
+		return quorumdriver.Reply{}, usageError(fmt.Errorf("machines %s: takes %s", cmd.Name, cmd.ArgsUsage))
 	}
 	return sendMachinesQuery(ctx, cmd, q, dst)
 }
 
 // sendMachinesQuery queries the gateway at the address in the first argument and stores the body of the reply in dst.
-func sendMachinesQuery(ctx context.Context, cmd *cli.Command, q drive.Question, dst any) (drive.Reply, error) {
+func sendMachinesQuery(ctx context.Context, cmd *cli.Command, q quorumdriver.Query, dst any) (quorumdriver.Reply, error) {
 	q.Fresh = cmd.Bool("fresh")
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
-	r, err := drive.Put(ctx, cmd.Args().First(), q)
+	r, err := quorumdriver.SendQuery(ctx, cmd.Args().First(), q)
 	if err == nil && r.Error != "" {
 		if !r.Report.Majority {
 			r.Error += fmt.Sprintf(" (%s sees no majority)", r.Report.Name)
@@ -101,7 +101,7 @@
 
 func machinesList(ctx context.Context, cmd *cli.Command) error {
 	var reply machinesReply
-	r, err := queryMachines(ctx, cmd, 1, drive.Question{About: "machines"}, &reply)
+	r, err := queryMachines(ctx, cmd, 1, quorumdriver.Query{Subject: "machines"}, &reply)
 	if err != nil {
 		return err
 	}
@@ -116,28 +116,28 @@
 }
 
 // printMachines writes the table of machines.
-func printMachines(w *tabwriter.Writer, list []machines.Machine) {
+func printMachines(w *tabwriter.Writer, list []maintenancedriver.Machine) {
 	fmt.Fprintln(w, "MACHINE\tCLUB\tZONE\tIS\tTOKEN\tSINCE\tREQUEST\tBY\tWHY")
 	for _, m := range list {
 		state := m.Stage
-		if m.Hurt {
+		if m.Degraded {
 			state += ", hurt"
 		}
 		if m.Work == nil {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t-\t-\t-\t-\t-\n", m.Name, m.Club, m.Zone, state)
 			continue
 		}
-		reason := m.Work.Why
-		if len(m.Waits) > 0 {
-			reason = "waits for " + strings.Join(m.Waits, ", ")
+		reason := m.Work.Reason
+		if len(m.PendingAcks) > 0 {
+			reason = "waits for " + strings.Join(m.PendingAcks, ", ")
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\n", m.Name, m.Club, m.Zone, state, m.Work.Token, formatTime(m.Work.Since), m.Work.Request.ID, formatTime(m.Work.Request.By), reason)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\n", m.Name, m.Club, m.Zone, state, m.Work.Token, formatTime(m.Work.Since), m.Work.Request.ID, formatTime(m.Work.Request.Deadline), reason)
 	}
 }
 
 func machinesShow(ctx context.Context, cmd *cli.Command) error {
-	var m machines.Machine
-	r, err := queryMachines(ctx, cmd, 2, drive.Question{About: "machine", Name: cmd.Args().Get(1)}, &m)
+	var m maintenancedriver.Machine
+	r, err := queryMachines(ctx, cmd, 2, quorumdriver.Query{Subject: "machine", Name: cmd.Args().Get(1)}, &m)
 	if err != nil {
 		return err
 	}
@@ -145,18 +145,18 @@
 		return printJSON(map[string]any{"view": r.Report, "machine": m})
 	}
 	fmt.Println(viewHeader(r))
-	if err := printTable(func(w *tabwriter.Writer) { printMachines(w, []machines.Machine{m}) }); err != nil {
+	if err := printTable(func(w *tabwriter.Writer) { printMachines(w, []maintenancedriver.Machine{m}) }); err != nil {
 		return err
 	}
-	fmt.Printf("gateways %v, boxes %v, hubs %v, carries %g\n", m.Gateways, m.Boxes, m.Hubs, m.Carries)
-	if m.Work != nil && m.Work.Backs > 0 {
-		fmt.Printf("returned to waiting %d times, last reason: %s\n", m.Work.Backs, m.Work.Before)
+	fmt.Printf("gateways %v, boxes %v, hubs %v, carries %g\n", m.Gateways, m.Boxes, m.Hubs, m.Capacity)
+	if m.Work != nil && m.Work.RevokedGrants > 0 {
+		fmt.Printf("returned to waiting %d times, last reason: %s\n", m.Work.RevokedGrants, m.Work.LastRevocation)
 	}
 	if m.Work != nil && len(m.Work.Warm) > 0 {
 		fmt.Printf("found warm by gateways %v\n", slices.Sorted(maps.Keys(m.Work.Warm)))
 	}
-	if m.Work != nil && len(m.Work.Without) > 0 {
-		fmt.Printf("went out without an acknowledgement from %v\n", m.Work.Without)
+	if m.Work != nil && len(m.Work.MissingAcks) > 0 {
+		fmt.Printf("went out without an acknowledgement from %v\n", m.Work.MissingAcks)
 	}
 	return nil
 }
@@ -206,10 +206,10 @@
 		case len(args) > 2:
 			id += "-" + name
 		}
-		request := maintenance.Request{ID: id, Machine: name, Takes: float64(cmd.Duration("for").Milliseconds()), By: by, NotBefore: notBefore, Why: cmd.String("why")}
-		var m machines.Machine
-		_, err := sendMachinesQuery(ctx, cmd, drive.Question{About: "machine", Name: name, Command: &quorum.Command{Book: machines.Book, Kind: maintenance.Ask,
-			Data: canon.Encode(maintenance.Order{At: float64(now.UnixMilli()), Request: &request})}}, &m)
+		request := maintenance.Request{ID: id, Machine: name, Duration: float64(cmd.Duration("for").Milliseconds()), Deadline: by, NotBefore: notBefore, Reason: cmd.String("why")}
+		var m maintenancedriver.Machine
+		_, err := sendMachinesQuery(ctx, cmd, quorumdriver.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: maintenancedriver.StateMachineName, Kind: maintenance.Submit,
+			Data: codec.Encode(maintenance.CommandData{At: float64(now.UnixMilli()), Request: &request})}}, &m)
 		if err != nil {
 			failed++
 			fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
@@ -224,18 +224,18 @@
 }
 
 func machinesCancel(ctx context.Context, cmd *cli.Command) error {
-	_, err := queryMachines(ctx, cmd, 2, drive.Question{Command: &quorum.Command{Book: machines.Book, Kind: maintenance.Cancel,
-		Data: canon.Encode(maintenance.Order{At: float64(time.Now().UnixMilli()), ID: cmd.Args().Get(1)})}}, nil)
+	_, err := queryMachines(ctx, cmd, 2, quorumdriver.Query{Command: &quorum.Command{StateMachine: maintenancedriver.StateMachineName, Kind: maintenance.Cancel,
+		Data: codec.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), ID: cmd.Args().Get(1)})}}, nil)
 	return err
 }
 
 // machinesStep returns the action that submits one step of a machine's maintenance.
 func machinesStep(kind string) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
-		var m machines.Machine
+		var m maintenancedriver.Machine
 		name := cmd.Args().Get(1)
-		_, err := queryMachines(ctx, cmd, 2, drive.Question{About: "machine", Name: name, Command: &quorum.Command{Book: machines.Book, Kind: kind,
-			Data: canon.Encode(maintenance.Order{At: float64(time.Now().UnixMilli()), Machine: name, Token: cmd.Uint64("token")})}}, &m)
+		_, err := queryMachines(ctx, cmd, 2, quorumdriver.Query{Subject: "machine", Name: name, Command: &quorum.Command{StateMachine: maintenancedriver.StateMachineName, Kind: kind,
+			Data: codec.Encode(maintenance.CommandData{At: float64(time.Now().UnixMilli()), Machine: name, Token: cmd.Uint64("token")})}}, &m)
 		if err != nil {
 			return err
 		}
@@ -256,11 +256,11 @@
 
 func machinesPlan(ctx context.Context, cmd *cli.Command) error {
 	var schedule scheduleReply
-	r, err := queryMachines(ctx, cmd, 1, drive.Question{About: "plan"}, &schedule)
+	r, err := queryMachines(ctx, cmd, 1, quorumdriver.Query{Subject: "plan"}, &schedule)
 	if err != nil {
 		return err
 	}
-	late := slices.ContainsFunc(schedule.Plan, func(s maintenance.Slot) bool { return s.Late })
+	late := slices.ContainsFunc(schedule.Plan, func(s maintenance.Slot) bool { return s.MissesDeadline })
 	if cmd.Bool("json") {
 		err = printJSON(map[string]any{"view": r.Report, "schedule": schedule})
 	} else {
@@ -272,7 +272,7 @@
 				if s.Never {
 					goes, back = "never, with the present limits", "-"
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", s.Machine, s.ID, goes, back, formatTime(s.By), map[bool]string{true: "NO", false: "yes"}[s.Late], orDash(s.Limit))
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", s.Machine, s.ID, goes, back, formatTime(s.Deadline), map[bool]string{true: "NO", false: "yes"}[s.MissesDeadline], orDash(s.BlockedBy))
 			}
 			fmt.Fprintln(w, "\nLIMIT\tTAKEN\tOF")
 			for _, name := range slices.Sorted(maps.Keys(schedule.Usage)) {
@@ -290,11 +290,11 @@
 	lastText := ""
 	for {
 		var reply machinesReply
-		r, err := queryMachines(ctx, cmd, 1, drive.Question{About: "machines"}, &reply)
+		r, err := queryMachines(ctx, cmd, 1, quorumdriver.Query{Subject: "machines"}, &reply)
 		if err != nil {
 			return err
 		}
-		unsettled := slices.DeleteFunc(reply.Machines, func(m machines.Machine) bool { return m.Work == nil && !m.Hurt })
+		unsettled := slices.DeleteFunc(reply.Machines, func(m maintenancedriver.Machine) bool { return m.Work == nil && !m.Degraded })
 		var b strings.Builder
 		w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 		printMachines(w, unsettled)
@@ -315,8 +315,8 @@
 }
 
 func machinesHistory(ctx context.Context, cmd *cli.Command) error {
-	var ended []maintenance.Ended
-	r, err := queryMachines(ctx, cmd, 1, drive.Question{About: "ended"}, &ended)
+	var ended []maintenance.FinishedRequest
+	r, err := queryMachines(ctx, cmd, 1, quorumdriver.Query{Subject: "ended"}, &ended)
 	if err != nil {
 		return err
 	}
@@ -327,7 +327,7 @@
 	return printTable(func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "REQUEST\tMACHINE\tENDED\tAT\tWHY")
 		for _, e := range ended {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", e.Request.ID, e.Request.Machine, e.What, formatTime(e.At), orDash(e.Request.Why))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", e.Request.ID, e.Request.Machine, e.Outcome, formatTime(e.At), orDash(e.Request.Reason))
 		}
 	})
 }
--- a/cmd/poppymill/purge.go
+++ b/cmd/poppymill/purge.go
@@ -13,11 +13,11 @@
 
 	"github.com/urfave/cli/v3"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/purges"
-	purgesdrive "poppymill/internal/purges/drive"
+	purgesdriver "poppymill/internal/purges/driver"
 	"poppymill/internal/quorum"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 )
 
 func purgeCommand() *cli.Command {
@@ -40,12 +40,12 @@
 
 // submitPurgeCommand has the gateways agree on a command, through the gateway at the address in the first argument. A
 // new purge gets the limits of that gateway.
-func submitPurgeCommand(ctx context.Context, cmd *cli.Command, kind string, o purges.Order) error {
+func submitPurgeCommand(ctx context.Context, cmd *cli.Command, kind string, o purges.CommandData) error {
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
 	address := cmd.Args().First()
 	if kind == purges.Accept {
-		r, err := drive.Put(ctx, address, drive.Question{About: "purge limits"})
+		r, err := quorumdriver.SendQuery(ctx, address, quorumdriver.Query{Subject: "purge limits"})
 		if err == nil && r.Error != "" {
 			err = errors.New(r.Error)
 		}
@@ -58,7 +58,7 @@
 		}
 	}
 	o.At = float64(time.Now().UnixMilli())
-	r, err := drive.Put(ctx, address, drive.Question{Command: &quorum.Command{Book: purgesdrive.Book, Kind: kind, Data: canon.Encode(o)}})
+	r, err := quorumdriver.SendQuery(ctx, address, quorumdriver.Query{Command: &quorum.Command{StateMachine: purgesdriver.StateMachineName, Kind: kind, Data: codec.Encode(o)}})
 	switch {
 	case err != nil:
 		return cli.Exit(fmt.Sprintf("purge %s: %s: %v; the command may have been accepted: repeat it with the same id", cmd.Name, address, err), 1)
@@ -97,7 +97,7 @@
 	if err := p.Check(); err != nil {
 		return usageError(fmt.Errorf("purge %s: %w", cmd.Name, err))
 	}
-	if err := submitPurgeCommand(ctx, cmd, purges.Accept, purges.Order{Purge: &p}); err != nil {
+	if err := submitPurgeCommand(ctx, cmd, purges.Accept, purges.CommandData{Purge: &p}); err != nil {
 		return err
 	}
 	for {
@@ -106,12 +106,12 @@
 			return err
 		}
 		overdue := float64(time.Now().UnixMilli()) > x.Effective
-		reached := wait == "" || wait == "sent" && x.Next == len(x.Purge.Objects) || x.Stage == purges.Done.String() || x.Stage == purges.Cancelled.String()
+		reached := wait == "" || wait == "sent" && x.Published == len(x.Purge.Objects) || x.Stage == purges.Done.String() || x.Stage == purges.Cancelled.String()
 		if reached || overdue {
 			if err := printPurge(cmd, x); err != nil {
 				return err
 			}
-			if overdue && !reached && len(x.Waits) > 0 {
+			if overdue && !reached && len(x.Unconfirmed) > 0 {
 				return cli.Exit("", 1)
 			}
 			return nil
@@ -125,10 +125,10 @@
 }
 
 // queryPurge queries one purge by its id.
-func queryPurge(ctx context.Context, cmd *cli.Command, id string) (x purgesdrive.Purge, err error) {
+func queryPurge(ctx context.Context, cmd *cli.Command, id string) (x purgesdriver.PurgeReport, err error) {
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
-	r, err := drive.Put(ctx, cmd.Args().First(), drive.Question{About: "purge", Name: id, Fresh: cmd.Bool("fresh")})
+	r, err := quorumdriver.SendQuery(ctx, cmd.Args().First(), quorumdriver.Query{Subject: "purge", Name: id, Fresh: cmd.Bool("fresh")})
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
 	}
@@ -142,19 +142,19 @@
 }
 
 // printPurge prints one purge as a text or as JSON.
-func printPurge(cmd *cli.Command, x purgesdrive.Purge) error {
+func printPurge(cmd *cli.Command, x purgesdriver.PurgeReport) error {
 	if cmd.Bool("json") {
 		return printJSON(x)
 	}
-	fmt.Printf("purge %s: %s; accepted %s, position %d, effective by %s\n", x.Purge.ID, x.Stage, formatTime(x.Accepted), x.Place, formatTime(x.Effective))
+	fmt.Printf("purge %s: %s; accepted %s, position %d, effective by %s\n", x.Purge.ID, x.Stage, formatTime(x.Accepted), x.LogIndex, formatTime(x.Effective))
 	if n := len(x.Purge.Objects); n > 0 {
-		fmt.Printf("%d of %d objects sent, %d of them already covered by a newer purge\n", x.Next, n, x.Newer)
+		fmt.Printf("%d of %d objects sent, %d of them already covered by a newer purge\n", x.Published, n, x.Superseded)
 	}
-	if len(x.Waits) > 0 {
-		fmt.Printf("waits for confirmation by %s\n", strings.Join(x.Waits, ", "))
+	if len(x.Unconfirmed) > 0 {
+		fmt.Printf("waits for confirmation by %s\n", strings.Join(x.Unconfirmed, ", "))
 	}
-	if len(x.Without) > 0 {
-		fmt.Printf("not confirmed by %s: lost, and without news of purges since\n", strings.Join(x.Without, ", "))
+	if len(x.Missing) > 0 {
+		fmt.Printf("not confirmed by %s: lost, and without news of purges since\n", strings.Join(x.Missing, ", "))
 	}
 	return nil
 }
@@ -170,20 +170,20 @@
 	if err := printPurge(cmd, x); err != nil {
 		return err
 	}
-	if len(x.Waits) > 0 && float64(time.Now().UnixMilli()) > x.Effective {
+	if len(x.Unconfirmed) > 0 && float64(time.Now().UnixMilli()) > x.Effective {
 		return cli.Exit("", 1)
 	}
 	return nil
 }
 
 // queryPurges queries the gateway at the address in the only argument and stores the body of the reply in dst.
-func queryPurges(ctx context.Context, cmd *cli.Command, about string, dst any) (drive.Reply, error) {
+func queryPurges(ctx context.Context, cmd *cli.Command, about string, dst any) (quorumdriver.Reply, error) {
 	if cmd.Args().Len() != 1 {
-		return drive.Reply{}, usageError(fmt.Errorf("purge %s: takes %s", cmd.Name, cmd.ArgsUsage))
+		return quorumdriver.Reply{}, usageError(fmt.Errorf("purge %s: takes %s", cmd.Name, cmd.ArgsUsage))
 	}
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 	defer cancel()
-	r, err := drive.Put(ctx, cmd.Args().First(), drive.Question{About: about, Fresh: cmd.Bool("fresh")})
+	r, err := quorumdriver.SendQuery(ctx, cmd.Args().First(), quorumdriver.Query{Subject: about, Fresh: cmd.Bool("fresh")})
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
 	}
@@ -198,8 +198,8 @@
 
 func purgeFollowers(ctx context.Context, cmd *cli.Command) error {
 	var reply struct {
-		Last     uint64                 `json:"last"`
-		Gateways []purgesdrive.Follower `json:"gateways"`
+		Last     uint64                       `json:"last"`
+		Gateways []purgesdriver.GatewayReport `json:"gateways"`
 	}
 	r, err := queryPurges(ctx, cmd, "purge followers", &reply)
 	if err != nil {
@@ -207,7 +207,7 @@
 	}
 	allFollow := true
 	for _, g := range reply.Gateways {
-		allFollow = allFollow && (g.Follows || !g.There)
+		allFollow = allFollow && (g.Follows || !g.Joined)
 	}
 	if cmd.Bool("json") {
 		err = printJSON(map[string]any{"view": r.Report, "last": reply.Last, "holds": allFollow, "gateways": reply.Gateways})
@@ -215,7 +215,7 @@
 		t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 		fmt.Fprintf(t, "%s; last sent at index %d\nGATEWAY\tTHERE\tSINCE\tGOES BY ALL UP TO\tFOLLOWS\n", viewHeader(r), reply.Last)
 		for _, g := range reply.Gateways {
-			fmt.Fprintf(t, "%s\t%t\t%s\t%d\t%t\n", g.Name, g.There, formatTime(g.Since), g.Seen, g.Follows)
+			fmt.Fprintf(t, "%s\t%t\t%s\t%d\t%t\n", g.Name, g.Joined, formatTime(g.Since), g.Confirmed, g.Follows)
 		}
 		err = t.Flush()
 	}
@@ -227,9 +227,9 @@
 
 func purgeList(ctx context.Context, cmd *cli.Command) error {
 	var reply struct {
-		Held   int                 `json:"held"`
-		Floor  float64             `json:"floor"`
-		Purges []purgesdrive.Purge `json:"purges"`
+		Held   int                        `json:"held"`
+		Floor  float64                    `json:"floor"`
+		Purges []purgesdriver.PurgeReport `json:"purges"`
 	}
 	r, err := queryPurges(ctx, cmd, "purges", &reply)
 	if err != nil {
@@ -241,7 +241,7 @@
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s; %d bounds remembered\nPURGE\tIS\tPLACE\tACCEPTED\tEFFECTIVE BY\tCLUB\tSENT\tWAITS FOR\n", viewHeader(r), reply.Held)
 	for _, x := range reply.Purges {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\t%d\t%s\n", x.Purge.ID, x.Stage, x.Place, formatTime(x.Accepted), formatTime(x.Effective), orDash(x.Purge.Club), x.Next, orDash(strings.Join(x.Waits, ", ")))
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\t%d\t%s\n", x.Purge.ID, x.Stage, x.LogIndex, formatTime(x.Accepted), formatTime(x.Effective), orDash(x.Purge.Club), x.Published, orDash(strings.Join(x.Unconfirmed, ", ")))
 	}
 	return t.Flush()
 }
@@ -250,7 +250,7 @@
 	if cmd.Args().Len() != 2 {
 		return usageError(errors.New("purge cancel: takes ADDRESS ID"))
 	}
-	if err := submitPurgeCommand(ctx, cmd, purges.Cancel, purges.Order{ID: cmd.Args().Get(1)}); err != nil {
+	if err := submitPurgeCommand(ctx, cmd, purges.Cancel, purges.CommandData{ID: cmd.Args().Get(1)}); err != nil {
 		return err
 	}
 	x, err := queryPurge(ctx, cmd, cmd.Args().Get(1))
--- a/cmd/poppymill/quorum.go
+++ b/cmd/poppymill/quorum.go
@@ -13,11 +13,11 @@
 
 	"github.com/urfave/cli/v3"
 
-	machines "poppymill/internal/maintenance/drive"
-	jobs "poppymill/internal/owner/drive"
-	purgesdrive "poppymill/internal/purges/drive"
+	maintenancedriver "poppymill/internal/maintenance/driver"
+	ownerdriver "poppymill/internal/owner/driver"
+	purgesdriver "poppymill/internal/purges/driver"
 	"poppymill/internal/quorum"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 )
 
 func quorumCommand() *cli.Command {
@@ -49,7 +49,7 @@
 			ctx, cancel := context.WithTimeout(ctx, cmd.Duration("within"))
 			defer cancel()
 			statuses[i].Address = address
-			if r, err := drive.Put(ctx, address, drive.Question{Fresh: cmd.Bool("fresh")}); err != nil {
+			if r, err := quorumdriver.SendQuery(ctx, address, quorumdriver.Query{Fresh: cmd.Bool("fresh")}); err != nil {
 				statuses[i].Error = err.Error()
 			} else if r.Error != "" {
 				statuses[i].Error = r.Error
@@ -86,7 +86,7 @@
 		fmt.Fprintln(t, "ADDRESS\tNAME\tROLE\tLEADER\tTERM\tAPPLIED\tVIEW\tMAJORITY")
 		for _, a := range statuses {
 			if r := a.Report; r != nil {
-				if r.Moving {
+				if r.JointConfig {
 					r.Role += ", vote being moved"
 				}
 				fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d\t%.0f ms old\t%t\n", a.Address, r.Name, r.Role, r.Leader, r.Term, r.Applied, r.Age, r.Majority)
@@ -117,7 +117,7 @@
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "view of %s, %.0f ms old, applied up to index %d\nNAME\tCLUB\tADDRESS\tINCARNATION\tIS\tSINCE\tLOSSES\tVOTES\n", r.Name, r.Age, r.Applied)
 	for _, m := range r.Members {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%t\n", m.Name, m.Zone, m.Address, m.Incarnation, m.Standing, m.Since, m.Losses, m.Votes)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%t\n", m.Name, m.Zone, m.Address, m.Incarnation, m.State, m.Since, m.Losses, m.Votes)
 	}
 	t.Flush()
 	return nil
@@ -127,10 +127,10 @@
 	if cmd.Args().Len() != 1 {
 		return usageError(errors.New("quorum recover: takes the FOLDER of one store"))
 	}
-	books := jobs.Books()
-	maps.Copy(books, machines.Books())
-	maps.Copy(books, purgesdrive.Books())
-	r, err := drive.Recover(cmd.Args().First(), books, cmd.Bool("yes"))
+	stateMachines := ownerdriver.EmptyStateMachines()
+	maps.Copy(stateMachines, maintenancedriver.EmptyStateMachines())
+	maps.Copy(stateMachines, purgesdriver.EmptyStateMachines())
+	r, err := quorumdriver.Recover(cmd.Args().First(), stateMachines, cmd.Bool("yes"))
 	if err != nil {
 		return usageError(fmt.Errorf("quorum recover: %s: %w", cmd.Args().First(), err))
 	}
@@ -138,9 +138,9 @@
 		return printJSON(r)
 	}
 	fmt.Printf("store of %s in fleet %x: term %d, known to be committed up to index %d, last log entry at index %d\n%d members, voters: %v\n",
-		r.Name, r.Fleet, r.Term, r.Agreed, r.Last, r.Members, r.Voters)
-	if r.Next != 0 {
-		fmt.Printf("the store now begins fleet %x with %s as its only voter: start that gateway; the others join when they hear of the new fleet\n", r.Next, r.Name)
+		r.Name, r.Fleet, r.Term, r.CommitIndex, r.LastIndex, r.Members, r.Voters)
+	if r.NextFleet != 0 {
+		fmt.Printf("the store now begins fleet %x with %s as its only voter: start that gateway; the others join when they hear of the new fleet\n", r.NextFleet, r.Name)
 		return nil
 	}
 	fmt.Println(`nothing was changed. With --yes:
--- a/cmd/poppymill/serve.go
+++ b/cmd/poppymill/serve.go
@@ -11,8 +11,8 @@
 	"github.com/sirupsen/logrus"
 	"github.com/urfave/cli/v3"
 
-	"poppymill/internal/footprint"
 	"poppymill/internal/gateway"
+	"poppymill/internal/gatewayconfig"
 )
 
 // reloadSignals delivers SIGHUP. It is registered at package initialization: a SIGHUP that arrived before would end the
@@ -42,7 +42,7 @@
 
 // loadSetup reads both files; an error in either makes both unusable.
 func loadSetup(cmd *cli.Command) (gateway.Setup, error) {
-	c, err := footprint.Load(cmd.String("config"), os.Getenv)
+	c, err := gatewayconfig.Load(cmd.String("config"), os.Getenv)
 	if err != nil {
 		return gateway.Setup{}, err
 	}
@@ -67,7 +67,7 @@
 	signal.Ignore(syscall.SIGXFSZ) // exceeding the file size limit must fail the write, not end the process and all its downloads
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	return gateway.Serve(ctx, s, gateway.Reloads{Wanted: reloadSignals, Load: load}, log)
+	return gateway.Serve(ctx, s, gateway.Reloads{Signals: reloadSignals, Load: load}, log)
 }
 
 func check(_ context.Context, cmd *cli.Command) error {
--- a/internal/channel/follower.go
+++ b/internal/channel/follower.go
@@ -16,20 +16,20 @@
 type Follower struct {
 	Address string
 	Cursor  int64       // number of the last event processed
-	Tell    func(News)  // receives each event, in order
-	Trouble func(error) // receives errors of connections and of events that can't be parsed
+	OnEvent func(Event) // receives each event, in order
+	OnError func(error) // receives errors of connections and of events that can't be parsed
 
-	Passed        atomic.Int64 // events skipped because they were still invalid or missing when requested again
+	Skipped       atomic.Int64 // events skipped because they were still invalid or missing when requested again
 	mu            sync.Mutex
-	nextPlace     *Place
+	nextSource    *Source
 	cancel        context.CancelFunc // ends the current connection or back-off
 	retriedCursor int64              // cursor from which events were requested again, as the next one was invalid or missing
 }
 
-// Place is an address of the channel with the past events known there.
-type Place struct {
-	Address string
-	Known   []News
+// Source is an address of the channel with the past events known there.
+type Source struct {
+	Address    string
+	PastEvents []Event
 }
 
 // Time-outs of a connection, and the back-off between attempts. The channel sends a comment each second, so a longer
@@ -43,10 +43,10 @@
 )
 
 // Move makes the follower reconnect to another place at once. The latest of several moves wins.
-func (f *Follower) Move(p Place) {
+func (f *Follower) Move(p Source) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.nextPlace = &p
+	f.nextSource = &p
 	if f.cancel != nil {
 		f.cancel()
 	}
@@ -57,14 +57,14 @@
 func (f *Follower) applyMove(ctx context.Context) (connCtx context.Context, ok bool) {
 	f.mu.Lock()
 	connCtx, f.cancel = context.WithCancel(ctx)
-	p := f.nextPlace
-	f.nextPlace = nil
+	p := f.nextSource
+	f.nextSource = nil
 	f.mu.Unlock()
 	if p == nil {
 		return connCtx, false
 	}
 	f.Address = p.Address
-	for _, n := range p.Known {
+	for _, n := range p.PastEvents {
 		if n.Cursor <= f.Cursor {
 			continue
 		}
@@ -72,7 +72,7 @@
 			return connCtx, true
 		}
 		f.Cursor = n.Cursor
-		f.Tell(n)
+		f.OnEvent(n)
 	}
 	return connCtx, true
 }
@@ -90,7 +90,7 @@
 		err := f.stream(connCtx)
 		if connCtx.Err() == nil {
 			if !errors.Is(err, io.EOF) {
-				f.Trouble(err)
+				f.OnError(err)
 			}
 			// Reconnect at once if the connection had lasted, or to request an event again. Otherwise back off
 			// exponentially, so that all gateways together don't overload a channel that is starting.
@@ -157,16 +157,16 @@
 // handleMessage delivers the next event in order. An event that is invalid or leaves a gap may have been corrupted in
 // transit, so events are requested once more from the last good cursor; what is still invalid or missing is skipped.
 func (f *Follower) handleMessage(m Message) error {
-	news, err := Parse([]byte(m.Data))
-	if id, idErr := strconv.ParseInt(m.ID, 10, 64); err == nil && (idErr != nil || id != news.Cursor) {
-		err = fmt.Errorf("ID differs from cursor %d", news.Cursor)
+	event, err := Parse([]byte(m.Data))
+	if id, idErr := strconv.ParseInt(m.ID, 10, 64); err == nil && (idErr != nil || id != event.Cursor) {
+		err = fmt.Errorf("ID differs from cursor %d", event.Cursor)
 	} else if err != nil && idErr == nil {
-		news.Cursor = id
+		event.Cursor = id
 	}
 	switch {
-	case news.Cursor > 0 && news.Cursor <= f.Cursor:
+	case event.Cursor > 0 && event.Cursor <= f.Cursor:
 		return nil // delivered before
-	case err == nil && news.Cursor == f.Cursor+1:
+	case err == nil && event.Cursor == f.Cursor+1:
 	case f.retriedCursor != f.Cursor:
 		f.retriedCursor = f.Cursor
 		if err == nil {
@@ -174,17 +174,17 @@
 		}
 		return fmt.Errorf("event %q after %d: %w: %w", m.ID, f.Cursor, err, errRetry)
 	default:
-		f.Passed.Add(1)
-		f.Trouble(fmt.Errorf("event %q after %d: skipped what is missing or invalid (%v)", m.ID, f.Cursor, err))
+		f.Skipped.Add(1)
+		f.OnError(fmt.Errorf("event %q after %d: skipped what is missing or invalid (%v)", m.ID, f.Cursor, err))
 		if err != nil {
 			// The cursor of an invalid event may be wrong too, so it must not mark earlier events as delivered.
-			if news.Cursor == f.Cursor+1 {
-				f.Cursor = news.Cursor
+			if event.Cursor == f.Cursor+1 {
+				f.Cursor = event.Cursor
 			}
 			return nil
 		}
 	}
-	f.Cursor = news.Cursor
-	f.Tell(news)
+	f.Cursor = event.Cursor
+	f.OnEvent(event)
 	return nil
 }
--- a/internal/fair/calendar.go
+++ b/internal/fair/calendar.go
@@ -37,9 +37,9 @@
 }
 
 func newCalendar(s Settings) *calendar {
-	c := &calendar{slotLength: s.Slot, slack: s.Slack, maxPerSlot: s.PerSlot, slots: make([]slot, s.Slots), showRate: 1}
+	c := &calendar{slotLength: s.Slot, slack: s.Slack, maxPerSlot: s.MaxPerSlot, slots: make([]slot, s.Slots), showRate: 1}
 	for i := range c.slots {
-		c.slots[i] = slot{index: -1, bookings: make([]booking, 0, s.PerSlot)}
+		c.slots[i] = slot{index: -1, bookings: make([]booking, 0, s.MaxPerSlot)}
 	}
 	return c
 }
@@ -127,7 +127,7 @@
 }
 
 // sweep updates the show rate from slots that are over. The more bookings go unused, the less capacity is held back for
-// those still pending. Capacity held back for clients that never return made a gate serve half of what it could.
+// those still pending. Capacity held back for clients that never return made a controller serve half of what it could.
 func (c *calendar) sweep(now float64) {
 	from, _ := c.slotsAround(now)
 	for c.sweptTo = max(c.sweptTo, from-int64(len(c.slots))); c.sweptTo < from; c.sweptTo++ {
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -8,7 +8,7 @@
 	"poppymill/internal/caches"
 	"poppymill/internal/channel"
 	"poppymill/internal/clients"
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 	"poppymill/router"
 )
 
@@ -18,13 +18,13 @@
 func (discardClient) Answer(_ uint16, a clients.Answer) { a.Body.Release() }
 
 // instantWire is a connection to a node that answers as soon as the benchmark asks for it.
-type instantWire struct{ queue []*caches.Item }
+type instantWire struct{ queue []*caches.Command }
 
-func (w *instantWire) Send(i *caches.Item) bool   { w.queue = append(w.queue, i); return true }
-func (w *instantWire) Remove(i *caches.Item) bool { return false }
-func (w *instantWire) Heard() (float64, bool)     { return 0, false }
-func (w *instantWire) Stuck() bool                { return false }
-func (w *instantWire) Close()                     {}
+func (w *instantWire) Send(i *caches.Command) bool   { w.queue = append(w.queue, i); return true }
+func (w *instantWire) Remove(i *caches.Command) bool { return false }
+func (w *instantWire) LastRead() (float64, bool)     { return 0, false }
+func (w *instantWire) Stuck() bool                   { return false }
+func (w *instantWire) Close()                        {}
 
 // BenchmarkDownload measures a download's path through the core without sockets: parsing the request, deciding and
 // writing the pull, and passing on the answer. A tenth of the downloads need a second pull.
@@ -35,12 +35,12 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			c, err := footprint.Parse(text, os.Getenv)
+			c, err := gatewayconfig.Parse(text, os.Getenv)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now := 1e12
-			list := channel.News{Scope: router.Whole}
+			list := channel.Event{Scope: router.FullList}
 			for i := range nodes {
 				e := router.Entry{Node: fmt.Sprintf("edge-%03d", i), Kind: "box", Zone: "club", Weight: 1}
 				switch {
@@ -52,21 +52,21 @@
 				list.Nodes = append(list.Nodes, channel.Node{Address: fmt.Sprintf("127.0.0.1:%d", 5000+i), Entry: e})
 			}
 			var wires []*instantWire
-			pool := caches.NewPool(caches.Limits{Streams: c.Streams, Idle: 1e9, Conns: 2 * nodes, Names: footprint.Report},
+			pool := caches.NewPool(caches.Limits{PullsPerConn: c.StreamsPerConn, IdleTimeout: 1e9, Conns: 2 * nodes, GaugeName: gatewayconfig.LoadValueName},
 				func(string) caches.Wire {
 					w := &instantWire{}
 					wires = append(wires, w)
 					return w
 				})
 			core := NewCore(c, pool, discardLogger(), now)
-			core.Handle(Told{News: list, At: now})
+			core.Handle(ChannelEvent{News: list, At: now})
 			var client discardClient
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				now += 300
 				id := fmt.Sprintf("%016x", i+1)
-				core.Handle(Asked{Client: client, ID: 1, At: now, Params: map[string]string{
+				core.Handle(RequestReceived{Client: client, ID: 1, At: now, Params: map[string]string{
 					"SCRIPT_NAME": "/invoke/video", "HTTP_X_JOB_ID": id, "HTTP_X_ALLOW_MS": "2000",
 					"HTTP_X_ITEM": fmt.Sprintf("%016x", i%5000), "HTTP_X_N": "0", "HTTP_X_SHARD": "7"}})
 				for pulls := 1 + (9-i%10)/9; pulls > 0; pulls-- {
@@ -78,10 +78,10 @@
 						if len(w.queue) == 0 {
 							continue
 						}
-						w.queue[0].Take()
-						w.queue[0].Wrote(true)
+						w.queue[0].MarkWriting()
+						w.queue[0].MarkWritten(true)
 						w.queue = w.queue[:0]
-						core.Handle(caches.Answered{Wire: w, At: now + 290, Reply: caches.Reply{Tag: id, Word: word,
+						core.Handle(caches.Replied{Wire: w, At: now + 290, Reply: caches.Reply{ID: id, Word: word,
 							Fields: "res=warm,sum=00000000000000ab,t0=999999999999"}})
 						break
 					}
--- a/internal/gateway/channel_events.go
+++ b/internal/gateway/channel_events.go
@@ -10,16 +10,16 @@
 )
 
 // handleChannelEvent applies a purge or a node list of the command channel.
-func (g *Core) handleChannelEvent(n channel.News) {
+func (g *Core) handleChannelEvent(n channel.Event) {
 	if n.Purge {
-		n.Purged.Age = max(0, g.now-n.PurgeTime)
-		g.emit(n.Purged)
+		n.PurgeScope.Age = max(0, g.now-n.PurgeTime)
+		g.emit(n.PurgeScope)
 		g.withdrawPulls(func(p *pull) bool {
-			return n.Purged.Object == p.download.object || n.Purged.Object == "" && n.Purged.Group == p.download.group
+			return n.PurgeScope.Object == p.download.object || n.PurgeScope.Object == "" && n.PurgeScope.Group == p.download.group
 		})
 		return
 	}
-	list := router.Listed{Scope: n.Scope}
+	list := router.NodesListed{Scope: n.Scope}
 	listed := map[string]bool{}
 	for _, node := range n.Nodes {
 		g.nodes[node.Node] = node.Entry
@@ -32,12 +32,12 @@
 		if g.addresses[node.Node] = node.Address; g.nodeListed != nil && node.State == router.Running {
 			g.nodeListed(node.Entry)
 		}
-		g.pool.List(node.Node, node.Address, node.Booted)
+		g.pool.SetNode(node.Node, node.Address, node.StartedAt)
 		if g.drained.effective(node.Entry).State == router.Draining {
-			g.stopSending(node.Node) // after List, which allows probes of the node
+			g.stopSending(node.Node) // after SetNode, which allows probes of the node
 		}
 	}
-	if n.Scope != router.Changes {
+	if n.Scope != router.ListChanges {
 		for _, id := range slices.Sorted(maps.Keys(g.addresses)) {
 			if !listed[id] {
 				g.removeNode(id)
@@ -51,7 +51,7 @@
 // withdrawPulls takes back the matching pulls that are not written yet. The router learns of their end after the event
 // that caused it.
 func (g *Core) withdrawPulls(matches func(*pull) bool) {
-	g.pool.Withdraw(func(q *caches.Pull) bool {
+	g.pool.RecallMatching(func(q *caches.Pull) bool {
 		p, ok := q.Owner.(*pull)
 		return ok && matches(p)
 	}, g.now)
@@ -59,7 +59,7 @@
 
 // stopSending sends nothing new to a node, and withdraws the pulls with the node as target or source.
 func (g *Core) stopSending(id string) {
-	g.pool.Shun(id)
+	g.pool.ExcludeNode(id)
 	g.withdrawPulls(func(p *pull) bool { return p.node == id || p.source == id })
 }
 
@@ -68,5 +68,5 @@
 	g.stopSending(id)
 	delete(g.addresses, id)
 	delete(g.nodes, id)
-	g.pool.Gone(id)
+	g.pool.RemoveNode(id)
 }
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -18,7 +18,7 @@
 	"poppymill/internal/caches"
 	"poppymill/internal/channel"
 	"poppymill/internal/clients"
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 	"poppymill/router"
 )
 
@@ -29,16 +29,16 @@
 
 // Events that the network side posts to a Core. At is the time at which the event happened, in Unix ms.
 type (
-	// Asked reports a request that was received completely.
-	Asked struct {
+	// RequestReceived reports a request that was received completely.
+	RequestReceived struct {
 		Client Client
 		ID     uint16
 		Params map[string]string
-		Body   *buffer.Chain
+		Body   *buffer.Body
 		At     float64
 	}
-	// Aborted reports a request that its client aborted.
-	Aborted struct {
+	// RequestAborted reports a request that its client aborted.
+	RequestAborted struct {
 		Client Client
 		ID     uint16
 		At     float64
@@ -48,9 +48,9 @@
 		Client Client
 		At     float64
 	}
-	// Told reports an event of the command channel.
-	Told struct {
-		News channel.News
+	// ChannelEvent reports an event of the command channel.
+	ChannelEvent struct {
+		News channel.Event
 		At   float64
 	}
 )
@@ -66,7 +66,7 @@
 // Core is the state machine of a gateway. It is not safe for concurrent use.
 type Core struct {
 	Counters
-	config       *footprint.Config
+	config       *gatewayconfig.Config
 	log          logrus.FieldLogger
 	warnings     *warnLimiter
 	links        *signedLinks   // nil if disabled
@@ -102,7 +102,7 @@
 	requestID                  uint16 // id of the request on the client's connection
 	part, group                int64
 	expiry                     float64
-	body                       *buffer.Chain
+	body                       *buffer.Body
 	cacheable                  bool    // answered from a copy rather than by a side effect
 	atMostOnce                 bool    // must not run twice
 	maxAge                     float64 // ms; maximum age of a copy where the pull sets none; 0: any
@@ -128,12 +128,12 @@
 }
 
 // NewCore returns a core whose router has been given the settings and all that is known at the start.
-func NewCore(c *footprint.Config, pool *caches.Pool, log logrus.FieldLogger, now float64) *Core {
+func NewCore(c *gatewayconfig.Config, pool *caches.Pool, log logrus.FieldLogger, now float64) *Core {
 	g := &Core{config: c, log: log, warnings: &warnLimiter{log: log}, router: router.New(), pool: pool,
 		downloads: map[string]*download{},
 		clients:   map[Client]map[uint16]*download{}, probes: map[*caches.Pull]*timer{},
-		addresses: map[string]string{}, nodes: map[string]router.Entry{}, maxOpen: Share(c).Open, now: now}
-	g.emit(router.Started{Seed: c.Seed, Footprint: c.Footprint})
+		addresses: map[string]string{}, nodes: map[string]router.Entry{}, maxOpen: NewBudget(c).Open, now: now}
+	g.emit(router.Started{Seed: c.Seed, Settings: c.RouterSettings})
 	for _, n := range c.Known {
 		g.handleChannelEvent(n)
 	}
@@ -147,91 +147,91 @@
 // Handle processes an event. Timers that were due before the event fire first.
 func (g *Core) Handle(e any) {
 	switch e := e.(type) {
-	case Asked:
-		g.Ring(e.At)
+	case RequestReceived:
+		g.Advance(e.At)
 		g.handleRequest(e)
-	case Aborted:
-		g.Ring(e.At)
+	case RequestAborted:
+		g.Advance(e.At)
 		// The request may have been answered meanwhile, and its id reused by another.
 		if d := g.clients[e.Client][e.ID]; d != nil {
 			g.cancel(d)
-			e.Client.Answer(e.ID, clients.Answer{None: true})
+			e.Client.Answer(e.ID, clients.Answer{NoResponse: true})
 		}
 	case ClientClosed:
-		g.Ring(e.At)
+		g.Advance(e.At)
 		for _, id := range slices.Sorted(maps.Keys(g.clients[e.Client])) {
 			g.cancel(g.clients[e.Client][id])
 		}
-	case Told:
-		g.Ring(e.At)
+	case ChannelEvent:
+		g.Advance(e.At)
 		g.handleChannelEvent(e.News)
-	case Ahead:
-		g.Ring(e.At)
+	case Prefetch:
+		g.Advance(e.At)
 		g.prefetch(e)
 	case DrainNodes:
-		g.Ring(e.At)
+		g.Advance(e.At)
 		g.drainNodes(e)
 	case ApplyMarks:
-		g.Ring(e.At)
+		g.Advance(e.At)
 		g.applyMarks(e)
-	case Rekeyed:
+	case KeysReloaded:
 		if g.links != nil {
 			g.links.block = e.Block
-			g.links.admission.Change(e.Block.Settings)
-			g.links.admission.Keys(e.Ring)
+			g.links.admission.SetSettings(e.Block.Settings)
+			g.links.admission.SetKeys(e.Ring)
 		}
 	case FairnessChanged:
 		if g.fair != nil {
 			g.fair.block = e.Block
-			g.fair.gate.Weights(e.Block.Settings.Weights)
+			g.fair.controller.SetWeights(e.Block.Settings.Weights)
 		}
 	case SpendWritten:
-		g.Ring(e.At)
+		g.Advance(e.At)
 		g.spendWritten(e)
 	case caches.Up:
 		g.pool.Handle(e)
-	case caches.Answered:
-		g.Ring(e.At)
+	case caches.Replied:
+		g.Advance(e.At)
 		g.pool.Handle(e)
 	case caches.Down:
-		g.Ring(e.At)
+		g.Advance(e.At)
 		g.pool.Handle(e)
 	}
 	g.dispatch()
 }
 
-// Ring advances the clock to now and fires all timers that are due.
-func (g *Core) Ring(now float64) {
+// Advance advances the clock to now and fires all timers that are due.
+func (g *Core) Advance(now float64) {
 	g.now = max(g.now, now)
 	for len(g.timers) > 0 && g.timers[0].at <= g.now {
 		t := g.timers.pop()
 		switch {
 		case t.pull != nil:
-			g.pool.Drop(t.pull.cachePull, router.TimedOut, g.now)
+			g.pool.Cancel(t.pull.cachePull, router.TimedOut, g.now)
 		case t.sendDeadline != nil:
 			g.pool.Recall(t.sendDeadline.cachePull, g.now)
 		case t.probe != nil:
-			g.pool.Drop(t.probe, router.TimedOut, g.now)
+			g.pool.Cancel(t.probe, router.TimedOut, g.now)
 		case t.prefetcher != nil:
 			t.prefetcher.next()
 		case g.fair != nil && t == g.fair.timer:
 			g.fair.timer = nil
-			g.executeFair(g.fair.gate.Ring(g.now))
+			g.executeFair(g.fair.controller.HandleTimer(g.now))
 		case t.download != nil && t.token == spendWriteToken:
 			g.rejectUnwritten(t.download)
 		case t.download != nil:
 			g.failOverdue(t.download)
 		default:
-			g.emit(router.Rang{Token: t.token})
+			g.emit(router.TimerFired{Token: t.token})
 		}
 		g.dispatch()
 	}
 }
 
-// Watch runs the periodic checks: for connections that no longer respond, load reports and drained nodes.
-func (g *Core) Watch(now float64) {
-	g.Ring(now)
-	g.pool.Watch(now)
+// RunChecks runs the periodic checks: for connections that no longer respond, load reports and drained nodes.
+func (g *Core) RunChecks(now float64) {
+	g.Advance(now)
+	g.pool.CheckStalled(now)
 	g.dispatch()
 	g.meter.reportIfDue(now)
 	g.drained.checkIdle(g)
@@ -251,28 +251,28 @@
 	g.Overdue++
 	g.log.WithField("download", d.id).Error("download not answered by its expiry; abandoning it")
 	g.answer(d, clients.Answer{Status: 500})
-	g.emit(router.Left{ID: d.id})
+	g.emit(router.ClientGone{ID: d.id})
 }
 
-// Drift describes the router's view of the nodes next to the pulls that are open on the sockets, and reports whether
+// RouterDrift describes the router's view of the nodes next to the pulls that are open on the sockets, and reports whether
 // the two differ. The limiters and budgets depend on the router's view.
-func (g *Core) Drift() (text string, drifts bool) {
-	for _, b := range g.router.Beliefs() {
-		open := g.pool.Open(b.Node)
-		drifts = drifts || b.Out != open
-		if b.Out != open || b.Aside || b.Warm < 1 || b.Most < limiterLogThreshold {
-			text += fmt.Sprintf("%s out %d of %d aside %t warm %.2f bad %.1f of %.1f", b.Node, b.Out, open, b.Aside, b.Warm,
-				b.Bad, b.Good+b.Bad)
-			if b.Most < limiterLogThreshold {
-				text += fmt.Sprintf(" at most %.1f late %.0f of %.0f", b.Most, b.Late, b.All)
+func (g *Core) RouterDrift() (text string, drifts bool) {
+	for _, b := range g.router.NodeViews() {
+		open := g.pool.InFlight(b.Node)
+		drifts = drifts || b.InFlight != open
+		if b.InFlight != open || b.Ejected || b.WarmShare < 1 || b.Limit < limiterLogThreshold {
+			text += fmt.Sprintf("%s out %d of %d aside %t warm %.2f bad %.1f of %.1f", b.Node, b.InFlight, open, b.Ejected, b.WarmShare,
+				b.Failures, b.Successes+b.Failures)
+			if b.Limit < limiterLogThreshold {
+				text += fmt.Sprintf(" at most %.1f late %.0f of %.0f", b.Limit, b.LateAnswers, b.Answers)
 			}
 			text += "; "
 		}
 	}
-	fillLimiter, askLimiter := g.router.Limiters()
-	for _, l := range []router.Belief{fillLimiter, askLimiter} {
-		if l.Most < limiterLogThreshold {
-			text += fmt.Sprintf("%s out %d of at most %.1f late %.0f of %.0f; ", l.Node, l.Out, l.Most, l.Late, l.All)
+	fillLimiter, askLimiter := g.router.LimiterViews()
+	for _, l := range []router.LoadView{fillLimiter, askLimiter} {
+		if l.Limit < limiterLogThreshold {
+			text += fmt.Sprintf("%s out %d of at most %.1f late %.0f of %.0f; ", l.Node, l.InFlight, l.Limit, l.LateAnswers, l.Answers)
 		}
 	}
 	return text, drifts
@@ -281,22 +281,22 @@
 // limiterLogThreshold is the limit below which a limiter is logged: it was lowered because answers came late.
 const limiterLogThreshold = 1e6
 
-// Leave makes the health check fail, so that the front sends no further clients.
-func (g *Core) Leave() { g.shuttingDown = true }
+// StartShutdown makes the health check fail, so that the front sends no further clients.
+func (g *Core) StartShutdown() { g.shuttingDown = true }
 
-// End answers all open downloads; later requests are turned away.
-func (g *Core) End(now float64) {
-	g.Ring(now)
+// Shutdown answers all open downloads; later requests are turned away.
+func (g *Core) Shutdown(now float64) {
+	g.Advance(now)
 	g.stopped = true
 	for _, id := range slices.Sorted(maps.Keys(g.downloads)) {
 		if d := g.downloads[id]; !d.answered && len(d.pulls) == 0 {
 			g.Throttled++ // it was never sent, so a retry is safe
-			g.answer(d, clients.Answer{Status: 503, Wait: g.config.Advice})
-			g.emit(router.Left{ID: d.id})
+			g.answer(d, clients.Answer{Status: 503, RetryAfter: g.config.MaxRetryAfter})
+			g.emit(router.ClientGone{ID: d.id})
 		} else if !d.answered {
 			g.Abandoned++
 			g.answer(d, clients.Answer{Status: 500})
-			g.emit(router.Left{ID: d.id})
+			g.emit(router.ClientGone{ID: d.id})
 		}
 	}
 	g.dispatch()
@@ -312,7 +312,7 @@
 	}
 	g.dispatching = true
 	for {
-		for _, e := range g.pool.Ends() {
+		for _, e := range g.pool.TakeResults() {
 			g.pullEnded(e)
 		}
 		if len(g.events) == 0 {
@@ -348,24 +348,24 @@
 	case router.Throttle:
 		if d := g.downloads[a.ID]; d != nil && !d.answered {
 			g.Throttled++
-			g.answer(d, clients.Answer{Status: 503, Wait: a.Wait})
+			g.answer(d, clients.Answer{Status: 503, RetryAfter: a.Wait})
 		}
 	case router.Abandon:
 		if d := g.downloads[a.ID]; d != nil && !d.answered {
 			g.Abandoned++
 			g.answer(d, clients.Answer{Status: 500})
 		}
-	case router.CallOff:
+	case router.CancelPull:
 		if d := g.downloads[a.ID]; d != nil && a.Pull < len(d.pulls) && d.pulls[a.Pull].cachePull != nil {
-			g.pool.Drop(d.pulls[a.Pull].cachePull, router.CalledOff, g.now)
+			g.pool.Cancel(d.pulls[a.Pull].cachePull, router.Cancelled, g.now)
 		}
 	case router.Probe:
 		g.Probes++
 		q := g.pool.Probe(a.Node, g.now)
-		g.probes[q] = g.timers.push(timer{at: g.now + g.config.Connect, probe: q})
-	case router.Alarm:
+		g.probes[q] = g.timers.push(timer{at: g.now + g.config.ConnectTimeout, probe: q})
+	case router.SetTimer:
 		g.timers.push(timer{at: a.At, token: a.Token})
-	case router.Watch: // the command channel sends changes unasked
+	case router.WatchNodes: // the command channel sends changes unasked
 	case router.Log:
 		g.log.Info(a.Text)
 	default:
@@ -426,7 +426,7 @@
 	g.releaseSpend(d, len(d.pulls) == 0)
 	g.releaseShare(d, 0)
 	g.release(d)
-	g.emit(router.Left{ID: d.id})
+	g.emit(router.ClientGone{ID: d.id})
 	g.recallPulls(d)
 }
 
@@ -434,7 +434,7 @@
 const healthPath = "/_health"
 
 // handleRequest validates a request and starts its download.
-func (g *Core) handleRequest(e Asked) {
+func (g *Core) handleRequest(e RequestReceived) {
 	path := e.Params["SCRIPT_NAME"]
 	if path == healthPath {
 		e.Body.Release()
@@ -455,7 +455,7 @@
 	if err == nil && (g.open >= g.maxOpen || g.stopped) {
 		g.Turned++
 		e.Body.Release()
-		e.Client.Answer(e.ID, clients.Answer{Status: 503, Wait: g.config.Advice})
+		e.Client.Answer(e.ID, clients.Answer{Status: 503, RetryAfter: g.config.MaxRetryAfter})
 		return
 	}
 	if err != nil {
@@ -473,7 +473,7 @@
 	d.expiry += e.At
 	g.track(d)
 	if g.fair != nil {
-		g.askFairGate(d, e.Params)
+		g.requestFairAdmission(d, e.Params)
 		return
 	}
 	g.proceed(d)
@@ -487,7 +487,7 @@
 		g.clients[d.client] = map[uint16]*download{}
 	}
 	g.clients[d.client][d.requestID] = d
-	d.expiryTimer = g.timers.push(timer{at: d.expiry + g.config.Slack, download: d})
+	d.expiryTimer = g.timers.push(timer{at: d.expiry + g.config.AnswerSlack, download: d})
 }
 
 // proceed passes a download to the router. If there is a store, the token that it spends is written first.
@@ -504,13 +504,13 @@
 // result is relative to the arrival.
 func (g *Core) parseDownload(params map[string]string, body int) (*download, error) {
 	name, ok := strings.CutPrefix(params["SCRIPT_NAME"], "/invoke/")
-	typeIndex := slices.IndexFunc(g.config.Types, func(t footprint.Type) bool { return t.Name == name })
+	typeIndex := slices.IndexFunc(g.config.Types, func(t gatewayconfig.ContentType) bool { return t.Name == name })
 	if !ok || typeIndex < 0 {
 		return nil, fmt.Errorf("SCRIPT_NAME: %.80q", params["SCRIPT_NAME"])
 	}
 	typ := g.config.Types[typeIndex]
 	d := &download{id: params["HTTP_X_JOB_ID"], typ: name, object: params["HTTP_X_ITEM"], clientSum: params["HTTP_X_MINE"],
-		cacheable: !typ.Writes, atMostOnce: typ.Writes || typ.Once, maxAge: typ.Fresh}
+		cacheable: !typ.Write, atMostOnce: typ.Write || typ.NoRepeat, maxAge: typ.MaxAge}
 	if !isHexID(d.id) {
 		return nil, fmt.Errorf("X-Job-Id: %.80q", d.id)
 	}
@@ -527,7 +527,7 @@
 	}
 	// Both the clients' times and the settings are rounded, so up to 10% more than the longest expiry is accepted.
 	maxPart := int64(1<<31 - 1) // the number of parts is not known here
-	if !typ.Parts {
+	if !typ.MultiPart {
 		maxPart = 0
 	}
 	allow := int64(0)
@@ -535,7 +535,7 @@
 		name, param string
 		maximum     int64
 		to          *int64
-	}{{"X-Allow-Ms", "HTTP_X_ALLOW_MS", int64(1.1 * typ.Expiry), &allow}, {"X-N", "HTTP_X_N", maxPart, &d.part},
+	}{{"X-Allow-Ms", "HTTP_X_ALLOW_MS", int64(1.1 * typ.MaxExpiry), &allow}, {"X-N", "HTTP_X_N", maxPart, &d.part},
 		{"X-Shard", "HTTP_X_SHARD", 255, &d.group}} {
 		if *field.to, ok = parseNumber(params[field.param], field.maximum); !ok {
 			return nil, fmt.Errorf("%s: %.80q", field.name, params[field.param])
@@ -547,7 +547,7 @@
 			return nil, fmt.Errorf("CONTENT_LENGTH: %.80q of a body of %d", text, body)
 		}
 	}
-	if body > 0 && !typ.Bodies {
+	if body > 0 && !typ.AllowsBody {
 		return nil, fmt.Errorf("unexpected body of %d bytes for %s", body, name)
 	}
 	return d, nil
@@ -608,8 +608,8 @@
 	if a.Timeout != 0 {
 		deadline = min(deadline, g.now+a.Timeout)
 	}
-	if d.answered || deadline <= g.now || p.index >= g.config.MostPulls {
-		g.reportPull(p, caches.End{Status: router.NeverSent, At: g.now})
+	if d.answered || deadline <= g.now || p.index >= g.config.MaxPulls {
+		g.reportPull(p, caches.Result{Status: router.NeverSent, At: g.now})
 		return
 	}
 	g.Pulls++
@@ -619,11 +619,11 @@
 		text = g.links.appendCacheToken(text, d, p, g.now)
 	}
 	p.cachePull = &caches.Pull{ID: d.id, Node: a.Node, Fields: text, Body: d.body,
-		Mine: d.clientSum, Copies: d.cacheable, MaxAge: cmp.Or(a.MaxAge, d.maxAge), Before: d.lastPull, Owner: p}
+		ClientSum: d.clientSum, RequireCopy: d.cacheable, MaxAge: cmp.Or(a.MaxAge, d.maxAge), Previous: d.lastPull, Owner: p}
 	d.lastPull = p.cachePull
 	p.timeout = g.timers.push(timer{at: deadline, pull: p})
-	if a.Within > 0 {
-		p.sendDeadline = g.timers.push(timer{at: g.now + a.Within, sendDeadline: p})
+	if a.SendWithin > 0 {
+		p.sendDeadline = g.timers.push(timer{at: g.now + a.SendWithin, sendDeadline: p})
 	}
 	g.pool.Pull(p.cachePull, g.now)
 }
@@ -645,10 +645,10 @@
 	}
 	separator := ",ways="
 	for _, flag := range [...]struct {
-		how  router.How
+		how  router.PullOptions
 		word string
-	}{{router.Join, "j"}, {router.OnlyHeld, "h"}, {router.PassParent, "n"}, {router.Renew, "r"}} {
-		if a.How&flag.how != 0 {
+	}{{router.JoinFill, "j"}, {router.HeldOnly, "h"}, {router.SkipParentCopy, "n"}, {router.StaleWhileRevalidate, "r"}} {
+		if a.Options&flag.how != 0 {
 			b = append(append(b, separator...), flag.word...)
 			separator = "+"
 		}
@@ -663,19 +663,19 @@
 }
 
 // pullEnded handles the end of a pull or a probe.
-func (g *Core) pullEnded(e caches.End) {
-	if e.Probe != "" {
+func (g *Core) pullEnded(e caches.Result) {
+	if e.ProbedNode != "" {
 		g.timers.remove(g.probes[e.Pull])
 		delete(g.probes, e.Pull)
 		e.Body.Release()
-		g.emit(router.Probed{Node: e.Probe, Status: e.Status, Load: e.Load})
+		g.emit(router.Probed{Node: e.ProbedNode, Status: e.Status, Load: e.Load})
 		return
 	}
 	g.reportPull(e.Pull.Owner.(*pull), e)
 }
 
 // reportPull tells the router how a pull ended. The first fulfilled pull of a download answers the client.
-func (g *Core) reportPull(p *pull, e caches.End) {
+func (g *Core) reportPull(p *pull, e caches.Result) {
 	d := p.download
 	g.timers.remove(p.timeout)
 	g.timers.remove(p.sendDeadline)
@@ -686,14 +686,14 @@
 	}
 	if e.Status == router.Fulfilled && !d.answered {
 		g.Fulfilled++
-		if e.Keep {
+		if e.KeepClientCopy {
 			g.Kept++
 		}
-		g.answer(d, clients.Answer{Status: 200, Still: e.Keep, Body: e.Body})
+		g.answer(d, clients.Answer{Status: 200, NotModified: e.KeepClientCopy, Body: e.Body})
 	} else {
 		e.Body.Release()
 	}
 	g.removeIfDone(d)
-	g.emit(router.Ended{ID: d.id, Pull: p.index, Status: e.Status, Took: max(0, e.At-p.sentAt), Closed: d.answered,
-		Note: e.Note, Load: e.Load})
+	g.emit(router.PullEnded{ID: d.id, Pull: p.index, Status: e.Status, Duration: max(0, e.At-p.sentAt), DownloadDone: d.answered,
+		AnswerSource: e.Note, Load: e.Load})
 }
--- a/internal/gateway/core_ordering_test.go
+++ b/internal/gateway/core_ordering_test.go
@@ -14,17 +14,17 @@
 func TestNothingSentAfterEnd(t *testing.T) {
 	for name, end := range map[string]func(h *harness){
 		"the client aborts it": func(h *harness) {
-			h.core.Handle(Aborted{Client: h.clients[0], ID: 1, At: h.now})
+			h.core.Handle(RequestAborted{Client: h.clients[0], ID: 1, At: h.now})
 		},
 		"the client closes": func(h *harness) {
 			h.requests["0000000000000001"].gone = true
 			h.core.Handle(ClientClosed{Client: h.clients[0], At: h.now})
 		},
-		"the process ends": func(h *harness) { h.core.End(h.now) },
-		"its expiry":       func(h *harness) { h.core.Ring(h.now + 500) },
+		"the process ends": func(h *harness) { h.core.Shutdown(h.now) },
+		"its expiry":       func(h *harness) { h.core.Advance(h.now + 500) },
 	} {
 		c := testConfig(t)
-		c.CallOff, c.Footprint["call off"] = false, false
+		c.CancelPulls, c.RouterSettings["call off"] = false, false
 		h := newHarnessWithConfig(t, c)
 		h.sendRequest(h.clients[0], "video", 1, 500)
 		if len(h.wires) != 1 || len(h.wires[0].queue) != 1 {
@@ -33,7 +33,7 @@
 		end(h)
 		h.wires[0].deliver()
 		h.now += 10_000
-		h.core.Ring(h.now)
+		h.core.Advance(h.now)
 		h.checkSettled()
 		for _, text := range h.faults {
 			t.Errorf("%s: %s", name, text)
@@ -49,20 +49,20 @@
 		h.sendRequest(h.clients[0], "video", 1, 500)
 		d := h.core.downloads["0000000000000001"]
 		first := d.pulls[0]
-		h.core.sendPull(router.Pull{ID: d.id, Node: first.node, Source: first.source, Timeout: 400, Within: 100})
+		h.core.sendPull(router.Pull{ID: d.id, Node: first.node, Source: first.source, Timeout: 400, SendWithin: 100})
 		p := d.pulls[1]
 		if written {
 			h.wires[len(h.wires)-1].deliver()
 		}
-		h.core.Ring(h.now + 99)
+		h.core.Advance(h.now + 99)
 		if p.cachePull == nil {
 			t.Errorf("written %t: ended before its window", written)
 		}
-		h.core.Ring(h.now + 100)
+		h.core.Advance(h.now + 100)
 		if over := p.cachePull == nil; over == written {
 			t.Errorf("written %t: ended %t", written, over)
 		}
-		h.core.Ring(h.now + 10_000)
+		h.core.Advance(h.now + 10_000)
 		if n := len(h.core.downloads); n > 0 {
 			t.Errorf("written %t: %d downloads are left over", written, n)
 		}
@@ -80,7 +80,7 @@
 	c := testConfig(t)
 	nodes := c.Known[0].Nodes
 	sendList := func(h *harness, scope router.Scope, list ...channel.Node) {
-		if scope != router.Changes {
+		if scope != router.ListChanges {
 			for _, n := range nodes {
 				h.notRunning[n.Node] = true
 			}
@@ -88,7 +88,7 @@
 		for _, n := range list {
 			h.notRunning[n.Node] = n.State != router.Running
 		}
-		h.core.Handle(Told{News: channel.News{Scope: scope, Nodes: list}, At: h.now})
+		h.core.Handle(ChannelEvent{News: channel.Event{Scope: scope, Nodes: list}, At: h.now})
 	}
 	withState := func(n channel.Node, s router.State) channel.Node {
 		n.State = s
@@ -103,29 +103,29 @@
 	a, b, rest := nodes[edges[0]], nodes[edges[1]], nodes[edges[1]+1:]
 	for name, sendLists := range map[string]func(h *harness){
 		"a drain, then a whole list without it": func(h *harness) {
-			sendList(h, router.Changes, withState(a, router.Draining))
-			sendList(h, router.Whole, append([]channel.Node{b}, rest...)...)
+			sendList(h, router.ListChanges, withState(a, router.Draining))
+			sendList(h, router.FullList, append([]channel.Node{b}, rest...)...)
 		},
 		"a whole list, then a drain that had been overtaken": func(h *harness) {
-			sendList(h, router.Whole, append([]channel.Node{a, b}, rest...)...)
-			sendList(h, router.Changes, withState(a, router.Draining))
+			sendList(h, router.FullList, append([]channel.Node{a, b}, rest...)...)
+			sendList(h, router.ListChanges, withState(a, router.Draining))
 		},
-		"a whole list that is empty": func(h *harness) { sendList(h, router.Whole) },
+		"a whole list that is empty": func(h *harness) { sendList(h, router.FullList) },
 		"gone, and back at another address": func(h *harness) {
-			sendList(h, router.Changes, withState(a, router.Gone))
+			sendList(h, router.ListChanges, withState(a, router.Gone))
 			other := a
-			other.Address, other.Booted = "127.0.0.1:5999", h.now
-			sendList(h, router.Changes, other, withState(b, router.Gone))
+			other.Address, other.StartedAt = "127.0.0.1:5999", h.now
+			sendList(h, router.ListChanges, other, withState(b, router.Gone))
 		},
 		"a new process at the same address": func(h *harness) {
 			other := a
-			other.Booted = h.now
-			sendList(h, router.Changes, other, withState(b, router.Draining))
+			other.StartedAt = h.now
+			sendList(h, router.ListChanges, other, withState(b, router.Draining))
 		},
 		"a new cache at the address of one that has gone": func(h *harness) {
 			other := a
 			other.Node = "edge-9"
-			sendList(h, router.Changes, withState(a, router.Gone), other, withState(b, router.Gone))
+			sendList(h, router.ListChanges, withState(a, router.Gone), other, withState(b, router.Gone))
 			h.notRunning[a.Node] = false // the harness names nodes by address, and this one now belongs to the new cache
 		},
 	} {
@@ -167,7 +167,7 @@
 			}
 		}
 		h.now += 10_000
-		h.core.Ring(h.now)
+		h.core.Advance(h.now)
 		for _, w := range h.wires {
 			for len(w.open) > 0 && !w.broken {
 				h.reply(w, 0, "DONE")
@@ -186,9 +186,9 @@
 	c := testConfig(t)
 	drained := c.Known[0].Nodes[0]
 	drained.State = router.Draining
-	purge := channel.News{Purge: true, PurgeTime: 1e12 - 700}
-	purge.Purged.Object = fmt.Sprintf("%016x", 3)
-	c.Known = append(c.Known, channel.News{Nodes: []channel.Node{drained}}, purge)
+	purge := channel.Event{Purge: true, PurgeTime: 1e12 - 700}
+	purge.PurgeScope.Object = fmt.Sprintf("%016x", 3)
+	c.Known = append(c.Known, channel.Event{Nodes: []channel.Node{drained}}, purge)
 	h := newHarnessWithConfig(t, c)
 	h.notRunning[drained.Node] = true
 	for i := range 8 {
@@ -197,7 +197,7 @@
 	limits := 0
 	for _, d := range h.core.downloads {
 		if strings.Contains(d.pulls[0].cachePull.Fields, "agelim=") {
-			if limits++; d.object != purge.Purged.Object || d.pulls[0].cachePull.MaxAge > 700 {
+			if limits++; d.object != purge.PurgeScope.Object || d.pulls[0].cachePull.MaxAge > 700 {
 				t.Errorf("%s: %s", d.object, d.pulls[0].cachePull.Fields)
 			}
 		}
--- a/internal/gateway/core_test.go
+++ b/internal/gateway/core_test.go
@@ -18,16 +18,16 @@
 	"poppymill/internal/caches"
 	"poppymill/internal/channel"
 	"poppymill/internal/clients"
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 	"poppymill/router"
 )
 
-func testConfig(t *testing.T) *footprint.Config {
+func testConfig(t *testing.T) *gatewayconfig.Config {
 	text, err := os.ReadFile("../../example/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := footprint.Parse(text, os.Getenv)
+	c, err := gatewayconfig.Parse(text, os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,42 +54,42 @@
 type fakeWire struct {
 	harness *harness
 	node    string
-	queue   []*caches.Item
+	queue   []*caches.Command
 	closed  bool
 	broken  bool
 	open    []string // ids of the commands that the node has received and that were not dropped
 }
 
-func (w *fakeWire) Send(i *caches.Item) bool {
+func (w *fakeWire) Send(i *caches.Command) bool {
 	if w.closed {
-		i.Wrote(false)
+		i.MarkWritten(false)
 		return false
 	}
 	w.queue = append(w.queue, i)
 	return true
 }
 
-func (w *fakeWire) Remove(i *caches.Item) bool {
+func (w *fakeWire) Remove(i *caches.Command) bool {
 	for n, q := range w.queue {
 		if q == i {
 			w.queue = append(w.queue[:n], w.queue[n+1:]...)
-			i.Wrote(false)
+			i.MarkWritten(false)
 			return true
 		}
 	}
 	return false
 }
 
-func (w *fakeWire) Heard() (float64, bool) { return 0, false }
-func (w *fakeWire) Stuck() bool            { return false }
-func (w *fakeWire) Close()                 { w.closed = true }
+func (w *fakeWire) LastRead() (float64, bool) { return 0, false }
+func (w *fakeWire) Stuck() bool               { return false }
+func (w *fakeWire) Close()                    { w.closed = true }
 
 // deliver writes all queued commands to the node.
 func (w *fakeWire) deliver() {
 	for _, i := range w.queue {
-		i.Take()
+		i.MarkWriting()
 		words := strings.Split(string(bytes.Join(i.Pieces(nil), nil)), "\r\n")
-		i.Wrote(true)
+		i.MarkWritten(true)
 		verb, id := words[2], words[4]
 		switch verb {
 		case "GET":
@@ -136,13 +136,13 @@
 
 func newHarness(t *testing.T) *harness { return newHarnessWithConfig(t, testConfig(t)) }
 
-func newHarnessWithConfig(t *testing.T, c *footprint.Config) *harness {
+func newHarnessWithConfig(t *testing.T, c *gatewayconfig.Config) *harness {
 	h := &harness{t: t, buffers: buffer.NewPool(1 << 24), now: 1e12, requests: map[string]*request{}, notRunning: map[string]bool{}}
 	names := map[string]string{}
 	for _, n := range c.Known[0].Nodes {
 		names[n.Address] = n.Node
 	}
-	h.pool = caches.NewPool(caches.Limits{Streams: 3, Idle: c.Idle, Conns: 12, Reports: true, Names: footprint.Report},
+	h.pool = caches.NewPool(caches.Limits{PullsPerConn: 3, IdleTimeout: c.IdleTimeout, Conns: 12, RequestLoad: true, GaugeName: gatewayconfig.LoadValueName},
 		func(address string) caches.Wire {
 			w := &fakeWire{harness: h, node: names[address]}
 			h.wires = append(h.wires, w)
@@ -165,12 +165,12 @@
 	id := fmt.Sprintf("%016x", len(h.requests)+1)
 	req := &request{client: c, number: uint16(len(h.requests) + 1), typ: typ, expiry: h.now + allow}
 	h.requests[id] = req
-	var body *buffer.Chain
+	var body *buffer.Body
 	if typ == "renewal" {
 		body = buffer.NewChain(h.buffers)
 		body.Append([]byte("write"))
 	}
-	h.core.Handle(Asked{Client: c, ID: req.number, Body: body, At: h.now, Params: map[string]string{
+	h.core.Handle(RequestReceived{Client: c, ID: req.number, Body: body, At: h.now, Params: map[string]string{
 		"SCRIPT_NAME": "/invoke/" + typ, "HTTP_X_JOB_ID": id, "HTTP_X_ALLOW_MS": fmt.Sprint(allow),
 		"HTTP_X_ITEM": fmt.Sprintf("%016x", object), "HTTP_X_N": "0", "HTTP_X_SHARD": "7"}})
 	return id
@@ -201,7 +201,7 @@
 func (h *harness) reply(w *fakeWire, n int, word string) {
 	id := w.open[n]
 	w.open = append(w.open[:n], w.open[n+1:]...)
-	r := caches.Reply{Tag: id, Word: word, Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f,gauges=util:0.5", h.now)}
+	r := caches.Reply{ID: id, Word: word, Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f,gauges=util:0.5", h.now)}
 	if req := h.requests[id]; req == nil {
 		r.Word = "FIT"
 	} else if word == "LACK" || word == "WAIT" || word == "PAST" {
@@ -210,17 +210,17 @@
 		r.Body = buffer.NewChain(h.buffers)
 		r.Body.Append([]byte("body of " + id))
 	}
-	h.core.Handle(caches.Answered{Wire: w, Reply: r, At: h.now})
+	h.core.Handle(caches.Replied{Wire: w, Reply: r, At: h.now})
 }
 
 // breakWire breaks a connection. Commands that were not written completely never ran.
 func (h *harness) breakWire(w *fakeWire) {
 	for _, i := range w.queue {
-		i.Take()
-		i.Wrote(false)
+		i.MarkWriting()
+		i.MarkWritten(false)
 	}
 	w.queue, w.open, w.closed, w.broken = nil, nil, true, true
-	h.core.Handle(caches.Down{Wire: w, Up: true, At: h.now})
+	h.core.Handle(caches.Down{Wire: w, WasUp: true, At: h.now})
 }
 
 // step executes one random event.
@@ -250,8 +250,8 @@
 			id := fmt.Sprintf("%016x", n+1)
 			if req := h.requests[id]; req.client == c && !req.gone && len(c.answers[req.number]) == 0 {
 				req.gone = true
-				h.core.Handle(Aborted{Client: c, ID: req.number, At: h.now})
-				if got := c.answers[req.number]; len(got) != 1 || !got[0].None {
+				h.core.Handle(RequestAborted{Client: c, ID: req.number, At: h.now})
+				if got := c.answers[req.number]; len(got) != 1 || !got[0].NoResponse {
 					h.faultf("%s was aborted and answered %v", id, got)
 				}
 				break
@@ -267,13 +267,13 @@
 		node := known[r.Intn(len(known))]
 		node.State = router.State(r.Intn(3))
 		h.notRunning[node.Node] = node.State != router.Running
-		h.core.Handle(Told{News: channel.News{Nodes: []channel.Node{node}}, At: h.now})
+		h.core.Handle(ChannelEvent{News: channel.Event{Nodes: []channel.Node{node}}, At: h.now})
 	case n < 85:
-		h.core.Handle(Told{News: channel.News{Purge: true, PurgeTime: h.now - 50,
-			Purged: router.Purged{Object: fmt.Sprintf("%016x", r.Intn(5))}}, At: h.now})
+		h.core.Handle(ChannelEvent{News: channel.Event{Purge: true, PurgeTime: h.now - 50,
+			PurgeScope: router.Purged{Object: fmt.Sprintf("%016x", r.Intn(5))}}, At: h.now})
 	default:
 		h.now += r.ExpFloat64() * 30
-		h.core.Ring(h.now)
+		h.core.Advance(h.now)
 	}
 }
 
@@ -301,7 +301,7 @@
 	if n := len(h.core.downloads); n != 0 || h.core.Open() != 0 || len(h.core.clients) != 0 || len(h.core.probes) != 0 {
 		h.faultf("%d downloads, %d open, %d probes are left over", n, h.core.Open(), len(h.core.probes))
 	}
-	if n := h.buffers.Out(); n != 0 || h.pool.Conns() != 0 {
+	if n := h.buffers.InUse(); n != 0 || h.pool.Conns() != 0 {
 		h.faultf("%d buffers and %d connections are left over", n, h.pool.Conns())
 	}
 	if n := assert.Broken(); n != 0 || h.core.Panics != 0 || h.core.Overdue != 0 {
@@ -316,19 +316,19 @@
 		r, h := rand.New(rand.NewSource(seed)), newHarness(t)
 		for range 400 {
 			h.step(r)
-			if text, drifts := h.core.Drift(); drifts {
+			if text, drifts := h.core.RouterDrift(); drifts {
 				h.faultf("the router's beliefs drift: %s", text)
 				break
 			}
 		}
 		if r.Intn(2) == 0 {
-			h.core.End(h.now)
+			h.core.Shutdown(h.now)
 		} else {
 			h.now += 10_000
-			h.core.Ring(h.now)
+			h.core.Advance(h.now)
 		}
 		h.now += 10_000
-		h.core.Ring(h.now)
+		h.core.Advance(h.now)
 		h.checkSettled()
 		for _, text := range h.faults {
 			t.Errorf("seed %d: %s", seed, text)
@@ -360,7 +360,7 @@
 		{"the answer, then the time-out", func(h *harness, w *fakeWire) {
 			h.now += 499
 			h.reply(w, 0, "DONE")
-			h.core.Ring(h.now + 1000)
+			h.core.Advance(h.now + 1000)
 		}, "200"},
 		{"the time-out, then the answer", func(h *harness, w *fakeWire) {
 			h.now += 501
@@ -372,7 +372,7 @@
 			h.reply(w, 0, "DONE")
 		}, ""},
 		{"the end of the process, then the answer", func(h *harness, w *fakeWire) {
-			h.core.End(h.now)
+			h.core.Shutdown(h.now)
 			h.reply(w, 0, "DONE")
 			if late := h.sendRequest(h.clients[0], "video", 2, 500); h.statuses(late) != "503" {
 				h.faultf("a request after the end was answered %q", h.statuses(late))
@@ -381,13 +381,13 @@
 		{"the end of the process, while another download waits for a node", func(h *harness, w *fakeWire) {
 			for _, n := range h.core.config.Known[0].Nodes {
 				n.State = router.Draining
-				h.core.Handle(Told{News: channel.News{Nodes: []channel.Node{n}}, At: h.now})
+				h.core.Handle(ChannelEvent{News: channel.Event{Nodes: []channel.Node{n}}, At: h.now})
 			}
 			waiting := h.sendRequest(h.clients[0], "renewal", 2, 500)
 			if got := h.statuses(waiting); got != "" {
 				h.faultf("the second download does not wait: %q", got)
 			}
-			h.core.End(h.now)
+			h.core.Shutdown(h.now)
 			if got := h.statuses(waiting); got != "503" {
 				h.faultf("the second download was never sent and was answered %q", got)
 			}
@@ -408,7 +408,7 @@
 			t.Errorf("%s: answered %q, want %q", c.name, got, c.want)
 		}
 		h.now += 10_000
-		h.core.Ring(h.now)
+		h.core.Advance(h.now)
 		h.checkSettled()
 		for _, text := range h.faults {
 			t.Errorf("%s: %s", c.name, text)
@@ -429,12 +429,12 @@
 		}
 		params[name] = value
 		number++
-		var chain *buffer.Chain
+		var chain *buffer.Body
 		if len(body) > 0 {
 			chain = buffer.NewChain(h.buffers)
 			chain.Append(body)
 		}
-		h.core.Handle(Asked{Client: h.clients[0], ID: number, Params: params, Body: chain, At: h.now})
+		h.core.Handle(RequestReceived{Client: h.clients[0], ID: number, Params: params, Body: chain, At: h.now})
 		if got := h.clients[0].answers[number]; len(got) == 1 {
 			return got[0].Status
 		}
@@ -455,7 +455,7 @@
 	if got := statusOf("X", "", 'b'); got != 400 {
 		t.Errorf("a body for a type without bodies: status %d", got)
 	}
-	if h.core.config.Types[0].Parts = false; statusOf("HTTP_X_N", "1") != 400 {
+	if h.core.config.Types[0].MultiPart = false; statusOf("HTTP_X_N", "1") != 400 {
 		t.Error("a part number for a type without parts was accepted")
 	}
 	if len(h.wires) != 0 {
@@ -491,9 +491,9 @@
 	}{
 		{router.Pull{Node: "a"}, "", ""},
 		{router.Pull{Node: "a", Source: "a"}, "", ""},
-		{router.Pull{Node: "a", Source: "b", Rank: 2, MaxAge: 1500.9, How: router.OnlyHeld | router.PassParent}, "cc",
+		{router.Pull{Node: "a", Source: "b", Rank: 2, MaxAge: 1500.9, Options: router.HeldOnly | router.SkipParentCopy}, "cc",
 			",next=b,admit=2,agelim=1500,ways=h+n,cached=cc"},
-		{router.Pull{Node: "a", Source: "b", MaxAge: 0.5, How: router.Join | router.Renew}, "", ",next=b,agelim=1,ways=j+r"},
+		{router.Pull{Node: "a", Source: "b", MaxAge: 0.5, Options: router.JoinFill | router.StaleWhileRevalidate}, "", ",next=b,agelim=1,ways=j+r"},
 	} {
 		d.clientSum = c.mine
 		if got, want := pullFields(d, c.a, 80.4), "kind=video,obj=00000000000000bb,seg=3,ms=80"+c.want; got != want {
@@ -552,8 +552,8 @@
 func TestBudget(t *testing.T) {
 	config := testConfig(t)
 	for _, limits := range [][2]int{{32, 256}, {48, 256}, {64, 384}, {192, 1024}, {24, 1024}, {192, 64}} {
-		config.MemoryMB, config.Sockets, config.MostOpen = limits[0], limits[1], 1e9
-		budget := Share(config)
+		config.MemoryMB, config.Sockets, config.MaxOpen = limits[0], limits[1], 1e9
+		budget := NewBudget(config)
 		conns := budget.Clients + budget.Caches
 		if used := budget.Reads + budget.Bodies + conns*memoryPerConn + budget.Open*memoryPerDownload; used > budget.Heap || budget.Heap+reservedMemory > limits[0]<<20 || conns > max(32, limits[1]-reservedDescriptors) {
 			t.Errorf("%v: %+v is too much", limits, budget)
@@ -572,9 +572,9 @@
 func TestAnswerBy(t *testing.T) {
 	c := testConfig(t)
 	for _, want := range []struct{ longest, answered, flushed time.Duration }{{6000, 3500, 3650}, {2500, 3000, 3150}, {600, 1100, 1250}, {120, 780, 810}} {
-		c.Types[0].Expiry = float64(want.longest)
+		c.Types[0].MaxExpiry = float64(want.longest)
 		c.Types = c.Types[:1]
-		if answered, flushed := AnswerBy(c); answered != want.answered*time.Millisecond || flushed != want.flushed*time.Millisecond {
+		if answered, flushed := ShutdownDeadlines(c); answered != want.answered*time.Millisecond || flushed != want.flushed*time.Millisecond {
 			t.Errorf("answered by %v, flushed by %v where the longest expiry is %d ms", answered, flushed, want.longest)
 		}
 	}
--- a/internal/gateway/drain_nodes.go
+++ b/internal/gateway/drain_nodes.go
@@ -39,12 +39,12 @@
 	for _, n := range e.Nodes {
 		g.drained.nodes[n] = true
 	}
-	changes := router.Listed{Scope: router.Changes}
+	changes := router.NodesListed{Scope: router.ListChanges}
 	for _, n := range slices.Sorted(maps.Keys(g.nodes)) {
 		listed := g.nodes[n]
 		if effective := g.drained.effective(listed); effective != previous.effective(listed) {
 			changes.Entries = append(changes.Entries, effective)
-			if g.pool.List(n, g.addresses[n], listed.Booted); effective.State == router.Draining {
+			if g.pool.SetNode(n, g.addresses[n], listed.StartedAt); effective.State == router.Draining {
 				g.stopSending(n)
 			}
 		}
@@ -62,7 +62,7 @@
 		return
 	}
 	for n := range d.nodes {
-		if g.pool.Open(n) > 0 {
+		if g.pool.InFlight(n) > 0 {
 			return
 		}
 	}
@@ -102,7 +102,7 @@
 	knownUntil *knownUntil
 }
 
-// Leave passes the nodes to drain to the core; it waits while the core's inbox is full.
-func (c coreProxy) Leave(nodes []string, number int, done func(int)) {
+// StopUsing passes the nodes to drain to the core; it waits while the core's inbox is full.
+func (c coreProxy) StopUsing(nodes []string, number int, done func(int)) {
 	c.poster.post(DrainNodes{Nodes: nodes, Number: number, At: c.poster.now(), Done: done})
 }
--- a/internal/gateway/fairness.go
+++ b/internal/gateway/fairness.go
@@ -9,17 +9,17 @@
 
 	"poppymill/internal/clients"
 	"poppymill/internal/fair"
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 	"poppymill/internal/operator"
 )
 
 // Fairness is the block "fair" of the operator's file: how the gateway's capacity is shared among clubs and clients.
 type Fairness struct {
-	On       bool
-	Club     string   // where the club's name is found, as in "header X-Club"; empty: all clients are of one club
-	Client   string   // where the client's name is found: "link", "address" or "header NAME"
-	Ahead    []string // types that are admitted ahead of the others
-	Settings fair.Settings
+	On            bool
+	Club          string   // where the club's name is found, as in "header X-Club"; empty: all clients are of one club
+	Client        string   // where the client's name is found: "link", "address" or "header NAME"
+	PriorityTypes []string // types that are admitted ahead of the others
+	Settings      fair.Settings
 }
 
 // Fields returns the fields of the block, set to their defaults. A file with the block enables fair admission.
@@ -28,21 +28,21 @@
 	s := &f.Settings
 	s.Weights = map[string]float64{}
 	return []operator.Field{
-		operator.Attr("club", operator.Text(&f.Club)), operator.Attr("client", operator.Text(&f.Client)),
-		operator.Attr("ahead", operator.Texts(&f.Ahead)),
-		operator.Attr("clubs", operator.Whole(&s.Clubs, 1, 4096)), operator.Attr("flows", operator.Whole(&s.Flows, 16, 1<<20)),
-		operator.Attr("heavy", operator.Whole(&s.Heavy, 0, 4096)),
-		operator.Attr("change", operator.Span(&s.Change, 100*time.Millisecond, time.Hour)),
-		operator.Attr("queue", operator.Whole(&s.Queue, 1, 1<<20)),
-		operator.Attr("slack", operator.Span(&s.Slack, time.Millisecond, 10*time.Second)),
-		operator.Attr("booked", operator.Share(&s.Booked)),
-		operator.Attr("longest_wait", operator.Span(&s.Longest, 0, 25*time.Second)),
+		operator.Attr("club", operator.String(&f.Club)), operator.Attr("client", operator.String(&f.Client)),
+		operator.Attr("ahead", operator.StringList(&f.PriorityTypes)),
+		operator.Attr("clubs", operator.Int(&s.Clubs, 1, 4096)), operator.Attr("flows", operator.Int(&s.Flows, 16, 1<<20)),
+		operator.Attr("heavy", operator.Int(&s.HeavyClients, 0, 4096)),
+		operator.Attr("change", operator.Duration(&s.ReseedInterval, 100*time.Millisecond, time.Hour)),
+		operator.Attr("queue", operator.Int(&s.Queue, 1, 1<<20)),
+		operator.Attr("slack", operator.Duration(&s.Slack, time.Millisecond, 10*time.Second)),
+		operator.Attr("booked", operator.Share(&s.BookableShare)),
+		operator.Attr("longest_wait", operator.Duration(&s.MaxWait, 0, 25*time.Second)),
 		operator.Block("weight", []string{"club"}, func(labels []string, _ int) ([]operator.Field, error) {
 			if _, defined := s.Weights[labels[0]]; defined {
 				return nil, errors.New("is defined twice")
 			}
 			weight := 0.0
-			return []operator.Field{operator.Must("is", operator.Number(&weight, 0.01, 1000)),
+			return []operator.Field{operator.RequiredAttr("is", operator.Number(&weight, 0.01, 1000)),
 				operator.Check(func() error { s.Weights[labels[0]] = weight; return nil })}, nil
 		}),
 		operator.Check(func() error {
@@ -81,10 +81,10 @@
 
 // fairAdmission is the core's state for fair admission; nil if disabled.
 type fairAdmission struct {
-	gate  *fair.Gate
-	block Fairness
-	timer *timer
-	costs map[string]*meanCost
+	controller *fair.Controller
+	block      Fairness
+	timer      *timer
+	costs      map[string]*meanCost
 }
 
 // meanCost is the mean time that downloads of a type take. It adapts slowly, so that congestion is not mistaken for
@@ -96,19 +96,19 @@
 	m.mean += (took - m.mean) / min(m.n, 2000)
 }
 
-// Share makes the core admit downloads by fair shares.
-func (g *Core) Share(gate *fair.Gate, block Fairness) {
-	g.fair = &fairAdmission{gate: gate, block: block, costs: map[string]*meanCost{}}
+// EnableFairAdmission makes the core admit downloads by fair shares.
+func (g *Core) EnableFairAdmission(controller *fair.Controller, block Fairness) {
+	g.fair = &fairAdmission{controller: controller, block: block, costs: map[string]*meanCost{}}
 }
 
 // FairnessChanged reports that the block "fair" was reloaded.
 type FairnessChanged struct{ Block Fairness }
 
-// askFairGate asks the fair gate to admit an accepted download.
-func (g *Core) askFairGate(d *download, params map[string]string) {
+// requestFairAdmission asks the fair admission controller to admit an accepted download.
+func (g *Core) requestFairAdmission(d *download, params map[string]string) {
 	f := g.fair
-	ask := fair.Ask{At: g.now, ID: d.id, Object: d.object, Part: d.part, Expiry: d.expiry, Ticket: params[ticketParam],
-		Ahead: slices.Contains(f.block.Ahead, d.typ)}
+	ask := fair.Request{At: g.now, ID: d.id, Object: d.object, Part: d.part, Expiry: d.expiry, Ticket: params[ticketParam],
+		Priority: slices.Contains(f.block.PriorityTypes, d.typ)}
 	if p, ok := headerParam(f.block.Club); ok {
 		ask.Club = params[p]
 	}
@@ -121,13 +121,13 @@
 		ask.Client = params["REMOTE_ADDR"]
 	}
 	ask.Cost = g.expectedCost(d.typ)
-	typ := g.config.Types[slices.IndexFunc(g.config.Types, func(t footprint.Type) bool { return t.Name == d.typ })]
+	typ := g.config.Types[slices.IndexFunc(g.config.Types, func(t gatewayconfig.ContentType) bool { return t.Name == d.typ })]
 	ask.Target = min(g.now+typ.Target+typ.Stretch*ask.Cost, d.expiry)
 	d.share = &fairShare{target: ask.Target}
-	g.executeFair(f.gate.Ask(ask))
+	g.executeFair(f.controller.Request(ask))
 }
 
-// fairShare is the state of a download at the fair gate.
+// fairShare is the state of a download at the fair admission controller.
 type fairShare struct {
 	target     float64 // target time, by the core's clock
 	admittedAt float64
@@ -147,7 +147,7 @@
 	return 1
 }
 
-// executeFair executes the actions of the fair gate and sets its timer.
+// executeFair executes the actions of the fair admission controller and sets its timer.
 func (g *Core) executeFair(actions []fair.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -159,14 +159,14 @@
 		case fair.Throttle:
 			if d := g.downloads[a.ID]; d != nil && !d.answered {
 				g.Throttled++
-				g.answer(d, clients.Answer{Status: 503, Wait: a.Wait, Link: ticketLink(a.Ticket)})
+				g.answer(d, clients.Answer{Status: 503, RetryAfter: a.Wait, Link: ticketLink(a.Ticket)})
 			}
 		}
 	}
 	f := g.fair
 	g.timers.remove(f.timer)
 	f.timer = nil
-	if at, ok := f.gate.Next(); ok {
+	if at, ok := f.controller.Next(); ok {
 		f.timer = g.timers.push(timer{at: at})
 	}
 }
@@ -179,19 +179,19 @@
 	return &clients.Link{Ticket: text}
 }
 
-// releaseShare tells the fair gate how an admitted download ended, or that a waiting one is gone.
+// releaseShare tells the fair admission controller how an admitted download ended, or that a waiting one is gone.
 func (g *Core) releaseShare(d *download, status int) {
 	f := g.fair
 	if f == nil {
 		return
 	}
 	if d.share == nil || !d.share.admitted {
-		if status != 503 { // the gate already knows those that it throttled
-			g.executeFair(f.gate.Left(g.now, d.id))
+		if status != 503 { // the controller already knows those that it throttled
+			g.executeFair(f.controller.Disconnected(g.now, d.id))
 		}
 		return
 	}
-	end, cost := fair.Gone, 0.0
+	end, cost := fair.Aborted, 0.0
 	switch status {
 	case 200:
 		if end = fair.InTime; g.now > d.share.target {
@@ -204,21 +204,21 @@
 		}
 		mean.add(g.now - d.share.admittedAt)
 	case 503:
-		end = fair.TurnedAway
+		end = fair.Rejected
 	}
-	g.executeFair(f.gate.Ended(g.now, d.id, end, cost))
+	g.executeFair(f.controller.Ended(g.now, d.id, end, cost))
 }
 
-// Shares describes the state of the fair gate and its heaviest clubs for the log; empty if disabled.
-func (g *Core) Shares() string {
+// FairStats describes the state of the fair admission controller and its heaviest clubs for the log; empty if disabled.
+func (g *Core) FairStats() string {
 	if g.fair == nil {
 		return ""
 	}
-	gate := g.fair.gate
-	open, waiting, limit, stretch, fastest := gate.Stands()
+	controller := g.fair.controller
+	open, waiting, limit, stretch, fastest := controller.Stats()
 	text := fmt.Sprintf("open %d of %.0f, waiting %d, takes %.1f of its cost, %.1f at the quickest; %+v",
-		open, limit, waiting, stretch, fastest, gate.Counters)
-	for _, club := range gate.Heaviest(3) {
+		open, limit, waiting, stretch, fastest, controller.Counters)
+	for _, club := range controller.TopClubs(3) {
 		text += fmt.Sprintf("; %q asked %d admitted %d throttled %d", club.Name, club.Asked, club.Admitted, club.Throttled)
 	}
 	return text
--- a/internal/gateway/links_test.go
+++ b/internal/gateway/links_test.go
@@ -12,7 +12,7 @@
 
 	"poppymill/internal/clients"
 	"poppymill/internal/links"
-	"poppymill/internal/links/drive"
+	linksdriver "poppymill/internal/links/driver"
 	"poppymill/internal/links/keyfile"
 	"poppymill/internal/rehearsal/script"
 	"poppymill/internal/rehearsal/world"
@@ -21,15 +21,15 @@
 const linkBase = "https://media.example"
 
 // newLinkGateway returns a test gateway that requires signed links.
-func newLinkGateway(t *testing.T) (*testGateway, *keyfile.File, *drive.Block) {
-	b := &drive.Block{}
+func newLinkGateway(t *testing.T) (*testGateway, *keyfile.File, *linksdriver.Block) {
+	b := &linksdriver.Block{}
 	b.Fields() // sets the defaults
 	dir := t.TempDir()
-	b.Keys, b.Store, b.Settings.Base, b.Settings.Stored =
+	b.Keys, b.Store, b.Settings.Base, b.Settings.HasStore =
 		filepath.Join(dir, "keys.hcl"), filepath.Join(dir, "spent.db"), linkBase, true
 	f := &keyfile.File{}
 	for id, state := range map[string]links.State{"now": links.Signing, "next": links.Upcoming} {
-		k, err := keyfile.New(id, "club", "EdDSA", state)
+		k, err := keyfile.GenerateKey(id, "club", "EdDSA", state)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,7 +47,7 @@
 	s.requests++
 	id := fmt.Sprintf("%016x", s.requests)
 	s.mu.Unlock()
-	r, err := clients.Get(context.Background(), s.address, map[string]string{"SCRIPT_NAME": "/invoke/" + typ,
+	r, err := clients.Do(context.Background(), s.address, map[string]string{"SCRIPT_NAME": "/invoke/" + typ,
 		"HTTP_X_JOB_ID": id, "HTTP_X_ALLOW_MS": "2400", "HTTP_X_ITEM": object, "HTTP_X_N": part, "HTTP_X_SHARD": "7",
 		"REMOTE_ADDR": "127.0.0.1", "QUERY_STRING": "URISigningPackage=" + token}, map[bool][]byte{true: []byte("x")}[typ == "renewal"])
 	if err != nil {
@@ -59,7 +59,7 @@
 // issue signs a token with the signing key of a key file.
 func issue(t *testing.T, f *keyfile.File, c links.Claims) string {
 	t.Helper()
-	r, err := links.NewRing(f.Keys, nil)
+	r, err := links.NewKeySet(f.Keys, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 
 	// A token that ends within its renewal time is answered with a successor; a token with more time left is not.
 	renewable := c
-	renewable.Expires, renewable.Renew, renewable.Transport = now+100, 60, 1
+	renewable.Expires, renewable.RenewSeconds, renewable.Transport = now+100, 60, 1
 	later := issue(t, f, renewable)
 	if r := s.getWithToken(later, "pages", object, "2"); r.Status != 200 || r.Fields["Set-Cookie"] != "" {
 		t.Errorf("token that ends later: status %d, %v", r.Status, r.Fields)
@@ -119,7 +119,7 @@
 	w := links.Claims{ID: "w", Issued: now, Expires: now + 100, Write: true, Critical: links.CriticalWrite,
 		URI: links.Hash(links.URI(linkBase, "renewal", object, 0))}
 	token := issue(t, f, w)
-	s.world.Do(func(w *world.World) { w.Happen(script.Event{Do: "slow", On: "core", Factor: 30, For: 400}) })
+	s.world.Do(func(w *world.World) { w.ApplyEvent(script.Event{Kind: "slow", On: "core", Factor: 30, Duration: 400}) })
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	statuses := map[int]int{}
@@ -148,7 +148,7 @@
 		b.Status != 200 {
 		t.Errorf("during a rotation: statuses %d and %d", a.Status, b.Status)
 	}
-	f.Set("now", links.Withdrawn)
+	f.SetState("now", links.Withdrawn)
 	if err := keyfile.Write(b.Keys, f); err != nil {
 		t.Fatal(err)
 	}
@@ -164,7 +164,7 @@
 	}
 	// After a restart the store still knows the spent token.
 	spent := 0
-	store, err := drive.OpenStore(b.Store, now*1000, func(links.Spend) { spent++ })
+	store, err := linksdriver.OpenStore(b.Store, now*1000, func(links.SpentToken) { spent++ })
 	if err != nil || spent != 1 {
 		t.Errorf("%d spent tokens after a restart, %v", spent, err)
 	}
@@ -182,14 +182,14 @@
 	takenBack int
 }
 
-func (s *slowStore) Write(_ links.Spend, done func(error)) { s.done = append(s.done, done) }
-func (s *slowStore) Back(links.Spend)                      { s.takenBack++ }
+func (s *slowStore) Write(_ links.SpentToken, done func(error)) { s.done = append(s.done, done) }
+func (s *slowStore) Remove(links.SpentToken)                    { s.takenBack++ }
 
 // A write must not be sent before its spent token is on disk, or it could run again after a crash. If the disk is slow
 // or fails, the write is throttled, and the token can be used again.
 func TestSpendWrittenBeforeSending(t *testing.T) {
 	secret := []byte(strings.Repeat("s", 32))
-	ring, err := links.NewRing([]links.Key{{ID: "k", Issuer: "club", Algorithm: "HS256", State: links.Signing,
+	keySet, err := links.NewKeySet([]links.Key{{ID: "k", Issuer: "club", Algorithm: "HS256", State: links.Signing,
 		Private: secret, Public: secret}}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -205,7 +205,7 @@
 		{"write fails", func(h *harness, s *slowStore, post func(error)) { post(errors.New("disk full")) }, "503", 0, 1},
 		{"write too slow", func(h *harness, s *slowStore, post func(error)) {
 			h.now += 501
-			h.core.Ring(h.now)
+			h.core.Advance(h.now)
 			post(nil)
 		}, "503", 0, 1},
 		{"client leaves", func(h *harness, s *slowStore, post func(error)) {
@@ -215,16 +215,16 @@
 	} {
 		h, store := newHarness(t), &slowStore{}
 		settings := links.Defaults()
-		settings.Base, settings.Stored = linkBase, true
-		block := drive.Block{On: true, From: "header", Name: "X-Link", Settings: settings}
+		settings.Base, settings.HasStore = linkBase, true
+		block := linksdriver.Block{On: true, From: "header", Name: "X-Link", Settings: settings}
 		var events []any
-		h.core.Guard(links.New(settings, ring, secret, h.now), block, store, func(e any) { events = append(events, e) },
+		h.core.RequireSignedLinks(links.New(settings, keySet, secret, h.now), block, store, func(e any) { events = append(events, e) },
 			func() float64 { return h.now })
 		const object = "00000000000000bb"
-		token, _ := ring.Sign(links.Claims{ID: "w", Issued: h.now / 1000, Expires: h.now/1000 + 100, Write: true,
+		token, _ := keySet.Sign(links.Claims{ID: "w", Issued: h.now / 1000, Expires: h.now/1000 + 100, Write: true,
 			Critical: links.CriticalWrite, URI: links.Hash(links.URI(linkBase, "renewal", object, 0))})
 		request := func(id string, number uint16) {
-			h.core.Handle(Asked{Client: h.clients[0], ID: number, At: h.now, Params: map[string]string{
+			h.core.Handle(RequestReceived{Client: h.clients[0], ID: number, At: h.now, Params: map[string]string{
 				"SCRIPT_NAME": "/invoke/renewal", "HTTP_X_JOB_ID": id, "HTTP_X_ALLOW_MS": "2000", "HTTP_X_ITEM": object,
 				"HTTP_X_N": "0", "HTTP_X_SHARD": "7", "HTTP_X_LINK": token}})
 		}
@@ -248,7 +248,7 @@
 		if request("00000000000000ac", 2); (len(store.done) == 2) != (c.sent == 0) {
 			t.Errorf("%s: second request: %d writes", c.name, len(store.done))
 		}
-		h.core.End(h.now)
+		h.core.Shutdown(h.now)
 		if h.core.Open() != 0 || len(h.core.downloads) != 0 {
 			t.Errorf("%s: %d unanswered, %d left over", c.name, h.core.Open(), len(h.core.downloads))
 		}
--- a/internal/gateway/load_meter.go
+++ b/internal/gateway/load_meter.go
@@ -25,11 +25,11 @@
 	fillWindow         = 2000.0 // short, as batches of purges wait for the rate of fills
 )
 
-func newLoadRing() router.Ring { return router.NewRing(loadWindow, 10) }
+func newLoadWindow() router.Ring { return router.NewRing(loadWindow, 10) }
 
 // Measure starts the measurements and registers a function that is called with them once a second.
 func (g *Core) Measure(report func(load maintenance.Load, fills float64)) {
-	g.meter = &loadMeter{taken: newLoadRing(), fills: router.NewRing(fillWindow, 8), edges: map[string]*hitCounter{},
+	g.meter = &loadMeter{taken: newLoadWindow(), fills: router.NewRing(fillWindow, 8), edges: map[string]*hitCounter{},
 		report: report}
 }
 
@@ -41,17 +41,17 @@
 }
 
 // addPull counts a pull that returned a copy, if the answer tells whether the cache held it.
-func (m *loadMeter) addPull(now float64, node string, note router.Note) {
-	if m == nil || note == router.NotTold {
+func (m *loadMeter) addPull(now float64, node string, note router.AnswerSource) {
+	if m == nil || note == router.SourceUnknown {
 		return
 	}
 	edge := m.edges[node]
 	if edge == nil {
-		edge = &hitCounter{newLoadRing(), newLoadRing()}
+		edge = &hitCounter{newLoadWindow(), newLoadWindow()}
 		m.edges[node] = edge
 	}
 	edge.pulls.Add(now, 1)
-	if note == router.Held || note == router.HeldOld {
+	if note == router.Hit || note == router.StaleHit {
 		edge.hits.Add(now, 1)
 	} else {
 		m.fills.Add(now, 1)
@@ -64,10 +64,10 @@
 		return
 	}
 	m.nextReport = now + loadReportInterval
-	load := maintenance.Load{Rate: m.taken.Sum(now) / (loadWindow / 1000), Boxes: map[string]maintenance.Held{}}
+	load := maintenance.Load{Rate: m.taken.Sum(now) / (loadWindow / 1000), Boxes: map[string]maintenance.PullCounts{}}
 	for name, edge := range m.edges {
 		if pulls := edge.pulls.Sum(now); pulls > 0 {
-			load.Boxes[name] = maintenance.Held{Pulls: pulls, Held: edge.hits.Sum(now)}
+			load.Boxes[name] = maintenance.PullCounts{Pulls: pulls, Hits: edge.hits.Sum(now)}
 		} else {
 			delete(m.edges, name)
 		}
--- a/internal/gateway/prefetch.go
+++ b/internal/gateway/prefetch.go
@@ -7,23 +7,23 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"poppymill/internal/canon"
 	"poppymill/internal/clients"
-	"poppymill/internal/footprint"
+	"poppymill/internal/codec"
+	"poppymill/internal/gatewayconfig"
 	"poppymill/internal/owner"
-	owned "poppymill/internal/owner/drive"
-	"poppymill/internal/owner/place"
+	ownerdriver "poppymill/internal/owner/driver"
+	"poppymill/internal/owner/effectlog"
 	"poppymill/router"
 )
 
-// Ahead asks the core to prefetch into an edge cache the most requested objects for which that cache is the first
+// Prefetch asks the core to prefetch into an edge cache the most requested objects for which that cache is the first
 // choice. Prefetches go through the router like any other download, but clients' downloads have priority. Done is
 // called once, from the core's goroutine, with the number of objects filled and of those that were not.
-type Ahead struct {
-	Node string
-	Most int // number of objects
-	At   float64
-	Done func(filled, refused int)
+type Prefetch struct {
+	Node  string
+	Limit int // number of objects
+	At    float64
+	Done  func(filled, refused int)
 }
 
 // maxPrefetches limits the concurrent downloads of one prefetch.
@@ -33,7 +33,7 @@
 type prefetcher struct {
 	core            *Core
 	node            string
-	pending         []router.Wanted
+	pending         []router.HotObject
 	open            int
 	lastID          uint16
 	filled, refused int
@@ -41,8 +41,8 @@
 }
 
 // prefetch starts the downloads of a prefetch.
-func (g *Core) prefetch(e Ahead) {
-	p := &prefetcher{core: g, node: e.Node, pending: g.router.Hot(e.Node, e.Most), done: e.Done}
+func (g *Core) prefetch(e Prefetch) {
+	p := &prefetcher{core: g, node: e.Node, pending: g.router.HotObjects(e.Node, e.Limit), done: e.Done}
 	p.next()
 }
 
@@ -61,7 +61,7 @@
 			core.prefetches, " ", int64(core.now))))
 		for _, t := range core.config.Types {
 			if t.Name == wanted.Type {
-				d.maxAge, d.expiry = t.Fresh, core.now+t.Expiry
+				d.maxAge, d.expiry = t.MaxAge, core.now+t.MaxExpiry
 			}
 		}
 		if d.expiry == 0 || core.downloads[d.id] != nil {
@@ -92,49 +92,49 @@
 
 // warmHandler executes warming steps by a prefetch at the core. A step counts as not run if the node had no room for
 // any object.
-func warmHandler(p *poster) owned.Hand {
-	return owned.Hand{Type: owner.Safe, Check: func(j owner.Job) error {
-		var w owner.Warming
-		if err := canon.Decode(j.Data, &w); err != nil || w.Node == "" || w.Each < 1 {
+func warmHandler(p *poster) ownerdriver.Handler {
+	return ownerdriver.Handler{Type: owner.Safe, Check: func(j owner.Job) error {
+		var w owner.WarmData
+		if err := codec.Decode(j.Data, &w); err != nil || w.Node == "" || w.Each < 1 {
 			return errors.New("data: names no node to be filled")
 		}
 		return nil
-	}, Do: func(e place.Effect, done func(owner.End)) {
-		var w owner.Warming
-		if canon.Decode(e.Data, &w) != nil {
-			done(owner.Perhaps)
+	}, Do: func(e effectlog.Effect, done func(owner.Outcome)) {
+		var w owner.WarmData
+		if codec.Decode(e.Data, &w) != nil {
+			done(owner.Uncertain)
 			return
 		}
 		select {
-		case p.inbox <- Ahead{Node: w.Node, Most: w.Each, At: p.now(), Done: func(filled, refused int) { done(WarmEnd(filled, refused)) }}:
+		case p.inbox <- Prefetch{Node: w.Node, Limit: w.Each, At: p.now(), Done: func(filled, refused int) { done(WarmResult(filled, refused)) }}:
 		default:
-			done(owner.NeverRan)
+			done(owner.NotRun)
 		}
 	}}
 }
 
-// WarmEnd returns how a warming step ended, from the number of objects filled and of those that found no room.
-func WarmEnd(filled, refused int) owner.End {
+// WarmResult returns how a warming step ended, from the number of objects filled and of those that found no room.
+func WarmResult(filled, refused int) owner.Outcome {
 	if filled == 0 && refused > 0 {
-		return owner.NeverRan
+		return owner.NotRun
 	}
 	return owner.Ran
 }
 
-// ColdFor returns for how long an edge cache is still cold, in ms; 0 for other nodes.
-func ColdFor(c *footprint.Config, n router.Entry, now float64) float64 {
-	kinds, _ := c.Footprint["kinds"].([]any)
+// ColdRemaining returns for how long an edge cache is still cold, in ms; 0 for other nodes.
+func ColdRemaining(c *gatewayconfig.Config, n router.Entry, now float64) float64 {
+	kinds, _ := c.RouterSettings["kinds"].([]any)
 	for _, name := range []string{"parent kind", "origin kind"} {
-		if i, ok := c.Footprint[name].(float64); ok && slices.Index(kinds, any(n.Kind)) == int(i) {
+		if i, ok := c.RouterSettings[name].(float64); ok && slices.Index(kinds, any(n.Kind)) == int(i) {
 			return 0
 		}
 	}
-	cold, _ := c.Footprint["cold time"].(float64)
-	if n.Booted <= 0 {
+	cold, _ := c.RouterSettings["cold time"].(float64)
+	if n.StartedAt <= 0 {
 		return 0
 	}
-	return n.Booted + cold - now
+	return n.StartedAt + cold - now
 }
 
-// Boots registers a function that is called for each running node in a node list.
-func (g *Core) Boots(notify func(router.Entry)) { g.nodeListed = notify }
+// OnNodeListed registers a function that is called for each running node in a node list.
+func (g *Core) OnNodeListed(notify func(router.Entry)) { g.nodeListed = notify }
--- a/internal/gateway/purge_bounds_test.go
+++ b/internal/gateway/purge_bounds_test.go
@@ -16,12 +16,12 @@
 // delay, no client gets a copy older than that either. Copies that are young enough are used. A purge that only marks
 // copies as stale lets an older copy through if the first pull found no newer one.
 func TestPurgeBounds(t *testing.T) {
-	limits := purges.Limits{Delay: 4000, Skew: 100, Batch: 1, Held: 1000}
+	limits := purges.Limits{Delay: 4000, Skew: 100, Batch: 1, MaxBounds: 1000}
 	answered, unanswered, blind, stale := 0, 0, 0, 0
 	for seed := range int64(30) {
 		r, h := rand.New(rand.NewSource(seed)), newHarness(t)
 		known, clockAhead := h.now, 0.0 // clockAhead: how far the clock is ahead of the events' times, as after a freeze
-		h.core.Purges("amber", limits, true, func() float64 { return known }, func() float64 { return h.now + clockAhead })
+		h.core.EnablePurges("amber", limits, true, func() float64 { return known }, func() float64 { return h.now + clockAhead })
 		hard, soft := map[string]float64{}, map[string]float64{}
 		for range 1500 {
 			var alive []*fakeWire
@@ -55,8 +55,8 @@
 				before := len(req.client.answers[req.number])
 				body := buffer.NewChain(h.buffers)
 				body.Append([]byte("body"))
-				reply := caches.Reply{Tag: id, Word: "DONE", Body: body, Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f,gauges=util:0.5", created)}
-				h.core.Handle(caches.Answered{Wire: w, Reply: reply, At: h.now})
+				reply := caches.Reply{ID: id, Word: "DONE", Body: body, Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f,gauges=util:0.5", created)}
+				h.core.Handle(caches.Replied{Wire: w, Reply: reply, At: h.now})
 				if got := req.client.answers[req.number]; len(got) == before || got[before].Status != 200 {
 					unanswered++
 					continue
@@ -96,11 +96,11 @@
 				clockAhead = 5000 * r.Float64()
 			default:
 				h.now += r.ExpFloat64() * 60
-				h.core.Ring(h.now)
+				h.core.Advance(h.now)
 			}
 		}
 		h.now += 10_000
-		h.core.Ring(h.now)
+		h.core.Advance(h.now)
 		for _, f := range h.faults {
 			t.Errorf("seed %d: %s", seed, f)
 		}
@@ -114,15 +114,15 @@
 // all the same.
 func TestManyMarks(t *testing.T) {
 	h := newHarness(t)
-	h.core.Purges("amber", purges.DefaultLimits(), false, func() float64 { return 0 }, func() float64 { return h.now })
+	h.core.EnablePurges("amber", purges.DefaultLimits(), false, func() float64 { return 0 }, func() float64 { return h.now })
 	marks := make([]purges.Mark, 8000)
 	for i := range marks {
 		marks[i] = purges.Mark{Object: fmt.Sprintf("%016x", i), At: h.now}
 	}
 	done := false
 	h.core.Handle(ApplyMarks{Marks: marks, Index: 1, At: h.now, Done: func(uint64) { done = true }})
-	if !done || h.core.purges.view.Shelf.Len() != 8000 {
-		t.Errorf("done %t, %d held", done, h.core.purges.view.Shelf.Len())
+	if !done || h.core.purges.view.Bounds.Len() != 8000 {
+		t.Errorf("done %t, %d held", done, h.core.purges.view.Bounds.Len())
 	}
 	id, sent := h.sendRequest(h.clients[0], "video", 3, 3000), 0
 	for _, w := range h.wires {
@@ -131,12 +131,12 @@
 			w.open = w.open[1:]
 			sent++
 			body := buffer.NewChain(h.buffers)
-			h.core.Handle(caches.Answered{Wire: w, At: h.now, Reply: caches.Reply{Tag: id, Word: "DONE", Body: body,
+			h.core.Handle(caches.Replied{Wire: w, At: h.now, Reply: caches.Reply{ID: id, Word: "DONE", Body: body,
 				Fields: fmt.Sprintf("res=warm,sum=00000000000000ab,t0=%.0f", h.now-1)}})
 		}
 	}
-	if sent == 0 || h.pool.Old == 0 {
-		t.Fatalf("%d pulls, %d answers were too old: nothing was tested", sent, h.pool.Old)
+	if sent == 0 || h.pool.TooOld == 0 {
+		t.Fatalf("%d pulls, %d answers were too old: nothing was tested", sent, h.pool.TooOld)
 	}
 	if req := h.requests[id]; len(req.client.answers[req.number]) > 0 && req.client.answers[req.number][0].Status == 200 {
 		t.Error("answered by a copy from before the purge")
--- a/internal/gateway/quorum_member.go
+++ b/internal/gateway/quorum_member.go
@@ -7,27 +7,27 @@
 	"golang.org/x/sync/errgroup"
 
 	"poppymill/internal/failpoint"
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 	"poppymill/internal/maintenance"
-	machines "poppymill/internal/maintenance/drive"
+	maintenancedriver "poppymill/internal/maintenance/driver"
 	"poppymill/internal/owner"
-	owned "poppymill/internal/owner/drive"
-	purges "poppymill/internal/purges/drive"
-	"poppymill/internal/quorum/drive"
+	ownerdriver "poppymill/internal/owner/driver"
+	purgesdriver "poppymill/internal/purges/driver"
+	quorumdriver "poppymill/internal/quorum/driver"
 	"poppymill/router"
 )
 
 // quorumMember is this gateway's membership in the quorum of gateways, if the operator enables it. It has a loop of its
 // own; the loop that serves downloads neither waits for it nor depends on it.
 type quorumMember struct {
-	council *drive.Council // nil if disabled
+	replica *quorumdriver.Replica // nil if disabled
 	log     logrus.FieldLogger
 	cancel  context.CancelFunc
 }
 
 // newQuorumMember opens the quorum's store and connects the quorum with the core. It does nothing if the operator's file
 // does not enable the quorum.
-func newQuorumMember(o *Settings, c *footprint.Config, core *Core, p *poster,
+func newQuorumMember(o *Settings, c *gatewayconfig.Config, core *Core, p *poster,
 	log logrus.FieldLogger) (*quorumMember, error) {
 	m := &quorumMember{log: log, cancel: func() {}}
 	b := o.Quorum
@@ -35,38 +35,38 @@
 		return m, nil
 	}
 	failpoint.Set(o.Failpoints)
-	zone, _ := c.Footprint["zone"].(string)
-	jobs, handlers := o.Jobs, map[string]owned.Hand{owner.Warm: warmHandler(p), owned.Hold: owned.HoldHand()}
-	jobRunner, err := owned.Open(jobs, b.Store, handlers, log)
+	zone, _ := c.RouterSettings["zone"].(string)
+	jobs, handlers := o.Jobs, map[string]ownerdriver.Handler{owner.KindWarm: warmHandler(p), ownerdriver.KindHold: ownerdriver.HoldHandler()}
+	jobRunner, err := ownerdriver.Open(jobs, b.Store, handlers, log)
 	if err != nil {
 		log.WithError(err).Error("jobs: disabled until a restart: this gateway owns no jobs and runs no effects")
 		jobs.On = false
-		if jobRunner, err = owned.Open(jobs, "", nil, log); err != nil {
+		if jobRunner, err = ownerdriver.Open(jobs, "", nil, log); err != nil {
 			return m, err
 		}
 	}
-	b.Settings.Works = jobs.On
+	b.Settings.RunsOwnedWork = jobs.On
 	if o.Purges.On {
-		b.Settings.Sight = min(o.Purges.Limits.Delay/8, b.Settings.Lease/6)
+		b.Settings.ReadIndexInterval = min(o.Purges.Limits.Delay/8, b.Settings.Lease/6)
 	}
 	proxy := coreProxy{poster: p, knownUntil: &knownUntil{}}
-	proxy.Known(-1)
-	machinePart, purgePart := machines.Open(o.Machines, jobRunner, proxy, log), purges.Open(o.Purges, jobRunner, proxy, log)
-	core.Purges(zone, o.Purges.Held(), o.Purges.On, proxy.knownUntil.at, p.now)
-	if m.council, err = drive.Open(b, c.Name, zone, maxPeerConns(c), drive.Parts{jobRunner, machinePart, purgePart},
+	proxy.SetKnown(-1)
+	maintenanceCoordinator, purgeService := maintenancedriver.Open(o.Machines, jobRunner, proxy, log), purgesdriver.Open(o.Purges, jobRunner, proxy, log)
+	core.EnablePurges(zone, o.Purges.EffectiveLimits(), o.Purges.On, proxy.knownUntil.at, p.now)
+	if m.replica, err = quorumdriver.Open(b, c.Name, zone, maxPeerConns(c), quorumdriver.Subsystems{jobRunner, maintenanceCoordinator, purgeService},
 		log); err == nil && o.Machines.On {
-		core.OnNodesChanged(func(there map[string]bool) { m.council.Post(machines.Nodes{There: there}) })
+		core.OnNodesChanged(func(there map[string]bool) { m.replica.Post(maintenancedriver.ListedNodes{Present: there}) })
 	}
 	if err == nil && (o.Machines.On || o.Purges.On) {
 		core.Measure(func(load maintenance.Load, fills float64) {
-			m.council.Post(load)
-			m.council.Post(purges.Misses{Rate: fills})
+			m.replica.Post(load)
+			m.replica.Post(purgesdriver.Misses{Rate: fills})
 		})
 	}
 	if err == nil && jobs.On && jobs.Limits.WarmRounds > 0 {
-		core.Boots(func(n router.Entry) {
-			if left := ColdFor(c, n, p.now()); left > 0 {
-				m.council.Post(owner.Booted{Node: n.Node, Zone: n.Zone, Start: uint64(n.Booted), Left: left})
+		core.OnNodeListed(func(n router.Entry) {
+			if left := ColdRemaining(c, n, p.now()); left > 0 {
+				m.replica.Post(owner.NodeStarted{Node: n.Node, Zone: n.Zone, Start: uint64(n.StartedAt), ColdFor: left})
 			}
 		})
 	}
@@ -75,14 +75,14 @@
 
 // run takes part in the quorum until leave.
 func (m *quorumMember) run(g *errgroup.Group) {
-	if m.council == nil {
+	if m.replica == nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
-	m.log.WithField("peers", m.council.Address()).Info("quorum: started")
+	m.log.WithField("peers", m.replica.Address()).Info("quorum: started")
 	g.Go(func() error {
-		if err := m.council.Run(ctx); err != nil {
+		if err := m.replica.Run(ctx); err != nil {
 			m.log.WithError(err).Error("quorum: cannot close the store")
 		}
 		return nil
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -11,36 +11,36 @@
 
 	"poppymill/internal/channel"
 	"poppymill/internal/failpoint"
-	"poppymill/internal/footprint"
-	machines "poppymill/internal/maintenance/drive"
-	owned "poppymill/internal/owner/drive"
-	purges "poppymill/internal/purges/drive"
-	agreement "poppymill/internal/quorum/drive"
+	"poppymill/internal/gatewayconfig"
+	maintenancedriver "poppymill/internal/maintenance/driver"
+	ownerdriver "poppymill/internal/owner/driver"
+	purgesdriver "poppymill/internal/purges/driver"
+	quorumdriver "poppymill/internal/quorum/driver"
 )
 
 // Reloads defines when a running gateway reloads its configuration, and how.
 type Reloads struct {
-	Wanted <-chan os.Signal
-	Load   func() (Setup, error)
+	Signals <-chan os.Signal
+	Load    func() (Setup, error)
 }
 
 // Setup is the complete configuration of a gateway: the platform's configuration and the operator's settings.
 type Setup struct {
-	Config   *footprint.Config
+	Config   *gatewayconfig.Config
 	Operator *Settings
 }
 
 // reloader applies the changes of a reloaded configuration. It is not part of the core: downloads are not affected.
 type reloader struct {
 	Reloads
-	running         *footprint.Config // as of the start
+	running         *gatewayconfig.Config // as of the start
 	follower        *channel.Follower
 	log             logrus.FieldLogger
 	linkDriver      *linkDriver
-	quorum          agreement.Block // as of the start
-	jobs            owned.Block     // as of the start
-	machines        machines.Block  // as of the start
-	purges          purges.Block    // as of the start
+	quorum          quorumdriver.Block      // as of the start
+	jobs            ownerdriver.Block       // as of the start
+	machines        maintenancedriver.Block // as of the start
+	purges          purgesdriver.Block      // as of the start
 	operator        atomic.Pointer[Settings]
 	applied, failed atomic.Int64
 }
@@ -52,7 +52,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.Wanted:
+		case <-r.Signals:
 		}
 		s, err := r.Load()
 		if err != nil {
@@ -70,7 +70,7 @@
 		}
 		c := s.Config
 		r.operator.Store(s.Operator)
-		needRestart := r.running.Fixed(c)
+		needRestart := r.running.ChangedFixedFields(c)
 		if points := s.Operator.Failpoints; failpoint.On {
 			failpoint.Set(points)
 			r.log.WithFields(logrus.Fields{"stop": points.Stop, "kill": points.Kill}).Warn("failpoints in force")
@@ -87,7 +87,7 @@
 		if !reflect.DeepEqual(s.Operator.Quorum, r.quorum) {
 			needRestart = append(needRestart, "quorum")
 		}
-		r.follower.Move(channel.Place{Address: c.Channel, Known: c.Known})
+		r.follower.Move(channel.Source{Address: c.Channel, PastEvents: c.Known})
 		r.applied.Add(1)
 		log := r.log.WithField("channel", c.Channel)
 		if len(needRestart) > 0 {
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -18,7 +18,7 @@
 	"poppymill/internal/channel"
 	"poppymill/internal/clients"
 	"poppymill/internal/fair"
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 )
 
 // Times of a shutdown, as the protocol sets them: clients still connect during acceptPeriod, and the last of them may
@@ -29,13 +29,13 @@
 	flushPeriod   = 150 * time.Millisecond
 )
 
-// AnswerBy returns by when all accepted downloads are answered and by when the answers are written, both counted from
-// the start of the shutdown. The flush takes at most a quarter of the longest wait: with short expiries most of that
-// time must remain for the answers, as clients still connect during acceptPeriod.
-func AnswerBy(c *footprint.Config) (answered, flushed time.Duration) {
+// ShutdownDeadlines returns by when all accepted downloads are answered and by when the answers are written, both
+// counted from the start of the shutdown. The flush takes at most a quarter of the longest wait: with short expiries
+// most of that time must remain for the answers, as clients still connect during acceptPeriod.
+func ShutdownDeadlines(c *gatewayconfig.Config) (answered, flushed time.Duration) {
 	longest := 0.0
 	for _, t := range c.Types {
-		longest = max(longest, t.Expiry)
+		longest = max(longest, t.MaxExpiry)
 	}
 	wait := time.Duration(min(longest, maxClientWait) * float64(time.Millisecond))
 	flush := min(flushPeriod, wait/4)
@@ -73,14 +73,14 @@
 
 func (p *poster) post(e any) { p.inbox <- e }
 
-func (p *poster) Asked(c *clients.Conn, id uint16, params map[string]string, body *buffer.Chain, at float64) {
-	p.post(Asked{Client: c, ID: id, Params: params, Body: body, At: at})
+func (p *poster) HandleRequest(c *clients.Conn, id uint16, params map[string]string, body *buffer.Body, at float64) {
+	p.post(RequestReceived{Client: c, ID: id, Params: params, Body: body, At: at})
 }
-func (p *poster) Aborted(c *clients.Conn, id uint16, at float64) {
-	p.post(Aborted{Client: c, ID: id, At: at})
+func (p *poster) HandleAbort(c *clients.Conn, id uint16, at float64) {
+	p.post(RequestAborted{Client: c, ID: id, At: at})
 }
-func (p *poster) Closed(c *clients.Conn, at float64) { p.post(ClientClosed{Client: c, At: at}) }
-func (p *poster) Malformed(err error) {
+func (p *poster) HandleClose(c *clients.Conn, at float64) { p.post(ClientClosed{Client: c, At: at}) }
+func (p *poster) HandleError(err error) {
 	p.warnings.Warn(p.now(), "client connection closed", err)
 }
 
@@ -92,21 +92,21 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	clock := newClock()
-	budget := Share(c)
+	budget := NewBudget(c)
 	if s.Operator.Quorum.On {
 		budget = shareWithQuorum(c)
 	}
 	debug.SetMemoryLimit(int64(budget.Heap))
 	buffers, reads := buffer.NewPool(budget.Bodies), buffer.NewPool(budget.Reads)
 	p := &poster{inbox: make(chan any, inboxCapacity), warnings: &warnLimiter{log: log}, now: clock.now}
-	dialer := &caches.Dialer{Pool: buffers, Reads: reads, Now: clock.now,
-		Connect: time.Duration(c.Connect * float64(time.Millisecond)), Post: func(e caches.Event) { p.post(e) }}
-	pool := caches.NewPool(caches.Limits{Streams: c.Streams, Idle: c.Idle, Conns: budget.Caches,
-		Reports: c.Reports, Checks: c.Probing, Answer: c.Connect, Names: footprint.Report}, dialer.Dial)
+	dialer := &caches.Dialer{Bodies: buffers, Reads: reads, Now: clock.now,
+		ConnectTimeout: time.Duration(c.ConnectTimeout * float64(time.Millisecond)), Emit: func(e caches.Event) { p.post(e) }}
+	pool := caches.NewPool(caches.Limits{PullsPerConn: c.StreamsPerConn, IdleTimeout: c.IdleTimeout, Conns: budget.Caches,
+		RequestLoad: c.Reports, HealthChecks: c.Probing, AnswerTimeout: c.ConnectTimeout, GaugeName: gatewayconfig.LoadValueName}, dialer.Dial)
 	core := NewCore(c, pool, log, clock.now())
 	if f := s.Operator.Fair; f.On {
-		f.Settings.Longest = min(f.Settings.Longest, c.Advice)
-		core.Share(fair.New(f.Settings, c.Seed, clock.now()), f)
+		f.Settings.MaxWait = min(f.Settings.MaxWait, c.MaxRetryAfter)
+		core.EnableFairAdmission(fair.New(f.Settings, c.Seed, clock.now()), f)
 	}
 	driver, err := newLinkDriver(s.Operator.Links, core, p, clock)
 	if err != nil {
@@ -118,12 +118,12 @@
 		listener.Close()
 		return err
 	}
-	server := &clients.Server{Pool: buffers, Reads: reads, Handler: p, Now: clock.now, Most: budget.Clients,
-		Keep: append(s.Operator.Links.Params(), s.Operator.Fair.Params()...)}
+	server := &clients.Server{Bodies: buffers, ReadBuffers: reads, Handler: p, Now: clock.now, MaxConns: budget.Clients,
+		ExtraParams: append(s.Operator.Links.Params(), s.Operator.Fair.Params()...)}
 	channelWarnings := &warnLimiter{log: log}
 	follower := &channel.Follower{Address: c.Channel, Cursor: c.Cursor,
-		Tell:    func(n channel.News) { p.post(Told{News: n, At: clock.now()}) },
-		Trouble: func(err error) { channelWarnings.Warn(clock.now(), "command channel error", err) }}
+		OnEvent: func(n channel.Event) { p.post(ChannelEvent{News: n, At: clock.now()}) },
+		OnError: func(err error) { channelWarnings.Warn(clock.now(), "command channel error", err) }}
 
 	var g errgroup.Group
 	serviceCtx, stopServices := context.WithCancel(context.Background())
@@ -141,15 +141,15 @@
 	log.WithFields(logrus.Fields{"name": c.Name, "listen": c.Listen, "nodes": len(core.addresses)}).Info("ready")
 	flushed := l.run(ctx)
 	listener.Close()
-	core.End(clock.now())
+	core.Shutdown(clock.now())
 	member.leave()
 	stopServices()
 	pool.Close()
-	server.Shut()
+	server.DrainAndDiscard()
 	ended := make(chan error, 1)
 	go func() {
 		err := g.Wait()
-		dialer.Live.Wait()
+		dialer.Wires.Wait()
 		ended <- err
 	}()
 	flushDeadline := time.After(time.Until(flushed)) // for slow readers, however early everything was answered
@@ -158,12 +158,12 @@
 		case e := <-p.inbox:
 			core.Handle(e)
 		case <-flushDeadline:
-			server.Cut()
+			server.CloseAll()
 		case err = <-ended:
 			finished = true
 		}
 	}
-	assert.That(buffers.Out() == 0 && reads.Out() == 0, "all buffers are returned")
+	assert.That(buffers.InUse() == 0 && reads.InUse() == 0, "all buffers are returned")
 	l.logCounters()
 	return err
 }
@@ -202,16 +202,16 @@
 		default:
 		}
 		now := l.clock.now()
-		l.core.Ring(now)
+		l.core.Advance(now)
 		if now >= l.lastWatch+watchInterval {
 			l.lastWatch = now
-			l.core.Watch(now)
+			l.core.RunChecks(now)
 		}
 		if now >= l.lastTidy+tidyInterval {
 			l.lastTidy = now
-			l.pool.Tidy(now)
+			l.pool.CloseIdle(now)
 			l.core.SetWallClock(now, float64(time.Now().UnixMicro())/1000)
-			if every := l.reload.operator.Load().Log.Every; now >= l.lastCount+cmp.Or(every, countersInterval) {
+			if every := l.reload.operator.Load().Log.CountersEvery; now >= l.lastCount+cmp.Or(every, countersInterval) {
 				l.lastCount = now
 				l.buffers.Trim()
 				l.reads.Trim()
@@ -241,15 +241,15 @@
 		case <-stop:
 			l.log.Info("ending")
 			stop = nil
-			l.core.Leave()
+			l.core.StartShutdown()
 			l.member.leave()
-			answer, flush := AnswerBy(l.core.config)
+			answer, flush := ShutdownDeadlines(l.core.config)
 			flushed = time.Now().Add(flush)
 			stopAccepting, answerDeadline = time.After(acceptPeriod), time.After(answer)
 		case <-stopAccepting:
 			stopAccepting = nil
 			l.listener.Close()
-			l.server.End()
+			l.server.Drain()
 		case <-answerDeadline:
 			return flushed
 		}
@@ -259,7 +259,7 @@
 // logCounters writes the counters to the log, and checks that the router's view of the pulls matches the sockets.
 func (l *loop) logCounters() {
 	c, p := l.core.Counters, l.pool
-	text, drifts := l.core.Drift()
+	text, drifts := l.core.RouterDrift()
 	assert.That(!drifts, "the router counts exactly the pulls that are open")
 	if text != "" {
 		l.log.WithField("nodes", text).Info("beliefs")
@@ -267,7 +267,7 @@
 	if stats := l.core.LinkStats(); stats != "" {
 		l.log.WithField("by reason", stats).Info("links")
 	}
-	if shares := l.core.Shares(); shares != "" {
+	if shares := l.core.FairStats(); shares != "" {
 		l.log.WithField("shares", shares).Info("fair door")
 	}
 	l.log.WithFields(logrus.Fields{
@@ -275,10 +275,10 @@
 		"kept": c.Kept, "throttled": c.Throttled,
 		"abandoned": c.Abandoned, "left": c.Left, "refused": c.Refused, "turned": c.Turned, "overdue": c.Overdue,
 		"panics": c.Panics, "pulls": c.Pulls, "probes": c.Probes, "open": l.core.Open(),
-		"conns": p.Conns(), "dialled": p.Dialled, "malformed": p.Malformed, "short": p.Short, "late": p.Late, "mute": p.Mute,
-		"old":     p.Old,
-		"buffers": l.buffers.Out(), "broken": assert.Broken(),
-		"shed":    l.server.Shed.Load(),
-		"reloads": l.reload.applied.Load(), "misread": l.reload.failed.Load(), "passed": l.reload.follower.Passed.Load(),
+		"conns": p.Conns(), "dialled": p.Dialed, "malformed": p.Malformed, "short": p.Exhausted, "late": p.LateReplies, "mute": p.Stalled,
+		"old":     p.TooOld,
+		"buffers": l.buffers.InUse(), "broken": assert.Broken(),
+		"shed":    l.server.ClosedEarly.Load(),
+		"reloads": l.reload.applied.Load(), "misread": l.reload.failed.Load(), "passed": l.reload.follower.Skipped.Load(),
 	}).Info("counters")
 }
--- a/internal/gateway/serve_test.go
+++ b/internal/gateway/serve_test.go
@@ -14,7 +14,7 @@
 
 	"poppymill/internal/assert"
 	"poppymill/internal/clients"
-	"poppymill/internal/footprint"
+	"poppymill/internal/gatewayconfig"
 	"poppymill/internal/rehearsal/script"
 	"poppymill/internal/rehearsal/sockets"
 	"poppymill/internal/rehearsal/world"
@@ -69,7 +69,7 @@
 	address     string
 	stop        context.CancelFunc
 	hup         chan os.Signal
-	load        func() (*footprint.Config, error) // called by the gateway on a reload
+	load        func() (*gatewayconfig.Config, error) // called by the gateway on a reload
 	ended       chan error
 	stopWorld   func()
 	requests    int // sent so far
@@ -105,25 +105,25 @@
 		<-worldEnded
 	}
 	s.address = s.world.Gateways()[0]
-	s.load = func() (*footprint.Config, error) {
+	s.load = func() (*gatewayconfig.Config, error) {
 		text, err := s.world.Configuration(0)
 		if err != nil {
 			return nil, err
 		}
-		return footprint.Parse(text, os.Getenv)
+		return gatewayconfig.Parse(text, os.Getenv)
 	}
 	c, err := s.load()
 	must(err)
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
 	go func() {
-		s.ended <- Serve(ctx, Setup{Config: c, Operator: settings}, Reloads{Wanted: s.hup, Load: func() (Setup, error) {
+		s.ended <- Serve(ctx, Setup{Config: c, Operator: settings}, Reloads{Signals: s.hup, Load: func() (Setup, error) {
 			c, err := s.load()
 			return Setup{Config: c, Operator: settings}, err
 		}}, discardLogger())
 	}()
 	for i := 0; ; i++ {
-		if r, err := clients.Get(ctx, s.address, map[string]string{"SCRIPT_NAME": healthPath}, nil); err == nil &&
+		if r, err := clients.Do(ctx, s.address, map[string]string{"SCRIPT_NAME": healthPath}, nil); err == nil &&
 			r.Status == 200 {
 			return s
 		} else if i == 1000 {
@@ -152,7 +152,7 @@
 	if ownCopy != "" {
 		params["HTTP_X_MINE"] = ownCopy
 	}
-	r, err := clients.Get(context.Background(), s.address, params, []byte(body))
+	r, err := clients.Do(context.Background(), s.address, params, []byte(body))
 	if err != nil {
 		s.t.Errorf("%s %s: %v", typ, object, err)
 	}
@@ -206,7 +206,7 @@
 		return s.isCurrent(r, object)
 	})
 	timesRun := func(id string) (n int) {
-		s.world.Do(func(w *world.World) { n = w.Ran(id) })
+		s.world.Do(func(w *world.World) { n = w.WriteRuns(id) })
 		return n
 	}
 	if r, id := s.get("renewal", object, "one write", ""); r.Status != 200 || !strings.Contains(string(r.Body), id) ||
@@ -215,7 +215,9 @@
 	}
 
 	// A write whose connection breaks may have run, so it is abandoned, neither sent again nor throttled.
-	s.world.Do(func(w *world.World) { w.Happen(script.Event{Do: "cut", On: "edge", Share: 1, Count: 2, For: 300}) })
+	s.world.Do(func(w *world.World) {
+		w.ApplyEvent(script.Event{Kind: "cut", On: "edge", Share: 1, Count: 2, Duration: 300})
+	})
 	sent := edgePulls()
 	if r, id := s.get("renewal", object, "one write", ""); r.Status != 500 || edgePulls() != sent+1 || timesRun(id) != 1 {
 		t.Errorf("write on a broken connection: status %d, sent %d times, ran %d times",
@@ -251,7 +253,7 @@
 	}()
 	until(t, "a download is open", func() bool { return s.count(s.pullsByType, "pages") > 0 })
 	s.stop()
-	if r, err := clients.Get(context.Background(), s.address, map[string]string{"SCRIPT_NAME": "/invoke/video",
+	if r, err := clients.Do(context.Background(), s.address, map[string]string{"SCRIPT_NAME": "/invoke/video",
 		"HTTP_X_JOB_ID": "ffffffffffffffff", "HTTP_X_ALLOW_MS": "2400", "HTTP_X_ITEM": object, "HTTP_X_N": "2",
 		"HTTP_X_SHARD": "7"}, nil); err != nil || r.Status != 200 {
 		t.Errorf("request during the shutdown: status %+v, %v", r.Status, err)
@@ -316,9 +318,9 @@
 	}()
 	until(t, "a download is open", func() bool { return s.count(s.pullsByType, "pages") == 1 })
 	good, loads := s.load, make(chan bool, 9)
-	s.load = func() (*footprint.Config, error) {
+	s.load = func() (*gatewayconfig.Config, error) {
 		loads <- true
-		return footprint.Parse([]byte("{"), os.Getenv)
+		return gatewayconfig.Parse([]byte("{"), os.Getenv)
 	}
 	s.hup <- syscall.SIGHUP
 	<-loads
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -4,25 +4,25 @@
 	"fmt"
 
 	"poppymill/internal/failpoint"
-	"poppymill/internal/links/drive"
-	machines "poppymill/internal/maintenance/drive"
+	linksdriver "poppymill/internal/links/driver"
+	maintenancedriver "poppymill/internal/maintenance/driver"
 	"poppymill/internal/operator"
-	owned "poppymill/internal/owner/drive"
-	purges "poppymill/internal/purges/drive"
-	agreement "poppymill/internal/quorum/drive"
+	ownerdriver "poppymill/internal/owner/driver"
+	purgesdriver "poppymill/internal/purges/driver"
+	quorumdriver "poppymill/internal/quorum/driver"
 )
 
 // Settings are the contents of the operator's file of a gateway. The zero value is that of no file.
 type Settings struct {
 	Log        operator.Log
-	Links      drive.Block
+	Links      linksdriver.Block
 	Fair       Fairness
-	Quorum     agreement.Block
-	Jobs       owned.Block
+	Quorum     quorumdriver.Block
+	Jobs       ownerdriver.Block
 	Failpoints failpoint.Block
 
-	Machines machines.Block
-	Purges   purges.Block
+	Machines maintenancedriver.Block
+	Purges   purgesdriver.Block
 }
 
 // LoadSettings reads an operator's file. An empty path returns the zero Settings.
@@ -31,14 +31,14 @@
 	if path == "" {
 		return s, nil
 	}
-	text, err := operator.Read(path)
+	text, err := operator.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	if err := operator.Parse(text, path, operator.One("log", s.Log.Fields), operator.One("links", s.Links.Fields),
-		operator.One("fair", s.Fair.Fields), operator.One("quorum", s.Quorum.Fields),
-		operator.One("jobs", s.Jobs.Fields), operator.One("failpoints", s.Failpoints.Fields),
-		operator.One("machines", s.Machines.Fields), operator.One("purges", s.Purges.Fields)); err != nil {
+	if err := operator.Parse(text, path, operator.SingleBlock("log", s.Log.Fields), operator.SingleBlock("links", s.Links.Fields),
+		operator.SingleBlock("fair", s.Fair.Fields), operator.SingleBlock("quorum", s.Quorum.Fields),
+		operator.SingleBlock("jobs", s.Jobs.Fields), operator.SingleBlock("failpoints", s.Failpoints.Fields),
+		operator.SingleBlock("machines", s.Machines.Fields), operator.SingleBlock("purges", s.Purges.Fields)); err != nil {
 		return nil, err
 	}
 	if s.Jobs.On && !s.Quorum.On {
--- a/internal/footprint/mapping.go
+++ b/internal/gatewayconfig/mapping.go
@@ -1,6 +1,6 @@
-// Package footprint reads the configuration of a gateway, and maps its settings and the values of load reports to the names that
+// Package gatewayconfig reads the configuration of a gateway, and maps its settings and the values of load reports to the names that
 // the router reads.
-package footprint
+package gatewayconfig
 
 import (
 	"encoding/json"
@@ -39,12 +39,12 @@
 }
 
 // RouterSettings decodes the settings of a configuration and returns those that the router reads, under its names.
-func RouterSettings(text []byte) (router.Footprint, error) {
+func RouterSettings(text []byte) (router.Settings, error) {
 	var decoded map[string]any
 	if err := json.Unmarshal(text, &decoded); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	mapped := router.Footprint{}
+	mapped := router.Settings{}
 	for _, setting := range settingNames {
 		var v any = decoded
 		for name := range strings.SplitSeq(setting[0], ".") {
@@ -90,8 +90,8 @@
 	"qps": "fulfilled", "eps": "failed",
 }
 
-// Report returns the router's name for a value in a load report; an unknown name is returned as it is.
-func Report(name string) string {
+// LoadValueName returns the router's name for a value in a load report; an unknown name is returned as it is.
+func LoadValueName(name string) string {
 	if routerName, ok := reportNames[name]; ok {
 		return routerName
 	}
--- a/internal/links/drive/drive.go
+++ b/internal/links/driver/driver.go
@@ -1,6 +1,6 @@
-// Package drive connects internal/links to its surroundings: the operator's links block, the place of the token in a request,
+// Package driver connects internal/links to its surroundings: the operator's links block, the place of the token in a request,
 // the store of spent tokens, and the watch on the key file. It makes no decisions about tokens.
-package drive
+package driver
 
 import (
 	"context"
@@ -33,18 +33,18 @@
 	s := &b.Settings
 	memory := float64(s.Memory)
 	return []operator.Field{
-		operator.Must("keys", operator.Text(&b.Keys)), operator.Must("base", operator.Text(&s.Base)),
+		operator.RequiredAttr("keys", operator.String(&b.Keys)), operator.RequiredAttr("base", operator.String(&s.Base)),
 		operator.Attr("form", operator.OneOf(&s.Form, "uri-signing", "compact")),
-		operator.Attr("from", operator.OneOf(&b.From, "query", "header", "cookie")), operator.Attr("name", operator.Text(&b.Name)),
-		operator.Attr("audience", operator.Texts(&s.Audience)), operator.Attr("skew", operator.Span(&s.Skew, 0, time.Minute)),
-		operator.Attr("longest", operator.Span(&s.Longest, time.Second, 30*24*time.Hour)),
-		operator.Attr("chain", operator.Span(&s.Chain, time.Second, 30*24*time.Hour)),
-		operator.Attr("renew_within", operator.Span(&s.RenewIn, 0, 24*time.Hour)), operator.Attr("reuse", operator.Whole(&s.Reuse, 0, 60_000)),
-		operator.Attr("memory", operator.Size(&memory, 1<<12, 1<<32)), operator.Attr("checks", operator.Number(&s.Checks, 1, 1e6)),
-		operator.Attr("all_checks", operator.Number(&s.AllChecks, 1, 1e6)), operator.Attr("spenders", operator.Texts(&s.Spenders)),
-		operator.Attr("store", operator.Text(&b.Store)), operator.Attr("boxes", operator.Span(&s.Boxes, time.Second, time.Hour)),
+		operator.Attr("from", operator.OneOf(&b.From, "query", "header", "cookie")), operator.Attr("name", operator.String(&b.Name)),
+		operator.Attr("audience", operator.StringList(&s.Audience)), operator.Attr("skew", operator.Duration(&s.Skew, 0, time.Minute)),
+		operator.Attr("longest", operator.Duration(&s.MaxLifetime, time.Second, 30*24*time.Hour)),
+		operator.Attr("chain", operator.Duration(&s.MaxChainAge, time.Second, 30*24*time.Hour)),
+		operator.Attr("renew_within", operator.Duration(&s.RenewWithin, 0, 24*time.Hour)), operator.Attr("reuse", operator.Int(&s.MaxReads, 0, 60_000)),
+		operator.Attr("memory", operator.Size(&memory, 1<<12, 1<<32)), operator.Attr("checks", operator.Number(&s.ChecksPerSource, 1, 1e6)),
+		operator.Attr("all_checks", operator.Number(&s.ChecksTotal, 1, 1e6)), operator.Attr("spenders", operator.StringList(&s.Spenders)),
+		operator.Attr("store", operator.String(&b.Store)), operator.Attr("boxes", operator.Duration(&s.NodeLinkLifetime, time.Second, time.Hour)),
 		operator.Check(func() error {
-			s.Memory, s.Stored = int(memory), b.Store != ""
+			s.Memory, s.HasStore = int(memory), b.Store != ""
 			if strings.HasSuffix(s.Base, "/") {
 				return errors.New("base: ends in a slash")
 			}
@@ -56,10 +56,10 @@
 	}
 }
 
-// Ring reads the block's key file.
-func (b *Block) Ring() (*links.Ring, error) {
-	_, ring, err := keyfile.Read(b.Keys)
-	return ring, err
+// ReadKeys reads the block's key file.
+func (b *Block) ReadKeys() (*links.KeySet, error) {
+	_, keySet, err := keyfile.Read(b.Keys)
+	return keySet, err
 }
 
 // Params returns the names of the request fields that are needed to find a token and its client; none if links are off.
--- a/internal/links/keyfile/keyfile.go
+++ b/internal/links/keyfile/keyfile.go
@@ -21,12 +21,12 @@
 
 // File is the content of a key file.
 type File struct {
-	Keys   []links.Key
-	Secret []byte // encrypts client addresses in tokens (address_secret); nil: none
+	Keys          []links.Key
+	AddressSecret []byte // encrypts client addresses in tokens (address_secret); nil: none
 }
 
 // Read reads and validates a key file.
-func Read(path string) (*File, *links.Ring, error) {
+func Read(path string) (*File, *links.KeySet, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, nil, err
@@ -34,7 +34,7 @@
 	if info.Mode().Perm()&0o077 != 0 {
 		return nil, nil, fmt.Errorf("%s: accessible to users other than its owner (%v): chmod 600", path, info.Mode().Perm())
 	}
-	text, err := operator.Read(path)
+	text, err := operator.ReadFile(path)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -42,11 +42,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	ring, err := links.NewRing(f.Keys, f.Secret)
+	keySet, err := links.NewKeySet(f.Keys, f.AddressSecret)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return f, ring, nil
+	return f, keySet, nil
 }
 
 // parse parses the HCL of a key file. It does not validate the keys as a set.
@@ -54,16 +54,16 @@
 	f := &File{}
 	var version int
 	var secret string
-	err := operator.Parse(text, path, operator.Must("version", operator.Whole(&version, 1, 1)),
-		operator.Attr("address_secret", operator.Text(&secret)),
+	err := operator.Parse(text, path, operator.RequiredAttr("version", operator.Int(&version, 1, 1)),
+		operator.Attr("address_secret", operator.String(&secret)),
 		operator.Block("key", []string{"id"}, func(labels []string, _ int) ([]operator.Field, error) {
 			k := links.Key{ID: labels[0]}
 			var state, private, public, shared string
-			return []operator.Field{operator.Must("issuer", operator.Text(&k.Issuer)),
-				operator.Must("algorithm", operator.OneOf(&k.Algorithm, "ES256", "EdDSA", "HS256")),
-				operator.Must("state", operator.OneOf(&state, "upcoming", "signing", "verifying", "retired", "withdrawn")),
-				operator.Attr("private", operator.Text(&private)), operator.Attr("public", operator.Text(&public)),
-				operator.Attr("secret", operator.Text(&shared)), operator.Check(func() (err error) {
+			return []operator.Field{operator.RequiredAttr("issuer", operator.String(&k.Issuer)),
+				operator.RequiredAttr("algorithm", operator.OneOf(&k.Algorithm, "ES256", "EdDSA", "HS256")),
+				operator.RequiredAttr("state", operator.OneOf(&state, "upcoming", "signing", "verifying", "retired", "withdrawn")),
+				operator.Attr("private", operator.String(&private)), operator.Attr("public", operator.String(&public)),
+				operator.Attr("secret", operator.String(&shared)), operator.Check(func() (err error) {
 					if k.State, err = links.ParseState(state); err == nil {
 						err = parseMaterial(&k, private, public, shared)
 					}
@@ -72,7 +72,7 @@
 				})}, nil
 		}))
 	if err == nil && secret != "" {
-		if f.Secret, err = base64.StdEncoding.DecodeString(secret); err != nil {
+		if f.AddressSecret, err = base64.StdEncoding.DecodeString(secret); err != nil {
 			err = fmt.Errorf("%s: address_secret: is no base64", path)
 		}
 	}
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// New generates a key for an algorithm.
-func New(id, issuer, algorithm string, state links.State) (k links.Key, err error) {
+// GenerateKey generates a key for an algorithm.
+func GenerateKey(id, issuer, algorithm string, state links.State) (k links.Key, err error) {
 	k = links.Key{ID: id, Issuer: issuer, Algorithm: algorithm, State: state}
 	switch algorithm {
 	case "ES256":
@@ -153,13 +153,13 @@
 // Write replaces a key file atomically, and syncs it before the rename: after a crash either the old or the new file is there.
 // Invalid keys are not written.
 func Write(path string, f *File) error {
-	if _, err := links.NewRing(f.Keys, f.Secret); err != nil {
+	if _, err := links.NewKeySet(f.Keys, f.AddressSecret); err != nil {
 		return err
 	}
 	var b strings.Builder
 	b.WriteString("# Keys of signed links. Whoever reads this can issue them.\nversion = 1\n")
-	if f.Secret != nil {
-		fmt.Fprintf(&b, "address_secret = %q\n", base64.StdEncoding.EncodeToString(f.Secret))
+	if f.AddressSecret != nil {
+		fmt.Fprintf(&b, "address_secret = %q\n", base64.StdEncoding.EncodeToString(f.AddressSecret))
 	}
 	for _, k := range f.Keys {
 		fmt.Fprintf(&b, "\nkey %q {\n  issuer    = %q\n  algorithm = %q\n  state     = %q\n", k.ID, k.Issuer, k.Algorithm, k.State)
@@ -237,8 +237,8 @@
 	return errors.New("keys: there is no upcoming key; add one first, and wait until all gateways have loaded it")
 }
 
-// Set sets the state of a key.
-func (f *File) Set(id string, s links.State) error {
+// SetState sets the state of a key.
+func (f *File) SetState(id string, s links.State) error {
 	for i := range f.Keys {
 		if f.Keys[i].ID == id {
 			f.Keys[i].State = s
--- a/internal/owner/place/place.go
+++ b/internal/owner/effectlog/effectlog.go
@@ -1,7 +1,7 @@
-// Package place keeps the durable record of effects at a gateway that executes them. Checking the fencing token
+// Package effectlog keeps the durable record of effects at a gateway that executes them. Checking the fencing token
 // and writing the effect are one transaction on disk (go.etcd.io/bbolt), so nothing gets between them, whether the
 // process is frozen there or killed. A token that was refused is still refused after a restart.
-package place
+package effectlog
 
 import (
 	"encoding/binary"
@@ -15,8 +15,8 @@
 	"github.com/sirupsen/logrus"
 	bolt "go.etcd.io/bbolt"
 
-	"poppymill/internal/canon"
-	"poppymill/internal/checked"
+	"poppymill/internal/boltstore"
+	"poppymill/internal/codec"
 	"poppymill/internal/failpoint"
 	"poppymill/internal/owner"
 )
@@ -35,24 +35,24 @@
 
 // Result is the outcome of an effect.
 type Result struct {
-	Job   string    `cbor:"1,keyasint"`
-	Token uint64    `cbor:"2,keyasint"`
-	Step  int       `cbor:"3,keyasint"`
-	End   owner.End `cbor:"4,keyasint"`
-	Newer uint64    `cbor:"5,keyasint,omitempty"` // if refused: the newer token seen here
-	Why   string    `cbor:"6,keyasint,omitempty"`
+	Job   string        `cbor:"1,keyasint"`
+	Token uint64        `cbor:"2,keyasint"`
+	Step  int           `cbor:"3,keyasint"`
+	End   owner.Outcome `cbor:"4,keyasint"`
+	Newer uint64        `cbor:"5,keyasint,omitempty"` // if refused: the newer token seen here
+	Why   string        `cbor:"6,keyasint,omitempty"`
 }
 
 // Entry is an effect that happened or was refused here, numbered in the order of this record.
 type Entry struct {
-	Number  uint64 `cbor:"1,keyasint" json:"number"`
-	Effect  Effect `cbor:"2,keyasint" json:"effect"`
-	Refused uint64 `cbor:"3,keyasint,omitempty" json:"refused,omitempty"` // the newer token; 0: it happened
-	Again   bool   `cbor:"4,keyasint,omitempty" json:"again,omitempty"`   // it had happened before and was not repeated
-	Told    bool   `cbor:"5,keyasint,omitempty" json:"told,omitempty"`    // not an effect: a token learned from the log
+	Number     uint64 `cbor:"1,keyasint" json:"number"`
+	Effect     Effect `cbor:"2,keyasint" json:"effect"`
+	NewerToken uint64 `cbor:"3,keyasint,omitempty" json:"refused,omitempty"` // the newer token; 0: it happened
+	Repeated   bool   `cbor:"4,keyasint,omitempty" json:"again,omitempty"`   // it had happened before and was not repeated
+	FromLog    bool   `cbor:"5,keyasint,omitempty" json:"told,omitempty"`    // not an effect: a token learned from the log
 }
 
-// Limits of a Place.
+// Limits of a Log.
 const (
 	maxQueued  = 512  // effects waiting for the disk
 	maxJobs    = 1024 // jobs whose tokens are remembered individually
@@ -68,8 +68,8 @@
 	floorKey      = []byte("floor")
 )
 
-// Place is the record of one gateway. A goroutine of its own writes to the disk, so callers never wait for it.
-type Place struct {
+// Log is the record of one gateway. A goroutine of its own writes to the disk, so callers never wait for it.
+type Log struct {
 	db        *bolt.DB // nil: no disk, only safe effects happen here
 	log       logrus.FieldLogger
 	writeHook func(string) // called at each stage of a write
@@ -86,8 +86,8 @@
 
 // Open reads or creates the record in a folder. Without a folder only safe effects happen here, and nothing is
 // kept.
-func Open(folder string, log logrus.FieldLogger) (*Place, error) {
-	p := &Place{log: log, writeHook: func(string) {}, queue: make(chan func(), maxQueued), stopped: make(chan bool), checker: owner.NewTokenChecker(maxJobs)}
+func Open(folder string, log logrus.FieldLogger) (*Log, error) {
+	p := &Log{log: log, writeHook: func(string) {}, queue: make(chan func(), maxQueued), stopped: make(chan bool), checker: owner.NewTokenChecker(maxJobs)}
 	if folder == "" {
 		return p, nil
 	}
@@ -96,7 +96,7 @@
 	}
 	path := filepath.Join(folder, "effects")
 	db, err := p.open(path)
-	if checked.Spoilt(err) {
+	if boltstore.IsCorrupt(err) {
 		// The tokens in the record are lost. The log makes up for them, as nothing happens here before this gateway
 		// has applied it up to its own start. Which keyed steps ran here is lost for good.
 		aside := fmt.Sprintf("%s.spoilt-%d", path, time.Now().Unix())
@@ -113,9 +113,9 @@
 	return p, nil
 }
 
-func (p *Place) open(path string) (db *bolt.DB, err error) {
-	defer checked.Guard(&err)()
-	if db, err = checked.Open(path); err != nil {
+func (p *Log) open(path string) (db *bolt.DB, err error) {
+	defer boltstore.RecoverCorruption(&err)()
+	if db, err = boltstore.Open(path); err != nil {
 		return nil, err
 	}
 	if err = p.read(db); err != nil {
@@ -124,11 +124,11 @@
 	return db, nil
 }
 
-func (p *Place) read(db *bolt.DB) error {
+func (p *Log) read(db *bolt.DB) error {
 	if err := db.Update(func(tx *bolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(metaBucket)
 		if err == nil {
-			err = checked.Version(meta, versionKey, version)
+			err = boltstore.CheckVersion(meta, versionKey, version)
 		}
 		for _, name := range [][]byte{tokensBucket, entriesBucket} {
 			if _, more := tx.CreateBucketIfNotExists(name); err == nil {
@@ -141,14 +141,14 @@
 	}
 	return db.View(func(tx *bolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
-		floor, err := checked.Number(meta, floorKey)
+		floor, err := boltstore.Uint64(meta, floorKey)
 		if err != nil {
-			return fmt.Errorf("%w: token floor: %v", checked.ErrSpoilt, err)
+			return fmt.Errorf("%w: token floor: %v", boltstore.ErrCorrupt, err)
 		}
 		tokens := map[string]uint64{}
 		if err := tx.Bucket(tokensBucket).ForEach(func(k, _ []byte) (err error) {
-			if tokens[string(k)], err = checked.Number(tx.Bucket(tokensBucket), k); err != nil {
-				err = fmt.Errorf("%w: token of job %q: %v", checked.ErrSpoilt, k, err)
+			if tokens[string(k)], err = boltstore.Uint64(tx.Bucket(tokensBucket), k); err != nil {
+				err = fmt.Errorf("%w: token of job %q: %v", boltstore.ErrCorrupt, k, err)
 			}
 			return err
 		}); err != nil {
@@ -157,16 +157,16 @@
 		p.checker.Restore(floor, tokens)
 		return tx.Bucket(entriesBucket).ForEach(func(k, _ []byte) error {
 			var e Entry
-			v, err := checked.Get(tx.Bucket(entriesBucket), k)
+			v, err := boltstore.Get(tx.Bucket(entriesBucket), k)
 			if err == nil {
-				err = canon.Decode(v, &e)
+				err = codec.Decode(v, &e)
 			}
 			if err != nil || binary.BigEndian.Uint64(k) != e.Number || p.lastNumber != 0 && e.Number != p.lastNumber+1 {
-				return fmt.Errorf("%w: entry %x", checked.ErrSpoilt, k)
+				return fmt.Errorf("%w: entry %x", boltstore.ErrCorrupt, k)
 			}
 			p.lastNumber = e.Number
 			p.entries = append(p.entries, e)
-			if e.Refused == 0 && !e.Told && e.Effect.Type != owner.Safe {
+			if e.NewerToken == 0 && !e.FromLog && e.Effect.Type != owner.Safe {
 				p.checker.RestoreStep(e.Effect.Job, e.Effect.Step)
 			}
 			return nil
@@ -175,7 +175,7 @@
 }
 
 // Run executes queued effects until Close.
-func (p *Place) Run() {
+func (p *Log) Run() {
 	defer close(p.stopped)
 	for task := range p.queue {
 		task()
@@ -183,7 +183,7 @@
 }
 
 // Close executes all queued effects, then stops.
-func (p *Place) Close() error {
+func (p *Log) Close() error {
 	close(p.queue)
 	<-p.stopped
 	if p.db == nil {
@@ -192,56 +192,56 @@
 	return p.db.Close()
 }
 
-// Do executes or refuses an effect. done is called from the Place's goroutine, or immediately if the queue is
+// Do executes or refuses an effect. done is called from the Log's goroutine, or immediately if the queue is
 // full. Do must not be called after Close.
-func (p *Place) Do(e Effect, done func(Result)) {
+func (p *Log) Do(e Effect, done func(Result)) {
 	select {
 	case p.queue <- func() { done(p.execute(e)) }:
 	default:
-		done(Result{Job: e.Job, Token: e.Token, Step: e.Step, End: owner.NeverRan, Why: "too much waits there"})
+		done(Result{Job: e.Job, Token: e.Token, Step: e.Step, End: owner.NotRun, Why: "too much waits there"})
 	}
 }
 
 // Raise has tokens older than the given one refused from now on.
-func (p *Place) Raise(job string, token uint64) {
+func (p *Log) Raise(job string, token uint64) {
 	select {
 	case p.queue <- func() {
 		if p.failure == nil && p.checker.Raise(job, token) {
-			p.write(&Entry{Effect: Effect{Job: job, Token: token}, Told: true})
+			p.write(&Entry{Effect: Effect{Job: job, Token: token}, FromLog: true})
 		}
 	}:
 	default: // the next effect, or the next grant in the log, raises it
 	}
 }
 
-func (p *Place) execute(e Effect) Result {
+func (p *Log) execute(e Effect) Result {
 	r := Result{Job: e.Job, Token: e.Token, Step: e.Step}
 	switch {
 	case p.failure != nil:
-		r.End, r.Why = owner.NeverRan, p.failure.Error()
+		r.End, r.Why = owner.NotRun, p.failure.Error()
 		return r
 	case p.db == nil && e.Type != owner.Safe:
-		r.End, r.Why = owner.NeverRan, "this gateway has no disk, and keeps no record of what ran"
+		r.End, r.Why = owner.NotRun, "this gateway has no disk, and keeps no record of what ran"
 		return r
 	}
 	_, again, err := p.checker.Check(e.Job, e.Token, e.Step, e.Type)
-	entry := &Entry{Effect: e, Again: again}
+	entry := &Entry{Effect: e, Repeated: again}
 	entry.Effect.Data = nil // the log has it
 	var stale owner.StaleTokenError
 	if errors.As(err, &stale) {
-		entry.Refused = stale.Newer
+		entry.NewerToken = stale.Newer
 		r.End, r.Newer, r.Why = owner.Refused, stale.Newer, stale.Error()
 		p.log.WithFields(logrus.Fields{"job": e.Job, "step": e.Step, "token": e.Token, "newer": stale.Newer, "from": e.From}).
 			Warn("jobs: refused an effect with a stale token")
 	}
 	if err := p.write(entry); err != nil && r.End != owner.Refused {
-		r.End, r.Why = owner.Perhaps, err.Error()
+		r.End, r.Why = owner.Uncertain, err.Error()
 	}
 	return r
 }
 
 // write stores an entry and the tokens in one transaction; the entry is the effect.
-func (p *Place) write(e *Entry) error {
+func (p *Log) write(e *Entry) error {
 	p.lastNumber++
 	e.Number = p.lastNumber
 	p.mu.Lock()
@@ -253,10 +253,10 @@
 		return nil
 	}
 	p.writeHook("before")
-	failpoint.Here(failpoint.Checked)
+	failpoint.Here(failpoint.TokenChecked)
 	err := p.db.Update(func(tx *bolt.Tx) error {
 		floor, tokens := p.checker.Snapshot()
-		if err := checked.Put(tx.Bucket(metaBucket), floorKey, checked.Key(floor)); err != nil {
+		if err := boltstore.Put(tx.Bucket(metaBucket), floorKey, boltstore.EncodeKey(floor)); err != nil {
 			return err
 		}
 		b := tx.Bucket(tokensBucket)
@@ -269,19 +269,19 @@
 			}
 		}
 		for job, token := range tokens {
-			if old, err := checked.Number(b, []byte(job)); err == nil && old == token {
+			if old, err := boltstore.Uint64(b, []byte(job)); err == nil && old == token {
 				continue
 			}
-			if err := checked.Put(b, []byte(job), checked.Key(token)); err != nil {
+			if err := boltstore.Put(b, []byte(job), boltstore.EncodeKey(token)); err != nil {
 				return err
 			}
 		}
 		entries := tx.Bucket(entriesBucket)
-		if err := checked.Put(entries, checked.Key(e.Number), canon.Encode(e)); err != nil {
+		if err := boltstore.Put(entries, boltstore.EncodeKey(e.Number), codec.Encode(e)); err != nil {
 			return err
 		}
 		if e.Number > maxEntries {
-			if err := entries.Delete(checked.Key(e.Number - maxEntries)); err != nil {
+			if err := entries.Delete(boltstore.EncodeKey(e.Number - maxEntries)); err != nil {
 				return err
 			}
 		}
@@ -301,7 +301,7 @@
 }
 
 // Entries returns the latest effects that happened or were refused here, in order.
-func (p *Place) Entries() []Entry {
+func (p *Log) Entries() []Entry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]Entry(nil), p.entries...)
--- a/internal/quorum/drive/council.go
+++ b/internal/quorum/driver/replica.go
@@ -1,6 +1,6 @@
-// Package drive runs a node of the replicated log of package quorum: it provides the connections to peers, the store on
+// Package driver runs a node of the replicated log of package quorum: it provides the connections to peers, the store on
 // disk and the clock, and an event loop that hosts the subsystems built on the log.
-package drive
+package driver
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"poppymill/internal/canon"
-	"poppymill/internal/checked"
+	"poppymill/internal/boltstore"
+	"poppymill/internal/codec"
 	"poppymill/internal/failpoint"
 	"poppymill/internal/quorum"
 )
@@ -25,9 +25,9 @@
 // inboxCapacity limits the events queued for the loop. Further ones are dropped, as frames may be on a network.
 const inboxCapacity = 4096
 
-// Council runs one gateway's node of the replicated log. It has an event loop of its own, which nothing that serves
+// Replica runs one gateway's node of the replicated log. It has an event loop of its own, which nothing that serves
 // downloads waits for.
-type Council struct {
+type Replica struct {
 	node      *quorum.Node
 	peers     *peers
 	store     *store             // nil: this gateway only follows
@@ -37,53 +37,54 @@
 	start     time.Time
 	lastToken uint64
 	pending   map[uint64]func(quorum.Outcome) // callbacks of the proposed commands, by token
-	part      Part                            // nil: none
-	notified  Followed                        // the last state passed to the part; Restored: not passed on yet
+	subsystem Subsystem                       // nil: none
+	notified  LogAdvanced                     // the last state passed to the subsystem; Restored: not passed on yet
 	advanced  bool                            // whether the log advanced since
 }
 
 // call is a function in the inbox, to be called by the loop.
 type call func()
 
-// Part is a subsystem that runs in the council's loop on top of the replicated log. Its methods are called from that
+// Subsystem is a subsystem that runs in the replica's loop on top of the replicated log. Its methods are called from that
 // loop and must not block.
-type Part interface {
-	// Books returns its state machines by name.
-	Books() map[string]quorum.Book
-	// Begin passes it the council, before any event.
-	Begin(c *Council)
-	// Handle processes a Followed, an Asked, a Leaving or an event passed to Council.Post; nil only advances the time.
+type Subsystem interface {
+	// StateMachines returns its state machines by name.
+	StateMachines() map[string]quorum.StateMachine
+	// Start passes it the replica, before any event.
+	Start(c *Replica)
+	// Handle processes a LogAdvanced, a PeerRequest, a ShuttingDown or an event passed to Replica.Post; nil only
+	// advances the time.
 	Handle(now float64, e any)
-	// Next returns when Handle has to be called again at the latest, in ms.
-	Next() float64
-	// Tell answers an operator's query. The answer is sent as JSON.
-	Tell(about, name string) (any, error)
-	// Allow returns an error if an operator may not propose a command.
-	Allow(quorum.Command) error
-	// Idle reports whether the process may end, after a Leaving.
+	// NextDeadline returns when Handle has to be called again at the latest, in ms.
+	NextDeadline() float64
+	// Query answers an operator's query. The answer is sent as JSON.
+	Query(about, name string) (any, error)
+	// CheckCommand returns an error if an operator may not propose a command.
+	CheckCommand(quorum.Command) error
+	// Idle reports whether the process may end, after a ShuttingDown.
 	Idle() bool
 	// Close releases its resources when the loop ends.
 	Close() error
 }
 
-// Events of a Part.
+// Events of a Subsystem.
 type (
-	// Followed reports that the log advanced, or that this gateway's own state in it changed. With incarnation 0 the
+	// LogAdvanced reports that the log advanced, or that this gateway's own state in it changed. With incarnation 0 the
 	// gateway must not propose commands.
-	Followed struct {
+	LogAdvanced struct {
 		Name        string
 		Incarnation uint64
 		Leads       bool
 		Restored    bool // a snapshot replaced the whole state
 	}
-	// Asked is a peer's request that is not part of the replication itself. Answer may be called from any goroutine.
-	Asked struct {
+	// PeerRequest is a peer's request that is not part of the replication itself. Answer may be called from any goroutine.
+	PeerRequest struct {
 		From   string
 		Frame  quorum.Frame
 		Answer func(quorum.Frame)
 	}
-	// Leaving announces that this process is about to end.
-	Leaving struct{}
+	// ShuttingDown announces that this process is about to end.
+	ShuttingDown struct{}
 )
 
 const (
@@ -95,12 +96,12 @@
 
 // Open reads the store and listens for peers, with maxConns connections at most; Run then starts the loop. Without a
 // store, or with an unusable one, this gateway follows and never votes. An unusable store is logged with its error.
-func Open(b Block, name, zone string, maxConns int, part Part, log logrus.FieldLogger) (*Council, error) {
-	var books map[string]quorum.Book
-	if part != nil {
-		books = part.Books()
+func Open(b Block, name, zone string, maxConns int, subsystem Subsystem, log logrus.FieldLogger) (*Replica, error) {
+	var stateMachines map[string]quorum.StateMachine
+	if subsystem != nil {
+		stateMachines = subsystem.StateMachines()
 	}
-	c := &Council{part: part, inbox: make(chan any, inboxCapacity), writes: make(chan quorum.Record, 1), log: log, start: time.Now(), pending: map[uint64]func(quorum.Outcome){}}
+	c := &Replica{subsystem: subsystem, inbox: make(chan any, inboxCapacity), writes: make(chan quorum.Record, 1), log: log, start: time.Now(), pending: map[uint64]func(quorum.Outcome){}}
 	var seed [16]byte
 	rand.Read(seed[:])
 	settings := b.Settings
@@ -112,7 +113,7 @@
 		}
 		path := filepath.Join(b.Store, "agreed")
 		var err error
-		if c.store, stored, err = openStore(path); err != nil && checked.Spoilt(err) {
+		if c.store, stored, err = openStore(path); err != nil && boltstore.IsCorrupt(err) {
 			// Nothing in a corrupt store can be trusted, least of all its identity: it is moved aside, and this gateway
 			// joins under a new identity.
 			aside := fmt.Sprintf("%s.spoilt-%d", path, time.Now().Unix())
@@ -137,11 +138,11 @@
 	}
 	nonce := binary.LittleEndian.Uint64(seed[8:]) | 1
 	c.notified.Name = name
-	if c.node, err = newNode(settings, stored, books, nonce, c.now()); err != nil {
+	if c.node, err = newNode(settings, stored, stateMachines, nonce, c.now()); err != nil {
 		log.WithError(err).Error("quorum: the store can't be used: this gateway only follows")
 		c.closeStore()
 		c.store, settings.Founders, settings.Diskless = nil, nil, true
-		if c.node, err = newNode(settings, quorum.Store{}, books, nonce, c.now()); err != nil {
+		if c.node, err = newNode(settings, quorum.Store{}, stateMachines, nonce, c.now()); err != nil {
 			l.Close()
 			return nil, fmt.Errorf("quorum: %w", err)
 		}
@@ -149,68 +150,68 @@
 	// A follower renews its lease six times in each lease period, so a connection that is silent for five periods is dead.
 	c.peers = newPeers(name, l, maxConns, time.Duration(5*settings.Lease*float64(time.Millisecond)))
 	c.peers.address = c.node.Address // called by the loop only
-	c.peers.onLost = func(to string) { c.post(quorum.Lost{To: to}) }
+	c.peers.onLost = func(to string) { c.post(quorum.SendFailed{To: to}) }
 	c.peers.onFrame = func(from string, f quorum.Frame, answer func(quorum.Frame)) {
 		switch f.Kind {
-		case quorum.Status:
+		case quorum.KindStatus:
 			c.post(call(func() { c.answerQuestion(f, answer) }))
-		case quorum.Effect, quorum.Effected:
-			if part != nil {
-				c.Post(Asked{From: from, Frame: f, Answer: answer})
+		case quorum.KindEffect, quorum.KindEffectResult:
+			if subsystem != nil {
+				c.Post(PeerRequest{From: from, Frame: f, Answer: answer})
 			}
 		default:
 			c.post(quorum.Received{From: from, Frame: f})
 		}
 	}
-	if part != nil {
-		part.Begin(c)
+	if subsystem != nil {
+		subsystem.Start(c)
 	}
 	return c, nil
 }
 
 // newNode creates a node with the state of a store. It returns an error when raft panics, as it does on a state that
 // contradicts itself.
-func newNode(settings quorum.Settings, stored quorum.Store, books map[string]quorum.Book, nonce uint64, now float64) (n *quorum.Node, err error) {
+func newNode(settings quorum.Settings, stored quorum.Store, stateMachines map[string]quorum.StateMachine, nonce uint64, now float64) (n *quorum.Node, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("store: %v", p)
 		}
 	}()
-	return quorum.New(settings, stored, books, nonce, now)
+	return quorum.New(settings, stored, stateMachines, nonce, now)
 }
 
 // Address returns the address on which this gateway listens for peers.
-func (c *Council) Address() string { return c.peers.listener.Addr().String() }
+func (c *Replica) Address() string { return c.peers.listener.Addr().String() }
 
 // now returns the ms since the start.
-func (c *Council) now() float64 { return float64(time.Since(c.start)) / float64(time.Millisecond) }
+func (c *Replica) now() float64 { return float64(time.Since(c.start)) / float64(time.Millisecond) }
 
 // post queues an event for the loop. It drops the event when the inbox is full.
-func (c *Council) post(e any) {
+func (c *Replica) post(e any) {
 	select {
 	case c.inbox <- e:
 	default:
 	}
 }
 
-// Post queues an event for the part. It may be called from any goroutine, and drops the event when the inbox is full.
-func (c *Council) Post(e any) {
-	c.post(call(func() { c.part.Handle(c.now(), e) }))
+// Post queues an event for the subsystem. It may be called from any goroutine, and drops the event when the inbox is full.
+func (c *Replica) Post(e any) {
+	c.post(call(func() { c.subsystem.Handle(c.now(), e) }))
 }
 
 // Send sends a frame to a peer; the frame may be lost. When it is certain that no byte of it was sent, notSent is
-// called, from any goroutine; it may be nil. Send must be called from the loop, like all that a Part calls unless it
+// called, from any goroutine; it may be nil. Send must be called from the loop, like all that a Subsystem calls unless it
 // says otherwise.
-func (c *Council) Send(to string, f quorum.Frame, notSent func()) { c.peers.send(to, f, notSent) }
+func (c *Replica) Send(to string, f quorum.Frame, notSent func()) { c.peers.send(to, f, notSent) }
 
 // Retire names the gateways that are about to go down for a while. Their votes are moved to other gateways first. It
 // must be called from the loop.
-func (c *Council) Retire(names []string) { c.node.Retire(names) }
+func (c *Replica) Retire(names []string) { c.node.Retire(names) }
 
-// Sight returns the age of this gateway's view in ms: it has seen all commands that were committed by then. The result
+// ViewAge returns the age of this gateway's view in ms: it has seen all commands that were committed by then. The result
 // is negative while the age is not known. It must be called from the loop.
-func (c *Council) Sight() float64 {
-	at, known := c.node.Sight()
+func (c *Replica) ViewAge() float64 {
+	at, known := c.node.FreshAsOf()
 	if !known {
 		return -1
 	}
@@ -219,11 +220,11 @@
 
 // Voters returns the names of the voters, sorted; nil while they are not known or change (see quorum.Node.Voters). It
 // must be called from the loop.
-func (c *Council) Voters() []string { return c.node.Voters() }
+func (c *Replica) Voters() []string { return c.node.Voters() }
 
 // Run runs the loop until the context ends. Then it lets other gateways take over this one's work, announces that it
 // leaves, and returns.
-func (c *Council) Run(ctx context.Context) error {
+func (c *Replica) Run(ctx context.Context) error {
 	c.peers.serve()
 	written := make(chan any, 4) // one write is in progress at a time, unless the node broke during one
 	writerDone := make(chan bool)
@@ -238,7 +239,7 @@
 				failpoint.Here(failpoint.Saved)
 			}
 			if err != nil {
-				written <- quorum.Broken{Err: err}
+				written <- quorum.DiskFailed{Err: err}
 			} else {
 				written <- quorum.Saved{Took: float64(time.Since(started)) / float64(time.Millisecond)}
 			}
@@ -250,8 +251,8 @@
 	done := ctx.Done()
 	for over := false; !over; {
 		next := c.node.Next()
-		if c.part != nil {
-			next = min(next, c.part.Next())
+		if c.subsystem != nil {
+			next = min(next, c.subsystem.NextDeadline())
 		}
 		timer.Reset(time.Duration(min(3.6e6, max(0, next-c.now())) * float64(time.Millisecond)))
 		var e any
@@ -261,8 +262,8 @@
 		case <-timer.C:
 		case <-done:
 			done, handOverExpired = nil, time.After(handOverTimeout)
-			if c.part != nil {
-				c.part.Handle(c.now(), Leaving{})
+			if c.subsystem != nil {
+				c.subsystem.Handle(c.now(), ShuttingDown{})
 			}
 		case <-handOverExpired:
 			handOverExpired, leaveFlushed = nil, time.After(leaveFlushTime)
@@ -276,8 +277,8 @@
 			e = nil
 		}
 		c.perform(c.handle(e))
-		c.notifyPart()
-		if handOverExpired != nil && (c.part == nil || c.part.Idle()) {
+		c.notifySubsystem()
+		if handOverExpired != nil && (c.subsystem == nil || c.subsystem.Idle()) {
 			handOverExpired, leaveFlushed = nil, time.After(leaveFlushTime)
 			failpoint.Here(failpoint.Leaving)
 			c.perform(c.handle(quorum.Leave{}))
@@ -286,8 +287,8 @@
 	close(c.writes)
 	<-writerDone
 	c.peers.close()
-	if c.part != nil {
-		if err := c.part.Close(); err != nil {
+	if c.subsystem != nil {
+		if err := c.subsystem.Close(); err != nil {
 			c.log.WithError(err).Error("jobs: the record of effects can't be closed")
 		}
 	}
@@ -297,44 +298,44 @@
 	return c.closeStore()
 }
 
-// notifyPart passes the part the current state of the log, or only the time when nothing changed.
-func (c *Council) notifyPart() {
-	if c.part == nil {
+// notifySubsystem passes the subsystem the current state of the log, or only the time when nothing changed.
+func (c *Replica) notifySubsystem() {
+	if c.subsystem == nil {
 		return
 	}
-	f := Followed{Name: c.notified.Name, Incarnation: c.node.Incarnation(), Leads: c.node.Leads(), Restored: c.notified.Restored}
+	f := LogAdvanced{Name: c.notified.Name, Incarnation: c.node.Incarnation(), Leads: c.node.IsLeader(), Restored: c.notified.Restored}
 	if !c.advanced && f == c.notified {
-		c.part.Handle(c.now(), nil)
+		c.subsystem.Handle(c.now(), nil)
 		return
 	}
 	c.advanced, c.notified = false, f
 	c.notified.Restored = false
-	c.part.Handle(c.now(), f)
+	c.subsystem.Handle(c.now(), f)
 }
 
 // handle passes an event to the node. When raft panics, as it does when its log contradicts that of other voters, the
 // node stops voting while the gateway goes on serving downloads.
-func (c *Council) handle(e any) (actions []quorum.Action) {
+func (c *Replica) handle(e any) (actions []quorum.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			c.log.WithField("error", p).Error("quorum: raft panicked: this gateway does not vote until it is restarted")
-			actions = c.node.Handle(c.now(), quorum.Broken{Err: fmt.Errorf("%v", p)})
+			actions = c.node.Handle(c.now(), quorum.DiskFailed{Err: fmt.Errorf("%v", p)})
 		}
 	}()
 	return c.node.Handle(c.now(), e)
 }
 
 // perform carries out the node's actions in order.
-func (c *Council) perform(actions []quorum.Action) {
+func (c *Replica) perform(actions []quorum.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case quorum.Send:
 			c.peers.send(a.To, a.Frame, nil)
 		case quorum.Save:
 			c.writes <- a.Record
-		case quorum.Agreed:
+		case quorum.Committed:
 			if !c.advanced {
-				failpoint.Here(failpoint.Agreed)
+				failpoint.Here(failpoint.Committed)
 			}
 			c.advanced = true
 		case quorum.Restored:
@@ -344,7 +345,7 @@
 				delete(c.pending, a.Token)
 				done(a)
 			}
-		case quorum.Say:
+		case quorum.Log:
 			c.log.WithFields(a.Fields).Info("quorum: " + a.Text)
 		}
 	}
@@ -352,7 +353,7 @@
 
 // propose proposes a command. Its outcome is passed to done, which is called once, from the loop, and must not block.
 // It must be called from the loop.
-func (c *Council) propose(command quorum.Command, done func(quorum.Outcome)) {
+func (c *Replica) propose(command quorum.Command, done func(quorum.Outcome)) {
 	c.lastToken++
 	c.pending[c.lastToken] = done
 	c.perform(c.handle(quorum.Propose{Token: c.lastToken, Command: command}))
@@ -360,8 +361,8 @@
 
 // Propose proposes a command; it may be called from any goroutine. Its outcome is passed to done, which must not block.
 // It is called once, from the loop, unless the loop ends before it takes the command from the inbox. When the inbox is
-// full, done is called with ErrBusy before Propose returns, so a Part that proposes in Handle must be prepared for that.
-func (c *Council) Propose(command quorum.Command, done func(quorum.Outcome)) {
+// full, done is called with ErrBusy before Propose returns, so a Subsystem that proposes in Handle must be prepared for that.
+func (c *Replica) Propose(command quorum.Command, done func(quorum.Outcome)) {
 	select {
 	case c.inbox <- call(func() { c.propose(command, done) }):
 	default:
@@ -369,17 +370,17 @@
 	}
 }
 
-// Question is an operator's query. About selects what a Part reports; empty: only the state of the log. Name selects one
+// Query is an operator's query. Subject selects what a Subsystem reports; empty: only the state of the log. Name selects one
 // item of that. Command is committed before the answer is given. Fresh: the answer reflects all commands that were
 // committed before the query.
-type Question struct {
-	About   string          `cbor:"1,keyasint,omitempty"`
+type Query struct {
+	Subject string          `cbor:"1,keyasint,omitempty"`
 	Name    string          `cbor:"2,keyasint,omitempty"`
 	Fresh   bool            `cbor:"3,keyasint,omitempty"`
 	Command *quorum.Command `cbor:"4,keyasint,omitempty"`
 }
 
-// Reply is the answer to a Question.
+// Reply is the answer to a Query.
 type Reply struct {
 	Error  string          `json:"error,omitempty"`
 	Index  uint64          `json:"index,omitempty"` // of the committed command
@@ -388,32 +389,32 @@
 }
 
 // answerQuestion answers an operator's query, after its command is committed, if it has one.
-func (c *Council) answerQuestion(f quorum.Frame, answer func(quorum.Frame)) {
-	var q Question
+func (c *Replica) answerQuestion(f quorum.Frame, answer func(quorum.Frame)) {
+	var q Query
 	if len(f.Data) > 0 {
-		if err := canon.Decode(f.Data, &q); err != nil {
-			c.reply(Question{}, 0, err, answer)
+		if err := codec.Decode(f.Data, &q); err != nil {
+			c.reply(Query{}, 0, err, answer)
 			return
 		}
 	}
 	switch command := q.Command; {
-	case command != nil && c.part == nil:
+	case command != nil && c.subsystem == nil:
 		c.reply(q, 0, errors.New("this gateway agrees on nothing of that kind"), answer)
 		return
 	case command != nil:
-		if err := c.part.Allow(*command); err != nil {
+		if err := c.subsystem.CheckCommand(*command); err != nil {
 			c.reply(q, 0, err, answer)
 			return
 		}
 	case q.Fresh:
 		// An empty command: its index is after all commands that were committed when the query came.
-		q.Command = &quorum.Command{Book: "members", Kind: "nothing"}
+		q.Command = &quorum.Command{StateMachine: "members", Kind: "nothing"}
 	}
 	if q.Command == nil {
 		c.reply(q, 0, nil, answer)
 		return
 	}
-	fresh := q.Command.Book == "members"
+	fresh := q.Command.StateMachine == "members"
 	c.propose(*q.Command, func(o quorum.Outcome) {
 		if fresh && o.Index > 0 {
 			o.Err = nil // the empty command is refused as unknown, which is expected
@@ -423,13 +424,13 @@
 }
 
 // reply sends the answer to an operator's query.
-func (c *Council) reply(q Question, index uint64, err error, answer func(quorum.Frame)) {
+func (c *Replica) reply(q Query, index uint64, err error, answer func(quorum.Frame)) {
 	r := Reply{Index: index, Report: c.node.Report(c.now())}
 	r.Report.Frames = c.peers.framesSent.Load()
-	if err == nil && q.About != "" {
+	if err == nil && q.Subject != "" {
 		var body any
-		if err = errors.New("this gateway knows of nothing of that kind"); c.part != nil {
-			body, err = c.part.Tell(q.About, q.Name)
+		if err = errors.New("this gateway knows of nothing of that kind"); c.subsystem != nil {
+			body, err = c.subsystem.Query(q.Subject, q.Name)
 		}
 		if err == nil {
 			r.Body, err = json.Marshal(body)
@@ -442,11 +443,11 @@
 	if err != nil {
 		panic(err) // can't happen: Reply is a type of this package
 	}
-	answer(quorum.Frame{Kind: quorum.Status, Data: b})
+	answer(quorum.Frame{Kind: quorum.KindStatus, Data: b})
 }
 
 // closeStore closes the store, if there is one.
-func (c *Council) closeStore() error {
+func (c *Replica) closeStore() error {
 	if c.store == nil {
 		return nil
 	}
@@ -455,12 +456,12 @@
 
 // QueryReport returns the state of the log as seen by the gateway at a peer address.
 func QueryReport(ctx context.Context, address string) (quorum.Report, error) {
-	r, err := Put(ctx, address, Question{})
+	r, err := SendQuery(ctx, address, Query{})
 	return r.Report, err
 }
 
-// Put sends a query to the gateway at a peer address. An error of the gateway itself is the Error of its Reply.
-func Put(ctx context.Context, address string, q Question) (r Reply, err error) {
+// SendQuery sends a query to the gateway at a peer address. An error of the gateway itself is the Error of its Reply.
+func SendQuery(ctx context.Context, address string, q Query) (r Reply, err error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return r, err
@@ -470,18 +471,18 @@
 		conn.SetDeadline(deadline)
 	}
 	name := fmt.Sprintf("?%d", os.Getpid())
-	hello := quorum.Frame{Kind: quorum.Hello, Data: []byte(name)}.Append(nil)
-	if _, err := conn.Write(quorum.Frame{Kind: quorum.Status, Data: canon.Encode(q)}.Append(hello)); err != nil {
+	hello := quorum.Frame{Kind: quorum.KindHello, Data: []byte(name)}.Append(nil)
+	if _, err := conn.Write(quorum.Frame{Kind: quorum.KindStatus, Data: codec.Encode(q)}.Append(hello)); err != nil {
 		return r, err
 	}
 	var f quorum.Frame
-	var joiner quorum.Joiner
+	var joiner quorum.Reassembler
 	for whole := false; err == nil && !whole; {
 		if f, err = readFrame(conn); err == nil {
-			f, whole, err = joiner.Join(f)
+			f, whole, err = joiner.Add(f)
 		}
 	}
-	if err == nil && f.Kind != quorum.Status {
+	if err == nil && f.Kind != quorum.KindStatus {
 		err = fmt.Errorf("%s: unexpected kind of frame in the answer", address)
 	}
 	if err == nil {
--- a/internal/quorum/drive/store.go
+++ b/internal/quorum/driver/store.go
@@ -1,4 +1,4 @@
-package drive
+package driver
 
 import (
 	"encoding/binary"
@@ -9,8 +9,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"poppymill/internal/canon"
-	"poppymill/internal/checked"
+	"poppymill/internal/boltstore"
+	"poppymill/internal/codec"
 	"poppymill/internal/quorum"
 )
 
@@ -40,8 +40,8 @@
 
 // openStore opens a store, or creates an empty one, and reads its content.
 func openStore(path string) (s *store, stored quorum.Store, err error) {
-	defer checked.Guard(&err)()
-	db, err := checked.Open(path)
+	defer boltstore.RecoverCorruption(&err)()
+	db, err := boltstore.Open(path)
 	if err != nil {
 		return nil, stored, fmt.Errorf("store %s: %w", path, err)
 	}
@@ -54,7 +54,7 @@
 		if _, err := tx.CreateBucketIfNotExists(entriesBucket); err != nil {
 			return err
 		}
-		return checked.Version(meta, versionKey, storeVersion)
+		return boltstore.CheckVersion(meta, versionKey, storeVersion)
 	})
 	if err == nil {
 		err = db.View(func(tx *bolt.Tx) error { return load(tx, &stored) })
@@ -73,25 +73,28 @@
 		key    []byte
 		decode func([]byte) error
 	}{
-		{identityKey, func(b []byte) error { return canon.Decode(b, &stored.Identity) }},
-		{startsKey, func(b []byte) error { return canon.Decode(b, &stored.Starts) }},
-		{marksKey, func(b []byte) error { return canon.Decode(b, &stored.Marks) }},
-		{foundingKey, func(b []byte) error { return canon.Decode(b, &stored.Founding) }},
-		{hardKey, func(b []byte) error { stored.Hard = &raftpb.HardState{}; return proto.Unmarshal(b, stored.Hard) }},
+		{identityKey, func(b []byte) error { return codec.Decode(b, &stored.Identity) }},
+		{startsKey, func(b []byte) error { return codec.Decode(b, &stored.Starts) }},
+		{marksKey, func(b []byte) error { return codec.Decode(b, &stored.HighWaterMarks) }},
+		{foundingKey, func(b []byte) error { return codec.Decode(b, &stored.Founding) }},
+		{hardKey, func(b []byte) error {
+			stored.HardState = &raftpb.HardState{}
+			return proto.Unmarshal(b, stored.HardState)
+		}},
 		{snapshotKey, func(b []byte) error { stored.Snapshot = &raftpb.Snapshot{}; return proto.Unmarshal(b, stored.Snapshot) }},
 	} {
-		b, err := checked.Get(meta, field.key)
+		b, err := boltstore.Get(meta, field.key)
 		if err == nil && b != nil {
 			err = field.decode(b)
 		}
 		if err != nil {
-			return fmt.Errorf("%w: %s: %v", checked.ErrSpoilt, field.key, err)
+			return fmt.Errorf("%w: %s: %v", boltstore.ErrCorrupt, field.key, err)
 		}
 	}
 	snapshotIndex := stored.Snapshot.GetMetadata().GetIndex()
 	c := entries.Cursor()
 	for k, _ := c.First(); k != nil; k, _ = c.Next() {
-		b, err := checked.Get(entries, k)
+		b, err := boltstore.Get(entries, k)
 		e := &raftpb.Entry{}
 		if err == nil {
 			err = proto.Unmarshal(b, e)
@@ -100,56 +103,56 @@
 			err = fmt.Errorf("holds %d", e.GetIndex())
 		}
 		if err != nil {
-			return fmt.Errorf("%w: entry %x: %v", checked.ErrSpoilt, k, err)
+			return fmt.Errorf("%w: entry %x: %v", boltstore.ErrCorrupt, k, err)
 		}
 		if e.GetIndex() <= snapshotIndex {
 			continue // kept for lagging members; the snapshot covers it
 		}
 		if want := snapshotIndex + uint64(len(stored.Entries)) + 1; e.GetIndex() != want {
-			return fmt.Errorf("%w: entry %d in place of entry %d", checked.ErrSpoilt, e.GetIndex(), want)
+			return fmt.Errorf("%w: entry %d in place of entry %d", boltstore.ErrCorrupt, e.GetIndex(), want)
 		}
 		stored.Entries = append(stored.Entries, e)
 	}
-	if last := snapshotIndex + uint64(len(stored.Entries)); stored.Hard.GetCommit() > last {
-		return fmt.Errorf("%w: committed up to %d, but the last entry is %d", checked.ErrSpoilt, stored.Hard.GetCommit(), last)
+	if last := snapshotIndex + uint64(len(stored.Entries)); stored.HardState.GetCommit() > last {
+		return fmt.Errorf("%w: committed up to %d, but the last entry is %d", boltstore.ErrCorrupt, stored.HardState.GetCommit(), last)
 	}
 	return nil
 }
 
 // put writes a record to the disk and syncs it, atomically.
 func (s *store) put(r quorum.Record) (err error) {
-	defer checked.Guard(&err)()
+	defer boltstore.RecoverCorruption(&err)()
 	s.onStep("before")
 	err = s.db.Update(func(tx *bolt.Tx) error {
 		meta, entries := tx.Bucket(metaBucket), tx.Bucket(entriesBucket)
-		if r.Anew {
+		if r.Reset {
 			if err := errors.Join(meta.Delete(hardKey), meta.Delete(snapshotKey), deleteEntries(entries, 0, ^uint64(0))); err != nil {
 				return err
 			}
 		}
 		if r.Identity != nil {
-			if err := checked.Put(meta, identityKey, canon.Encode(r.Identity)); err != nil {
+			if err := boltstore.Put(meta, identityKey, codec.Encode(r.Identity)); err != nil {
 				return err
 			}
 		}
 		if r.Starts > 0 {
-			if err := checked.Put(meta, startsKey, canon.Encode(r.Starts)); err != nil {
+			if err := boltstore.Put(meta, startsKey, codec.Encode(r.Starts)); err != nil {
 				return err
 			}
 		}
-		if r.Marks != nil {
-			if err := checked.Put(meta, marksKey, canon.Encode(r.Marks)); err != nil {
+		if r.HighWaterMarks != nil {
+			if err := boltstore.Put(meta, marksKey, codec.Encode(r.HighWaterMarks)); err != nil {
 				return err
 			}
 		}
 		if r.Founding != nil {
-			if err := checked.Put(meta, foundingKey, canon.Encode(r.Founding)); err != nil {
+			if err := boltstore.Put(meta, foundingKey, codec.Encode(r.Founding)); err != nil {
 				return err
 			}
 		}
 		if r.Snapshot != nil {
 			b, err := proto.Marshal(r.Snapshot)
-			if err = errors.Join(err, checked.Put(meta, snapshotKey, b)); err != nil {
+			if err = errors.Join(err, boltstore.Put(meta, snapshotKey, b)); err != nil {
 				return err
 			}
 			if r.Compact == 0 { // a snapshot of a leader, which replaces the whole log
@@ -170,13 +173,13 @@
 		}
 		for _, e := range r.Entries {
 			b, err := proto.Marshal(e)
-			if err = errors.Join(err, checked.Put(entries, binary.BigEndian.AppendUint64(nil, e.GetIndex()), b)); err != nil {
+			if err = errors.Join(err, boltstore.Put(entries, binary.BigEndian.AppendUint64(nil, e.GetIndex()), b)); err != nil {
 				return err
 			}
 		}
-		if r.Hard != nil {
-			b, err := proto.Marshal(r.Hard)
-			if err = errors.Join(err, checked.Put(meta, hardKey, b)); err != nil {
+		if r.HardState != nil {
+			b, err := proto.Marshal(r.HardState)
+			if err = errors.Join(err, boltstore.Put(meta, hardKey, b)); err != nil {
 				return err
 			}
 		}
