--- a/internal/quorum/linearizability_test.go
+++ b/internal/quorum/linearizability_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 )
 
 // valueAndLease is a state machine with a value and a lease: the holder, and a token that rises with each grant.
@@ -51,18 +51,18 @@
 
 func (c *valueAndLease) Apply(_ uint64, member Command) any {
 	var op operation
-	if canon.Decode(member.Data, &op) != nil {
+	if codec.Decode(member.Data, &op) != nil {
 		return ErrUnknown
 	}
 	return c.do(op)
 }
-func (c *valueAndLease) Save() []byte { return canon.Encode(c) }
+func (c *valueAndLease) Save() []byte { return codec.Encode(c) }
 func (c *valueAndLease) Load(b []byte) error {
 	*c = valueAndLease{}
 	if b == nil {
 		return nil
 	}
-	return canon.Decode(b, c)
+	return codec.Decode(b, c)
 }
 
 // The results of commands and of reads through the log are linearizable for a value and a lease, whatever faults
@@ -110,14 +110,14 @@
 			}
 		}
 		for n := range 40 {
-			name := s.names[int(s.chance.Next())%len(s.names)]
+			name := s.names[int(s.chance.Uint32())%len(s.names)]
 			g := s.gateways[name]
-			switch s.chance.Next() % 12 {
+			switch s.chance.Uint32() % 12 {
 			case 0:
-				i := 1 + int(s.chance.Next())%(len(s.names)-1)
+				i := 1 + int(s.chance.Uint32())%(len(s.names)-1)
 				s.partition(s.names[:i], s.names[i:])
 			case 1:
-				s.cut[[2]string{name, s.names[int(s.chance.Next())%len(s.names)]}] = true
+				s.cut[[2]string{name, s.names[int(s.chance.Uint32())%len(s.names)]}] = true
 			case 2:
 				if g.up && !g.frozen {
 					s.freeze(name)
@@ -136,16 +136,16 @@
 				}
 			}
 			for i, name := range s.names {
-				if g := s.gateways[name]; g.up && !g.frozen && g.node.incarnation != 0 && s.chance.Next()%3 == 0 {
-					op := operation{Kind: []string{"read", "write", "take", "give"}[s.chance.Next()%4], Gateway: name, Value: fmt.Sprint(n, name)}
+				if g := s.gateways[name]; g.up && !g.frozen && g.node.incarnation != 0 && s.chance.Uint32()%3 == 0 {
+					op := operation{Kind: []string{"read", "write", "take", "give"}[s.chance.Uint32()%4], Gateway: name, Value: fmt.Sprint(n, name)}
 					s.lastID++
 					token := uint64(s.lastID)
 					open[token] = len(history)
 					history = append(history, porcupine.Operation{ClientId: i, Input: op, Call: int64(s.now * 1000), Return: 1 << 60, Output: operationResult{Unknown: true}})
-					g.handle(Propose{Token: token, Command: Command{Book: "cell", Kind: op.Kind, Data: canon.Encode(op)}})
+					g.handle(Propose{Token: token, Command: Command{StateMachine: "cell", Kind: op.Kind, Data: codec.Encode(op)}})
 				}
 			}
-			s.run(50+600*s.chance.Below(), nil)
+			s.run(50+600*s.chance.Float64(), nil)
 		}
 		// An operation with an unknown result is a client of its own that never returned: it may have been applied at
 		// any time since. A read without a result is left out.
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -11,8 +11,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"poppymill/internal/canon"
-	"poppymill/internal/chance"
+	"poppymill/internal/codec"
+	"poppymill/internal/prng"
 )
 
 // Node is one gateway's part in the replicated log: a raft voter or learner, or a follower outside raft. It must be
@@ -20,7 +20,7 @@
 type Node struct {
 	settings         Settings
 	now              float64
-	rng              chance.Chance
+	rng              prng.Source
 	nonce            uint64 // drawn for this process
 	id               Identity
 	founding         *Founding
@@ -28,7 +28,7 @@
 	storage          *raft.MemoryStorage
 	conf             *raftpb.ConfState
 	members          *Members
-	books            map[string]Book
+	stateMachines    map[string]StateMachine
 	applied          uint64
 	incarnation      uint64 // of this process; 0: not assigned yet
 	seq              uint64
@@ -116,13 +116,13 @@
 const initialIndex = 1
 
 // New returns a node with the state of its store. Each process must draw a nonce of its own.
-func New(settings Settings, store Store, books map[string]Book, nonce uint64, now float64) (*Node, error) {
-	n := &Node{settings: settings, now: now, rng: chance.Chance((settings.Seed^nonce)>>1 | 1), nonce: nonce, id: store.Identity, founding: store.Founding,
-		members: newMembers(settings.Members), books: books, emptyFounders: map[string]founderHello{}, lastRenewal: map[uint64]float64{},
+func New(settings Settings, store Store, stateMachines map[string]StateMachine, nonce uint64, now float64) (*Node, error) {
+	n := &Node{settings: settings, now: now, rng: prng.Source((settings.Seed^nonce)>>1 | 1), nonce: nonce, id: store.Identity, founding: store.Founding,
+		members: newMembers(settings.MaxMembers), stateMachines: stateMachines, emptyFounders: map[string]founderHello{}, lastRenewal: map[uint64]float64{},
 		pendingRenewals: map[uint64]Renewal{}, proposedByLeader: map[leaderProposal]float64{}, peerNames: map[uint64]string{}, foreignPeers: map[string]bool{}, renewAt: now, joinAt: now,
 		starts: store.Starts + 1, highWaterMarks: map[uint64]HighWaterMark{}, retiring: map[string]bool{}}
-	maps.Copy(n.highWaterMarks, store.Marks)
-	n.rng.Next()
+	maps.Copy(n.highWaterMarks, store.HighWaterMarks)
+	n.rng.Uint32()
 	if n.id.ID == 0 {
 		n.id = Identity{ID: n.randomID(), Name: settings.Name}
 		n.save(Record{Identity: &n.id, Starts: n.starts}, nil)
@@ -131,7 +131,7 @@
 	} else {
 		n.save(Record{Starts: n.starts}, nil) // synced before anything is sent: of two copies of one store the log accepts only one
 	}
-	if store.Snapshot != nil || store.Hard != nil {
+	if store.Snapshot != nil || store.HardState != nil {
 		if err := n.startRaft(store); err != nil {
 			return nil, err
 		}
@@ -141,7 +141,7 @@
 }
 
 // randomID returns a random number to be used as a unique identifier.
-func (n *Node) randomID() uint64 { return uint64(n.rng.Next())<<31 | uint64(n.rng.Next())>>1 | 1 }
+func (n *Node) randomID() uint64 { return uint64(n.rng.Uint32())<<31 | uint64(n.rng.Uint32())>>1 | 1 }
 
 // startRaft starts raft with the state of the store.
 func (n *Node) startRaft(store Store) error {
@@ -155,13 +155,13 @@
 		}
 		n.conf = s.GetMetadata().GetConfState()
 	}
-	if store.Hard != nil {
-		n.storage.SetHardState(store.Hard)
+	if store.HardState != nil {
+		n.storage.SetHardState(store.HardState)
 	}
 	if err := n.storage.Append(store.Entries); err != nil {
 		return fmt.Errorf("store: entries: %w", err)
 	}
-	r, err := raft.NewRawNode(&raft.Config{ID: n.id.ID, ElectionTick: max(5, int(n.settings.Election/n.settings.Beat)), HeartbeatTick: 1,
+	r, err := raft.NewRawNode(&raft.Config{ID: n.id.ID, ElectionTick: max(5, int(n.settings.Election/n.settings.Heartbeat)), HeartbeatTick: 1,
 		Storage: n.storage, Applied: n.applied, MaxSizePerMsg: 256 << 10, MaxCommittedSizePerReady: 1 << 20,
 		MaxUncommittedEntriesSize: 4 << 20, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true,
 		DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: discardLogger{}})
@@ -176,20 +176,20 @@
 // restoreState replaces all replicated state by that of a snapshot.
 func (n *Node) restoreState(data []byte, index uint64) error {
 	var state replicatedState
-	if err := canon.Decode(data, &state); err != nil {
+	if err := codec.Decode(data, &state); err != nil {
 		return err
 	}
 	if err := n.members.Load(state.Members); err != nil {
 		return err
 	}
-	for name, book := range n.books {
+	for name, stateMachine := range n.stateMachines {
 		saved, found := state.Books[name]
-		if err := book.Load(saved); err != nil {
-			return fmt.Errorf("book %s: %w", name, err)
+		if err := stateMachine.Load(saved); err != nil {
+			return fmt.Errorf("state machine %s: %w", name, err)
 		}
-		if observer, ok := book.(MembershipObserver); ok && !found { // the snapshot was written before this state machine existed
+		if observer, ok := stateMachine.(MembershipObserver); ok && !found { // the snapshot was written before this state machine existed
 			for _, m := range n.members.All() {
-				observer.Member(index, *m)
+				observer.MemberChanged(index, *m)
 			}
 		}
 	}
@@ -210,10 +210,10 @@
 // encodeState returns all replicated state as a snapshot.
 func (n *Node) encodeState() []byte {
 	state := replicatedState{Members: n.members.Save(), Books: map[string][]byte{}}
-	for name, book := range n.books {
-		state.Books[name] = book.Save()
+	for name, stateMachine := range n.stateMachines {
+		state.Books[name] = stateMachine.Save()
 	}
-	return canon.Encode(state)
+	return codec.Encode(state)
 }
 
 // Handle processes an event; nil only advances the time.
@@ -225,7 +225,7 @@
 	switch e := e.(type) {
 	case Received:
 		n.handleFrame(e.From, e.Frame)
-	case Lost:
+	case SendFailed:
 		if id := n.voterID(e.To); n.raft != nil && id != 0 {
 			n.raft.ReportUnreachable(id)
 			n.raft.ReportSnapshot(id, raft.SnapshotFailure)
@@ -235,7 +235,7 @@
 		}
 	case Saved:
 		n.handleSaved(e.Took)
-	case Broken:
+	case DiskFailed:
 		n.broken, n.onSaved, n.raft, n.saveQueue = true, nil, nil, nil
 		n.logInfo("this gateway's store can't be written: it does not vote until it is restarted", "error", e.Err)
 	case Propose:
@@ -305,7 +305,7 @@
 	for i := 0; i+1 < len(fields); i += 2 {
 		f[fields[i].(string)] = fields[i+1]
 	}
-	n.emit(Say{Text: message, Fields: f})
+	n.emit(Log{Text: message, Fields: f})
 }
 
 // send emits a frame to a peer.
@@ -358,7 +358,7 @@
 // for more of the log, which it does along with its renewals: while commands are pending it renews at every beat.
 func (n *Node) nextRenewal() float64 {
 	if n.raft == nil && n.founding != nil && len(n.pending) > 0 {
-		return min(n.renewAt, n.renewedAt+n.settings.Beat)
+		return min(n.renewAt, n.renewedAt+n.settings.Heartbeat)
 	}
 	return n.renewAt
 }
@@ -381,8 +381,8 @@
 	}
 }
 
-// Leads reports whether this gateway is the leader, as far as it knows.
-func (n *Node) Leads() bool { return n.isLeader() }
+// IsLeader reports whether this gateway is the leader, as far as it knows.
+func (n *Node) IsLeader() bool { return n.isLeader() }
 
 // Incarnation returns that of this process; 0 before the log has assigned one, and after the process has left or
 // yielded.
@@ -426,7 +426,7 @@
 // resetElectionTimer puts off the next election, as a leader was heard.
 func (n *Node) resetElectionTimer() {
 	n.leaderHeardAt, n.leaderForgotten = n.now, false
-	n.electionAt = n.now + n.settings.Election*(1.1+n.rng.Below())
+	n.electionAt = n.now + n.settings.Election*(1.1+n.rng.Float64())
 }
 
 // runTimers does what is due: heartbeats, elections, renewals, joins, retries, and read index requests.
@@ -447,7 +447,7 @@
 			// Ticks go on during a write, so that a hung disk costs the leadership. A process that was suspended
 			// catches up only on as many ticks as it takes to find out that it has lost its quorum.
 			for n.now >= n.heartbeatAt && n.isLeader() {
-				if n.heartbeatAt += n.settings.Beat; n.heartbeatAt < n.now-2*n.settings.Election {
+				if n.heartbeatAt += n.settings.Heartbeat; n.heartbeatAt < n.now-2*n.settings.Election {
 					n.heartbeatAt = n.now
 				}
 				n.raft.Tick()
@@ -465,7 +465,7 @@
 				n.raft.ForgetLeader()
 			}
 			if n.now >= n.electionAt {
-				n.electionAt = n.now + n.settings.Election*(0.5+n.rng.Below())
+				n.electionAt = n.now + n.settings.Election*(0.5+n.rng.Float64())
 				if n.roleOf(n.id.ID) != roleVoter {
 					// A learner, or a former voter, that hears no leader asks whether it still belongs to the
 					// configuration.
@@ -504,15 +504,15 @@
 		if ready.SoftState != nil {
 			n.setLeader(ready.SoftState.Lead)
 		}
-		record := Record{Hard: ready.HardState, Entries: ready.Entries}
+		record := Record{HardState: ready.HardState, Entries: ready.Entries}
 		if len(record.Entries) > 0 {
-			record.Marks = maps.Clone(n.highWaterMarks) // stored along with writes that happen anyway
+			record.HighWaterMarks = maps.Clone(n.highWaterMarks) // stored along with writes that happen anyway
 		}
 		if ready.Snapshot != nil && ready.Snapshot.GetMetadata().GetIndex() > 0 {
 			record.Snapshot = ready.Snapshot
 		}
 		done := func() { n.finishReady(ready, record) }
-		if record.Hard == nil && len(record.Entries) == 0 && record.Snapshot == nil {
+		if record.HardState == nil && len(record.Entries) == 0 && record.Snapshot == nil {
 			done()
 			continue
 		}
@@ -535,8 +535,8 @@
 			n.conf = record.Snapshot.GetMetadata().GetConfState()
 		}
 	}
-	if record.Hard != nil {
-		n.storage.SetHardState(record.Hard)
+	if record.HardState != nil {
+		n.storage.SetHardState(record.HardState)
 	}
 	if err := n.storage.Append(record.Entries); err != nil {
 		n.broken, n.raft = true, nil
@@ -594,25 +594,25 @@
 		return
 	}
 	var c Command
-	if canon.Decode(data, &c) != nil {
+	if codec.Decode(data, &c) != nil {
 		return
 	}
 	var result any
 	if err := n.members.checkSequence(c); err != nil {
 		result = err
-	} else if c.Book == membersBook {
+	} else if c.StateMachine == membersStateMachine {
 		result = n.members.Apply(index, c)
 		n.memberChanged(c, result)
 		if result == ErrOldStore {
 			n.storeRejected(c)
 		}
-	} else if b := n.books[c.Book]; b != nil {
+	} else if b := n.stateMachines[c.StateMachine]; b != nil {
 		result = b.Apply(index, c)
 	} else {
 		result = ErrUnknown
 	}
 	n.outOfOrder = n.outOfOrder || result == ErrEarly && c.From == n.incarnation
-	n.emit(Agreed{Index: index, Command: c, Result: result})
+	n.emit(Committed{Index: index, Command: c, Result: result})
 	for i, p := range n.pending {
 		if c.From == n.incarnation && c.Seq == p.command.Seq && c.From != 0 && result != ErrEarly {
 			n.pending = slices.Delete(n.pending, i, i+1)
@@ -630,19 +630,19 @@
 	if !ok {
 		return
 	}
-	for _, name := range slices.Sorted(maps.Keys(n.books)) {
-		if observer, ok := n.books[name].(MembershipObserver); ok {
+	for _, name := range slices.Sorted(maps.Keys(n.stateMachines)) {
+		if observer, ok := n.stateMachines[name].(MembershipObserver); ok {
 			if n.members.evicted != "" {
-				observer.Member(n.applied, Member{Name: n.members.evicted})
+				observer.MemberChanged(n.applied, Member{Name: n.members.evicted})
 			}
-			observer.Member(n.applied, m)
+			observer.MemberChanged(n.applied, m)
 		}
 	}
 	n.members.evicted = ""
-	n.logInfo("member", "name", m.Name, "incarnation", m.Incarnation, "is", m.Standing.String(), "index", m.Since)
+	n.logInfo("member", "name", m.Name, "incarnation", m.Incarnation, "is", m.State.String(), "index", m.Since)
 	n.lastRenewal[m.Incarnation] = n.now
 	if c.Kind == cmdDoubled {
-		n.logInfo("two processes use one name: the older one has to yield", "name", m.Name, "older", m.Doubled, "newer", m.Incarnation)
+		n.logInfo("two processes use one name: the older one has to yield", "name", m.Name, "older", m.DuplicateIncarnation, "newer", m.Incarnation)
 	}
 	if m.Name == n.settings.Name {
 		n.ownMemberChanged(m)
@@ -680,10 +680,10 @@
 // compact drops log entries that no voter is expected to need, once enough have accumulated.
 func (n *Node) compact() {
 	first, err := n.storage.FirstIndex()
-	if n.settings.Keep <= 0 || err != nil || n.applied < first+uint64(2*n.settings.Keep) || n.conf == nil {
+	if n.settings.KeepEntries <= 0 || err != nil || n.applied < first+uint64(2*n.settings.KeepEntries) || n.conf == nil {
 		return
 	}
-	compactIndex := n.applied - uint64(n.settings.Keep)
+	compactIndex := n.applied - uint64(n.settings.KeepEntries)
 	snapshot, err := n.storage.CreateSnapshot(n.applied, n.conf, n.encodeState())
 	if err != nil || n.storage.Compact(compactIndex) != nil {
 		return
--- a/internal/quorum/readindex_test.go
+++ b/internal/quorum/readindex_test.go
@@ -13,7 +13,7 @@
 	for seed := range uint64(20) {
 		s := newSim(t, 900+seed, 3, 2)
 		for _, g := range s.gateways {
-			g.settings.Sight, g.settings.Keep = 200, []int{4, 50}[seed%2]
+			g.settings.ReadIndexInterval, g.settings.KeepEntries = 200, []int{4, 50}[seed%2]
 		}
 		s.start(s.names...)
 		if !s.run(20_000, s.converged) {
@@ -36,7 +36,7 @@
 				if !g.up || g.frozen {
 					continue
 				}
-				at, knows := g.node.Sight()
+				at, knows := g.node.FreshAsOf()
 				for _, commit := range commits {
 					if knows && commit.at < at && g.node.applied < commit.index {
 						t.Fatalf("seed %d: at %.0f ms %s claims to have seen all before %.0f, and has not applied index %d, committed at %.0f", seed, s.now, name, at, commit.index, commit.at)
@@ -49,14 +49,14 @@
 			return false
 		}
 		for n := range 60 {
-			name := s.names[int(s.chance.Next())%len(s.names)]
+			name := s.names[int(s.chance.Uint32())%len(s.names)]
 			g := s.gateways[name]
-			if l := s.leaders(); len(l) > 0 && s.chance.Below() < 0.4 {
+			if l := s.leaders(); len(l) > 0 && s.chance.Float64() < 0.4 {
 				name, g = l[0], s.gateways[l[0]]
 			}
-			switch s.chance.Next() % 7 {
+			switch s.chance.Uint32() % 7 {
 			case 0:
-				i := 1 + int(s.chance.Next())%(len(s.names)-1)
+				i := 1 + int(s.chance.Uint32())%(len(s.names)-1)
 				s.partition(s.names[:i], s.names[i:])
 			case 1:
 				s.partition([]string{name}, slices.DeleteFunc(slices.Clone(s.names), func(x string) bool { return x == name }))
@@ -70,7 +70,7 @@
 				}
 			case 4, 5:
 				s.heal()
-				s.delay = [2]float64{1, []float64{5, 400}[int(s.chance.Next()%2)]}
+				s.delay = [2]float64{1, []float64{5, 400}[int(s.chance.Uint32()%2)]}
 			case 6:
 				if !g.up {
 					s.start(name)
@@ -83,7 +83,7 @@
 					s.propose(x, fmt.Sprintf("%s-%04d", x, n))
 				}
 			}
-			s.run(100+900*s.chance.Below(), check)
+			s.run(100+900*s.chance.Float64(), check)
 		}
 		s.heal()
 		s.delay = [2]float64{1, 5}
@@ -96,7 +96,7 @@
 		}
 		s.run(20_000, check)
 		for _, name := range s.names {
-			if at, _ := s.gateways[name].node.Sight(); s.now-at > 1000 {
+			if at, _ := s.gateways[name].node.FreshAsOf(); s.now-at > 1000 {
 				t.Errorf("seed %d: %s is %.0f ms behind", seed, name, s.now-at)
 			}
 		}
--- a/internal/rehearsal/sockets/control.go
+++ b/internal/rehearsal/sockets/control.go
@@ -13,23 +13,23 @@
 
 	"golang.org/x/sys/unix"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/owner"
-	owned "poppymill/internal/owner/drive"
-	"poppymill/internal/owner/place"
+	ownerdriver "poppymill/internal/owner/driver"
+	"poppymill/internal/owner/effectlog"
 	"poppymill/internal/purges"
-	sweep "poppymill/internal/purges/drive"
+	purgesdriver "poppymill/internal/purges/driver"
 	"poppymill/internal/quorum"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 	"poppymill/internal/rehearsal/script"
 	"poppymill/internal/rehearsal/world"
 )
 
 // Call sends a question or a command to a gateway's quorum port, bypassing the relays.
-func (s *Stage) Call(gateway int, q drive.Question, within time.Duration) (drive.Reply, error) {
+func (s *Stage) Call(gateway int, q quorumdriver.Query, within time.Duration) (quorumdriver.Reply, error) {
 	ctx, cancel := context.WithTimeout(s.ctx, within)
 	defer cancel()
-	return drive.Put(ctx, s.relays.peerAddresses[gateway], q)
+	return quorumdriver.SendQuery(ctx, s.relays.peerAddresses[gateway], q)
 }
 
 // QuorumReports returns each gateway's report on the replicated log; nil for one that does not answer.
@@ -38,7 +38,7 @@
 	var g sync.WaitGroup
 	for i := range all {
 		g.Go(func() {
-			if r, err := s.Call(i, drive.Question{}, within); err == nil {
+			if r, err := s.Call(i, quorumdriver.Query{}, within); err == nil {
 				all[i] = &r.Report
 			}
 		})
@@ -48,12 +48,12 @@
 }
 
 // EffectRecords returns the recorded effects of owned work of each gateway that answers, in the order of its record.
-func (s *Stage) EffectRecords(within time.Duration) [][]place.Entry {
-	all := make([][]place.Entry, len(s.relays.peerAddresses))
+func (s *Stage) EffectRecords(within time.Duration) [][]effectlog.Entry {
+	all := make([][]effectlog.Entry, len(s.relays.peerAddresses))
 	var g sync.WaitGroup
 	for i := range all {
 		g.Go(func() {
-			if r, err := s.Call(i, drive.Question{About: "effects"}, within); err == nil && r.Error == "" {
+			if r, err := s.Call(i, quorumdriver.Query{Subject: "effects"}, within); err == nil && r.Error == "" {
 				json.Unmarshal(r.Body, &all[i])
 			}
 		})
@@ -70,8 +70,8 @@
 	at := s.now()
 	for i, all := range s.EffectRecords(2 * time.Second) {
 		for _, e := range all {
-			s.Facts(world.Effected{At: at, Gateway: i, Step: e.Effect.Step, Job: e.Effect.Job, From: e.Effect.From, Type: e.Effect.Type.String(),
-				Token: e.Effect.Token, Newer: e.Refused, Again: e.Again, Told: e.Told})
+			s.Facts(world.StepLogged{At: at, Gateway: i, Step: e.Effect.Step, Job: e.Effect.Job, From: e.Effect.From, Type: e.Effect.Type.String(),
+				Token: e.Effect.Token, NewerToken: e.NewerToken, Repeated: e.Repeated, TokenNotice: e.FromLog})
 		}
 	}
 }
@@ -79,18 +79,18 @@
 // startJob submits a job to one gateway after another until one confirms that it was committed. Submitting the same job again
 // has no effect.
 func (s *Stage) startJob(j script.Job) {
-	job := owner.Job{Name: j.Name, Kind: owned.Drill, Steps: j.Steps, Window: j.Window}
+	job := owner.Job{Name: j.Name, Kind: ownerdriver.KindDrill, Steps: j.Steps, Window: j.Window}
 	for job.Type = owner.Safe; job.Type.String() != j.Type; job.Type++ {
 	}
 	for i := range j.Places {
 		s.Do(func(w *world.World) {
 			name, _, _ := w.Config(i)
-			job.Places = append(job.Places, name)
+			job.Gateways = append(job.Gateways, name)
 		})
 	}
-	command := &quorum.Command{Book: owned.Book, Kind: owner.Start, Data: canon.Encode(job)}
+	command := &quorum.Command{StateMachine: ownerdriver.StateMachineName, Kind: owner.Start, Data: codec.Encode(job)}
 	for i := 0; s.ctx.Err() == nil; i++ {
-		if r, err := s.Call(i%len(s.gateways), drive.Question{Command: command}, 2*time.Second); err == nil && r.Error == "" {
+		if r, err := s.Call(i%len(s.gateways), quorumdriver.Query{Command: command}, 2*time.Second); err == nil && r.Error == "" {
 			return
 		}
 		select {
@@ -102,15 +102,15 @@
 
 // startPurge submits a purge to one gateway after another until one confirms that it was accepted, and reports as facts what
 // has to hold from then on.
-func (s *Stage) startPurge(a world.Withdraw) {
-	p, accepted := purges.Purge{ID: a.ID, Objects: a.Objects, Groups: a.Groups}, sweep.Purge{}
+func (s *Stage) startPurge(a world.SubmitPurge) {
+	p, accepted := purges.Purge{ID: a.ID, Objects: a.Objects, Groups: a.Groups}, purgesdriver.PurgeReport{}
 	for i := 0; s.ctx.Err() == nil && accepted.Purge.ID == ""; i++ {
 		gateway := i % len(s.gateways)
 		var limits purges.Limits
-		if r, err := s.Call(gateway, drive.Question{About: "purge limits"}, time.Second); err == nil && r.Error == "" && json.Unmarshal(r.Body, &limits) == nil {
-			order := purges.Order{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &limits}
-			command := &quorum.Command{Book: sweep.Book, Kind: purges.Accept, Data: canon.Encode(order)}
-			if r, err := s.Call(gateway, drive.Question{Command: command, About: "purge", Name: a.ID}, 2*time.Second); err == nil && r.Error == "" && json.Unmarshal(r.Body, &accepted) == nil {
+		if r, err := s.Call(gateway, quorumdriver.Query{Subject: "purge limits"}, time.Second); err == nil && r.Error == "" && json.Unmarshal(r.Body, &limits) == nil {
+			order := purges.CommandData{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &limits}
+			command := &quorum.Command{StateMachine: purgesdriver.StateMachineName, Kind: purges.Accept, Data: codec.Encode(order)}
+			if r, err := s.Call(gateway, quorumdriver.Query{Command: command, Subject: "purge", Name: a.ID}, 2*time.Second); err == nil && r.Error == "" && json.Unmarshal(r.Body, &accepted) == nil {
 				break
 			}
 		}
@@ -124,7 +124,7 @@
 	}
 	epoch := float64(s.start.UnixMicro()) / 1000
 	s.Do(func(*world.World) {
-		f := world.Purging{Group: -1, When: accepted.Accepted - epoch, By: accepted.Effective - epoch}
+		f := world.PurgeAgreed{Group: -1, When: accepted.Accepted - epoch, Deadline: accepted.Effective - epoch}
 		for _, f.Object = range p.Objects {
 			s.Facts(f)
 		}
--- a/internal/rehearsal/sockets/maintenance_faults_test.go
+++ b/internal/rehearsal/sockets/maintenance_faults_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"poppymill/internal/maintenance"
-	machines "poppymill/internal/maintenance/drive"
-	"poppymill/internal/quorum/drive"
+	maintenancedriver "poppymill/internal/maintenance/driver"
+	quorumdriver "poppymill/internal/quorum/driver"
 	"poppymill/internal/rehearsal/script"
 	"poppymill/internal/rehearsal/world"
 )
@@ -20,7 +20,7 @@
 		return -1
 	}
 	for _, m := range f.Machines {
-		if m.Hurt {
+		if m.Degraded {
 			n++
 		}
 	}
@@ -28,8 +28,8 @@
 }
 
 // machine returns the state of a machine.
-func (mc *machineCluster) machine(name string) (m machines.Machine) {
-	mc.call(drive.Question{About: "machine", Name: name}, &m, 0)
+func (mc *machineCluster) machine(name string) (m maintenancedriver.Machine) {
+	mc.call(quorumdriver.Query{Subject: "machine", Name: name}, &m, 0)
 	return m
 }
 
@@ -50,7 +50,7 @@
 			return len(mc.outCount)
 		}
 		lose := func(on, name string, ms float64) {
-			mc.stage.Do(func(w *world.World) { w.Happen(script.Event{Do: "kill", On: on, Name: name, For: ms}) })
+			mc.stage.Do(func(w *world.World) { w.ApplyEvent(script.Event{Kind: "kill", On: on, Name: name, Duration: ms}) })
 		}
 		mc.waitFor("two machines have gone out", func() bool { return departed() >= 2 })
 		lose("hub", mc.hubs[2], 2500)
@@ -87,13 +87,13 @@
 		t.Run(silent, func(t *testing.T) {
 			runMaintenance(t, "  most = 1\n  drain = \"700ms\"\n  silent = \""+silent+"\"\n", func(mc *machineCluster) {
 				name := "m-" + mc.boxes[0]
-				mc.inject(script.Event{Do: "delay", Name: mc.names[4], For: 4000, Delay: 800})
+				mc.inject(script.Event{Kind: "delay", Name: mc.names[4], Duration: 4000, Delay: 800})
 				mc.requestMaintenance(name)
 				why := ""
 				mc.waitFor("a machine with the reason "+reason, func() bool {
 					if m := mc.machine(name); m.Work != nil {
-						if why = m.Work.Why; silent == "back" {
-							why = m.Work.Before
+						if why = m.Work.Reason; silent == "back" {
+							why = m.Work.LastRevocation
 						}
 					}
 					return strings.Contains(why, reason)
@@ -112,9 +112,9 @@
 func TestRequestsFromBothSidesOfPartition(t *testing.T) {
 	runMaintenance(t, "  most = 1\n  drain = \"6s\"\n", func(mc *machineCluster) {
 		name, other := "m-"+mc.boxes[0], "m-"+mc.boxes[1]
-		mc.inject(script.Event{Do: "part", Name: mc.names[0], For: 2500})
+		mc.inject(script.Event{Kind: "part", Name: mc.names[0], Duration: 2500})
 		submit := func(machine string, from int) bool {
-			err, ok := mc.submitOrder(maintenance.Ask, maintenance.Order{Request: &maintenance.Request{ID: "r-" + machine, Machine: machine, Takes: windowMillis}}, from)
+			err, ok := mc.submitOrder(maintenance.Submit, maintenance.CommandData{Request: &maintenance.Request{ID: "r-" + machine, Machine: machine, Duration: windowMillis}}, from)
 			return err == nil && ok
 		}
 		for _, from := range []int{1, 2, 1} {
@@ -122,7 +122,7 @@
 		}
 		mc.waitFor("another request", func() bool { return submit(other, 1) })
 		mc.waitFor("the other request is cancelled", func() bool {
-			err, ok := mc.submitOrder(maintenance.Cancel, maintenance.Order{ID: "r-" + other}, 2)
+			err, ok := mc.submitOrder(maintenance.Cancel, maintenance.CommandData{ID: "r-" + other}, 2)
 			return err == nil && ok
 		})
 		mc.waitForReports("all converged after the cut is healed", mc.converged)
--- a/internal/rehearsal/sockets/maintenance_test.go
+++ b/internal/rehearsal/sockets/maintenance_test.go
@@ -14,13 +14,13 @@
 	"testing"
 	"time"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/failpoint"
 	"poppymill/internal/maintenance"
-	machines "poppymill/internal/maintenance/drive"
+	maintenancedriver "poppymill/internal/maintenance/driver"
 	"poppymill/internal/owner"
 	"poppymill/internal/quorum"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 	"poppymill/internal/rehearsal/script"
 	"poppymill/internal/rehearsal/world"
 )
@@ -65,7 +65,7 @@
 		}
 	}, func(c *cluster) {
 		mc.cluster = c
-		_, events := c.stage.world.Known()
+		_, events := c.stage.world.ChannelEvents()
 		for _, e := range events {
 			if nodes, ok := e["nodes"].(map[string]any); ok {
 				for _, p := range nodes["endpoints"].([]any) {
@@ -121,12 +121,12 @@
 
 // machineList is the answer to a question about all machines.
 type machineList struct {
-	Machines []machines.Machine
+	Machines []maintenancedriver.Machine
 }
 
 // call sends a question or a command to one gateway after another until one answers, and decodes the answer. The second result
 // reports whether one answered.
-func (mc *machineCluster) call(q drive.Question, to any, from int) (error, bool) {
+func (mc *machineCluster) call(q quorumdriver.Query, to any, from int) (error, bool) {
 	for i := range mc.names {
 		r, err := mc.stage.Call((from+i)%len(mc.names), q, time.Second)
 		if err != nil || q.Command != nil && !r.Report.Majority && r.Error != "" {
@@ -145,21 +145,21 @@
 
 // fleet returns all machines.
 func (mc *machineCluster) fleet() (f machineList) {
-	mc.call(drive.Question{About: "machines"}, &f, 0)
+	mc.call(quorumdriver.Query{Subject: "machines"}, &f, 0)
 	return f
 }
 
 // submitOrder submits a maintenance command. The second result reports whether a gateway answered.
-func (mc *machineCluster) submitOrder(kind string, o maintenance.Order, from int) (error, bool) {
+func (mc *machineCluster) submitOrder(kind string, o maintenance.CommandData, from int) (error, bool) {
 	o.At = float64(time.Now().UnixMilli())
-	return mc.call(drive.Question{Command: &quorum.Command{Book: machines.Book, Kind: kind, Data: canon.Encode(o)}}, nil, from)
+	return mc.call(quorumdriver.Query{Command: &quorum.Command{StateMachine: maintenancedriver.StateMachineName, Kind: kind, Data: codec.Encode(o)}}, nil, from)
 }
 
 // requestMaintenance requests a maintenance window for each machine and starts the machines' agents.
 func (mc *machineCluster) requestMaintenance(names ...string) {
 	for i, name := range names {
 		mc.waitFor("the request for "+name+" is committed", func() bool {
-			err, answered := mc.submitOrder(maintenance.Ask, maintenance.Order{Request: &maintenance.Request{ID: "r-" + name, Machine: name, Takes: windowMillis}}, i)
+			err, answered := mc.submitOrder(maintenance.Submit, maintenance.CommandData{Request: &maintenance.Request{ID: "r-" + name, Machine: name, Duration: windowMillis}}, i)
 			return err == nil && answered
 		})
 		mc.running.Add(1)
@@ -173,10 +173,10 @@
 // runAgent emulates the agent of a machine: it starts to drain when granted, takes the machine out once the log permits it, and
 // reports it back after the window.
 func (mc *machineCluster) runAgent(name string, n int) {
-	wentOut, stageSince, lastStage := false, 0.0, maintenance.In
+	wentOut, stageSince, lastStage := false, 0.0, maintenance.InService
 	for end := time.Now().Add(100 * time.Second); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
-		var m machines.Machine
-		if err, ok := mc.call(drive.Question{About: "machine", Name: name, Fresh: true}, &m, n); !ok || err != nil {
+		var m maintenancedriver.Machine
+		if err, ok := mc.call(quorumdriver.Query{Subject: "machine", Name: name, Fresh: true}, &m, n); !ok || err != nil {
 			continue // no gateway knows its state
 		}
 		now := mc.stage.now()
@@ -193,12 +193,12 @@
 			}
 			stageSince, lastStage = now, m.Work.Stage
 		}
-		o := maintenance.Order{Machine: name, Token: m.Work.Token}
+		o := maintenance.CommandData{Machine: name, Token: m.Work.Token}
 		switch m.Work.Stage {
 		case maintenance.Granted:
 			mc.submitOrder(maintenance.Drain, o, n)
 		case maintenance.Draining:
-			if err, ok := mc.submitOrder(maintenance.Go, o, n); err == nil && ok {
+			if err, ok := mc.submitOrder(maintenance.Leave, o, n); err == nil && ok {
 				mc.recordTime(1, mc.stage.now()-stageSince)
 				wentOut = true
 				mc.takeOut(name)
@@ -206,7 +206,7 @@
 					return
 				}
 			}
-		case maintenance.Out, maintenance.Overdue:
+		case maintenance.OutOfService, maintenance.Overdue:
 			mc.mu.Lock()
 			since, out := mc.outSince[name]
 			mc.mu.Unlock()
@@ -217,7 +217,7 @@
 			} else if out {
 				continue
 			}
-			mc.submitOrder(maintenance.Back, o, n)
+			mc.submitOrder(maintenance.Return, o, n)
 		}
 	}
 	mc.mu.Lock()
@@ -245,11 +245,11 @@
 	node := strings.TrimPrefix(name, "m-")
 	mc.stage.Do(func(w *world.World) {
 		if slices.Contains(mc.boxes, node) {
-			w.Happen(script.Event{Do: "kill", On: "edge", Name: node, For: windowMillis})
+			w.ApplyEvent(script.Event{Kind: "kill", On: "edge", Name: node, Duration: windowMillis})
 		} else if slices.Contains(mc.hubs, node) {
-			w.Happen(script.Event{Do: "kill", On: "hub", Name: node, For: windowMillis})
+			w.ApplyEvent(script.Event{Kind: "kill", On: "hub", Name: node, Duration: windowMillis})
 		} else {
-			w.Happen(script.Event{Do: "restart", On: "gateway", Name: node, For: windowMillis})
+			w.ApplyEvent(script.Event{Kind: "restart", On: "gateway", Name: node, Duration: windowMillis})
 		}
 	})
 }
@@ -261,7 +261,7 @@
 		f, open := mc.fleet(), ""
 		for _, m := range f.Machines {
 			if slices.Contains(names, m.Name) && m.Work != nil {
-				open += fmt.Sprintf(" %s stage %s hurt %t %+v waits %v;", m.Name, m.Stage, m.Hurt, *m.Work, m.Waits)
+				open += fmt.Sprintf(" %s stage %s hurt %t %+v waits %v;", m.Name, m.Stage, m.Degraded, *m.Work, m.PendingAcks)
 			}
 		}
 		if len(f.Machines) > 0 && open == "" {
@@ -313,7 +313,7 @@
 // notified, and resumes late; meanwhile another gateway grants. A frozen gateway does not acknowledge a drain, so the machine is
 // put back and goes later; a box is lost unplanned and counts towards the same limits. The schedule continues without intervention.
 func TestScheduleOwnerStopped(t *testing.T) {
-	for _, where := range []string{failpoint.Scheduling, failpoint.Agreed} {
+	for _, where := range []string{failpoint.Scheduling, failpoint.Committed} {
 		t.Run(where, func(t *testing.T) { runScheduleOwnerStopped(t, where) })
 	}
 }
@@ -321,7 +321,7 @@
 // runScheduleOwnerStopped stops the owner of the schedule at one failpoint.
 func runScheduleOwnerStopped(t *testing.T, where string) {
 	runMaintenance(t, "  most = 2\n  drain = \"1500ms\"\n", func(mc *machineCluster) {
-		first := mc.waitForJob(machines.Schedule, "owned", func(j owner.Report) bool { return j.Owner != "" })
+		first := mc.waitForJob(maintenancedriver.Schedule, "owned", func(j owner.Report) bool { return j.Owner != "" })
 		old := mc.index(first.Owner)
 		mc.armFailpoint(old, "stop", where, 1)
 		requested := []string{"m-" + mc.boxes[0], "m-" + mc.boxes[1], "m-" + mc.boxes[2]}
@@ -332,20 +332,20 @@
 			defer close(frozen)
 			for end := time.Now().Add(20 * time.Second); !mc.stage.ProcessStopped(old) && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 			}
-			mc.inject(script.Event{Do: "freeze", Name: mc.names[old], For: 5000})
+			mc.inject(script.Event{Kind: "freeze", Name: mc.names[old], Duration: 5000})
 		}()
 		mc.requestMaintenance(requested...)
 		<-frozen
 		mc.waitForFailpoint(old)
-		mc.waitForJob(machines.Schedule, "another gateway owns the schedule", func(j owner.Report) bool { return j.Token > first.Token && j.Owner != first.Owner })
+		mc.waitForJob(maintenancedriver.Schedule, "another gateway owns the schedule", func(j owner.Report) bool { return j.Token > first.Token && j.Owner != first.Owner })
 		mc.mu.Lock()
 		mc.lost = 1
 		mc.mu.Unlock()
 		mc.stage.Do(func(w *world.World) {
-			w.Happen(script.Event{Do: "kill", On: "edge", Name: mc.boxes[5], For: 2500})
+			w.ApplyEvent(script.Event{Kind: "kill", On: "edge", Name: mc.boxes[5], Duration: 2500})
 		})
 		mc.waitFor("the log shows the loss", func() bool {
-			return slices.ContainsFunc(mc.fleet().Machines, func(m machines.Machine) bool { return m.Hurt && m.Work == nil })
+			return slices.ContainsFunc(mc.fleet().Machines, func(m maintenancedriver.Machine) bool { return m.Degraded && m.Work == nil })
 		})
 		mc.mu.Lock()
 		mc.lost = 0
@@ -372,10 +372,10 @@
 		mc.neverReturn[first] = true
 		mc.requestMaintenance(first)
 		mc.waitFor(first+" is overdue", func() bool { return stage(first) == "overdue" })
-		mc.inject(script.Event{Do: "part", Name: mc.names[0], For: 4000})
-		mc.inject(script.Event{Do: "part", Name: mc.names[1], For: 4000, OneWay: true})
-		o := maintenance.Order{At: float64(time.Now().UnixMilli()), Request: &maintenance.Request{ID: "r-" + rest[0], Machine: rest[0], Takes: windowMillis}}
-		r, err := mc.stage.Call(0, drive.Question{Command: &quorum.Command{Book: machines.Book, Kind: maintenance.Ask, Data: canon.Encode(o)}}, 1500*time.Millisecond)
+		mc.inject(script.Event{Kind: "part", Name: mc.names[0], Duration: 4000})
+		mc.inject(script.Event{Kind: "part", Name: mc.names[1], Duration: 4000, OneWay: true})
+		o := maintenance.CommandData{At: float64(time.Now().UnixMilli()), Request: &maintenance.Request{ID: "r-" + rest[0], Machine: rest[0], Duration: windowMillis}}
+		r, err := mc.stage.Call(0, quorumdriver.Query{Command: &quorum.Command{StateMachine: maintenancedriver.StateMachineName, Kind: maintenance.Submit, Data: codec.Encode(o)}}, 1500*time.Millisecond)
 		if err == nil && r.Error == "" {
 			t.Errorf("a gateway without a majority took a request: %+v", r)
 		}
@@ -389,7 +389,7 @@
 			return false
 		})
 		for _, g := range mc.names {
-			mc.inject(script.Event{Do: "kill", Name: g, For: 800})
+			mc.inject(script.Event{Kind: "kill", Name: g, Duration: 800})
 		}
 		mc.waitAllIn(2, rest...)
 		if s := stage(first); s != "overdue" {
@@ -398,10 +398,10 @@
 		mc.mu.Lock()
 		delete(mc.outSince, first)
 		mc.mu.Unlock()
-		var m machines.Machine
-		mc.call(drive.Question{About: "machine", Name: first}, &m, 0)
+		var m maintenancedriver.Machine
+		mc.call(quorumdriver.Query{Subject: "machine", Name: first}, &m, 0)
 		mc.waitFor(first+" is back", func() bool {
-			mc.submitOrder(maintenance.Back, maintenance.Order{Machine: first, Token: m.Work.Token}, 0)
+			mc.submitOrder(maintenance.Return, maintenance.CommandData{Machine: first, Token: m.Work.Token}, 0)
 			return stage(first) == "in"
 		})
 	})
@@ -413,7 +413,7 @@
 	runMaintenance(t, "  most = 1\n  drain = \"6s\"\n", func(mc *machineCluster) {
 		name, dir := "m-"+mc.boxes[0], t.TempDir()
 		mc.waitFor("the request is committed", func() bool {
-			err, answered := mc.submitOrder(maintenance.Ask, maintenance.Order{Request: &maintenance.Request{ID: "r", Machine: name, Takes: 60_000}}, 0)
+			err, answered := mc.submitOrder(maintenance.Submit, maintenance.CommandData{Request: &maintenance.Request{ID: "r", Machine: name, Duration: 60_000}}, 0)
 			return err == nil && answered
 		})
 		run := func() ([]byte, error) {
--- a/internal/rehearsal/sockets/owner_test.go
+++ b/internal/rehearsal/sockets/owner_test.go
@@ -11,14 +11,14 @@
 	"testing"
 	"time"
 
-	"poppymill/internal/canon"
-	"poppymill/internal/chance"
+	"poppymill/internal/codec"
 	"poppymill/internal/failpoint"
 	"poppymill/internal/owner"
-	owned "poppymill/internal/owner/drive"
-	"poppymill/internal/owner/place"
+	ownerdriver "poppymill/internal/owner/driver"
+	"poppymill/internal/owner/effectlog"
+	"poppymill/internal/prng"
 	"poppymill/internal/quorum"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 	"poppymill/internal/rehearsal/script"
 	"poppymill/internal/rehearsal/world"
 )
@@ -39,15 +39,15 @@
 
 // submit submits a command on owned work to one gateway and reports whether it was committed.
 func (c *cluster) submit(gateway int, kind string, content any) bool {
-	command := &quorum.Command{Book: owned.Book, Kind: kind, Data: canon.Encode(content)}
-	r, err := c.stage.Call(gateway, drive.Question{Command: command}, 2*time.Second)
+	command := &quorum.Command{StateMachine: ownerdriver.StateMachineName, Kind: kind, Data: codec.Encode(content)}
+	r, err := c.stage.Call(gateway, quorumdriver.Query{Command: command}, 2*time.Second)
 	return err == nil && r.Error == ""
 }
 
 // startDrill starts a drill job whose steps are executed at the last gateways, as many as places says.
 func (c *cluster) startDrill(name string, typ owner.Type, steps, window, places int) {
 	c.t.Helper()
-	c.commit(owner.Start, owner.Job{Name: name, Kind: owned.Drill, Type: typ, Steps: steps, Window: window, Places: c.names[len(c.names)-places:]})
+	c.commit(owner.Start, owner.Job{Name: name, Kind: ownerdriver.KindDrill, Type: typ, Steps: steps, Window: window, Gateways: c.names[len(c.names)-places:]})
 }
 
 // job returns a job as seen by the gateway that has applied most of the log.
@@ -55,7 +55,7 @@
 	applied := uint64(0)
 	for i := range c.names {
 		var j owner.Report
-		r, err := c.stage.Call(i, drive.Question{About: "job", Name: name}, 300*time.Millisecond)
+		r, err := c.stage.Call(i, quorumdriver.Query{Subject: "job", Name: name}, 300*time.Millisecond)
 		if err == nil && r.Error == "" && r.Report.Applied > applied && json.Unmarshal(r.Body, &j) == nil {
 			best, applied = j, r.Report.Applied
 		}
@@ -96,7 +96,7 @@
 	c.mu.Lock()
 	c.failpoints[gateway] = fmt.Sprintf("failpoints {\n  %s = [%q]\n}\n", action, point)
 	c.mu.Unlock()
-	c.inject(script.Event{Do: "hup", Name: c.names[gateway]})
+	c.inject(script.Event{Kind: "hup", Name: c.names[gateway]})
 	c.waitFor("the failpoint is in force", func() bool { return armedCount() > before })
 	c.mu.Lock()
 	delete(c.failpoints, gateway)
@@ -122,14 +122,14 @@
 // finishJob waits until a job is finished, passes the recorded effects to the auditor and returns the records of all gateways.
 // Meanwhile it settles steps in doubt by the records of the executing gateways, as an operator would: a step that is not on
 // record at a gateway that knows a newer token did not run and never will.
-func (c *cluster) finishJob(name string) [][]place.Entry {
+func (c *cluster) finishJob(name string) [][]effectlog.Entry {
 	c.t.Helper()
 	unsettled := 0
 	c.waitForJob(name, "finished", func(j owner.Report) bool {
-		for _, d := range j.Doubt {
+		for _, d := range j.Uncertain {
 			if i := c.index(d.Place); i >= 0 {
-				if ran, fenced := owned.OnRecord(c.stage.EffectRecords(300 * time.Millisecond)[i], name, d); ran || fenced {
-					c.submit(i, owner.Verdict, owner.Claim{Job: name, Step: d.Step, Ran: ran}) // rejected if the sender has reported the result meanwhile
+				if ran, fenced := ownerdriver.CheckRecord(c.stage.EffectRecords(300 * time.Millisecond)[i], name, d); ran || fenced {
+					c.submit(i, owner.Resolve, owner.Claim{Job: name, Step: d.Step, Ran: ran}) // rejected if the sender has reported the result meanwhile
 				} else if unsettled++; unsettled%10 == 1 {
 					c.commit(owner.Fence, owner.Claim{Job: name})
 				}
@@ -143,19 +143,19 @@
 			if e.Effect.Job != name {
 				continue
 			}
-			c.audit.See(world.Effected{Gateway: i, Step: e.Effect.Step, Job: e.Effect.Job, From: e.Effect.From, Type: e.Effect.Type.String(),
-				Token: e.Effect.Token, Newer: e.Refused, Again: e.Again, Told: e.Told})
+			c.audit.Observe(world.StepLogged{Gateway: i, Step: e.Effect.Step, Job: e.Effect.Job, From: e.Effect.From, Type: e.Effect.Type.String(),
+				Token: e.Effect.Token, NewerToken: e.NewerToken, Repeated: e.Repeated, TokenNotice: e.FromLog})
 		}
 	}
 	return all
 }
 
 // countEffects counts how often each step of a job was executed, according to the records.
-func countEffects(all [][]place.Entry, job string) map[int]int {
+func countEffects(all [][]effectlog.Entry, job string) map[int]int {
 	n := map[int]int{}
 	for _, entries := range all {
 		for _, e := range entries {
-			if e.Effect.Job == job && e.Refused == 0 && !e.Told && !e.Again {
+			if e.Effect.Job == job && e.NewerToken == 0 && !e.FromLog && !e.Repeated {
 				n[e.Effect.Step]++
 			}
 		}
@@ -164,7 +164,7 @@
 }
 
 // checkSteps checks that all steps of a job are on record, and only once if once is set.
-func (c *cluster) checkSteps(all [][]place.Entry, job string, steps int, once bool) {
+func (c *cluster) checkSteps(all [][]effectlog.Entry, job string, steps int, once bool) {
 	c.t.Helper()
 	n := countEffects(all, job)
 	for step := range steps {
@@ -182,7 +182,7 @@
 		where string
 		typ   owner.Type
 		late  bool // its effect must be refused after it resumes
-	}{{failpoint.Sending, owner.Unsafe, true}, {failpoint.Sending, owner.Safe, true}, {failpoint.Happened, owner.Keyed, false}} {
+	}{{failpoint.Sending, owner.Unsafe, true}, {failpoint.Sending, owner.Safe, true}, {failpoint.Executed, owner.Keyed, false}} {
 		t.Run(fmt.Sprint(x.where, " ", x.typ), func(t *testing.T) {
 			runCluster(t, nil, func(c *cluster) {
 				c.waitForReports("all converged", c.converged)
@@ -191,15 +191,15 @@
 				c.startDrill("work", x.typ, 30, 3, 3)
 				c.waitForFailpoint(old)
 				first := c.waitForJob("work", "granted", func(j owner.Report) bool { return j.Owner == c.names[old] })
-				c.inject(script.Event{Do: "freeze", Name: c.names[old], For: 4000})
+				c.inject(script.Event{Kind: "freeze", Name: c.names[old], Duration: 4000})
 				next := c.waitForJob("work", "another gateway is the owner", func(j owner.Report) bool { return j.Token > first.Token })
 				if next.Owner == first.Owner && next.Incarnation == first.Incarnation {
 					t.Errorf("the frozen owner %s was granted the job again", next.Owner)
 				}
 				if next = c.waitForJob("work", "its successor is done, or waits for steps in doubt to be settled", func(j owner.Report) bool {
-					return j.State == "finished" || len(j.Doubt) > 0 && j.Done > first.Done
-				}); x.typ != owner.Unsafe && len(next.Doubt) > 0 {
-					t.Errorf("steps that may be repeated are in doubt: %v", next.Doubt)
+					return j.State == "finished" || len(j.Uncertain) > 0 && j.Done > first.Done
+				}); x.typ != owner.Unsafe && len(next.Uncertain) > 0 {
+					t.Errorf("steps that may be repeated are in doubt: %v", next.Uncertain)
 				}
 				c.waitForReports("the old owner has rejoined", c.converged)
 				all := c.finishJob("work")
@@ -207,7 +207,7 @@
 				refused := 0
 				for _, entries := range all {
 					for _, e := range entries {
-						if e.Refused > 0 && e.Effect.From == first.Owner && e.Effect.Token == first.Token {
+						if e.NewerToken > 0 && e.Effect.From == first.Owner && e.Effect.Token == first.Token {
 							refused++
 						}
 					}
@@ -230,7 +230,7 @@
 			return
 		}
 		if l >= 0 {
-			c.inject(script.Event{Do: "kill", Name: c.names[l], For: 100})
+			c.inject(script.Event{Kind: "kill", Name: c.names[l], Duration: 100})
 			c.waitForReports("a new leader is elected", func(all []*quorum.Report) bool { x := leader(all); return x >= 0 && all[x].Term > before[l].Term })
 		}
 	}
@@ -248,19 +248,19 @@
 		const steps = 1500
 		c.startDrill("work", owner.Keyed, steps, 100, 4) // executed at all others, never at the owner itself
 		c.waitForFailpoint(old)
-		c.inject(script.Event{Do: "freeze", Name: c.names[old], For: 3500})
+		c.inject(script.Event{Kind: "freeze", Name: c.names[old], Duration: 3500})
 		next := c.waitForJob("work", "another gateway is the owner", func(j owner.Report) bool { return j.Owner != "" && j.Owner != c.names[old] })
-		c.inject(script.Event{Do: "kill", Name: next.Owner, For: 500})
+		c.inject(script.Event{Kind: "kill", Name: next.Owner, Duration: 500})
 		c.waitForReports("the old owner has rejoined", c.converged)
 		all := c.finishJob("work")
 		c.checkSteps(all, "work", steps, true)
 		first, refused := c.job("work").History[1], 0
-		if first.Owner != c.names[old] || first.What != "granted" {
+		if first.Owner != c.names[old] || first.Event != "granted" {
 			t.Fatalf("unexpected first grant: %+v", first)
 		}
 		for _, entries := range all {
 			for _, e := range entries {
-				if e.Refused > 0 && e.Effect.From == first.Owner && e.Effect.Token == first.Token {
+				if e.NewerToken > 0 && e.Effect.From == first.Owner && e.Effect.Token == first.Token {
 					refused++
 				}
 			}
@@ -293,7 +293,7 @@
 	runCluster(t, func(s *script.Script) { s.Gateways = 6 }, func(c *cluster) {
 		c.waitForReports("all converged", c.converged)
 		bridge := len(c.names) - 1
-		c.commit(owner.Start, owner.Job{Name: "work", Kind: owned.Drill, Type: owner.Unsafe, Steps: 400, Window: 2, Places: c.names[bridge:]})
+		c.commit(owner.Start, owner.Job{Name: "work", Kind: ownerdriver.KindDrill, Type: owner.Unsafe, Steps: 400, Window: 2, Gateways: c.names[bridge:]})
 		first := c.waitForJob("work", "begun", func(j owner.Report) bool { return j.Done > 3 && j.Owner != "" })
 		old := c.index(first.Owner)
 		if old == bridge {
@@ -323,11 +323,11 @@
 func TestKilledAtEachStep(t *testing.T) {
 	runCluster(t, nil, func(c *cluster) {
 		c.waitForReports("all converged", c.converged)
-		for i, where := range []string{failpoint.Saving, failpoint.Saved, failpoint.Agreed, failpoint.Granting, failpoint.Checked, failpoint.Written, failpoint.Synced} {
+		for i, where := range []string{failpoint.Saving, failpoint.Saved, failpoint.Committed, failpoint.Granting, failpoint.TokenChecked, failpoint.Written, failpoint.Synced} {
 			name := fmt.Sprint("work-", i)
 			var victim int
 			switch where {
-			case failpoint.Checked, failpoint.Written, failpoint.Synced:
+			case failpoint.TokenChecked, failpoint.Written, failpoint.Synced:
 				victim = len(c.names) - 1
 			default:
 				victim = leader(c.waitForReports("a leader", func(all []*quorum.Report) bool { return leader(all) >= 0 }))
@@ -335,7 +335,7 @@
 			c.armFailpoint(victim, "kill", where, 1)
 			c.startDrill(name, owner.Unsafe, 12, 3, 2)
 			c.waitForFailpoint(victim)
-			c.inject(script.Event{Do: "start", Name: c.names[victim]})
+			c.inject(script.Event{Kind: "start", Name: c.names[victim]})
 			c.waitForReports("all converged after "+where, c.converged)
 			c.checkSteps(c.finishJob(name), name, 12, true)
 		}
@@ -349,7 +349,7 @@
 		before := c.waitForReports("all converged", c.converged)
 		c.startDrill("rolling", owner.Unsafe, 300, 2, 5)
 		for i := range c.names {
-			c.inject(script.Event{Do: "restart", Name: c.names[i], For: 100})
+			c.inject(script.Event{Kind: "restart", Name: c.names[i], Duration: 100})
 			c.waitForReports("converged after a restart", func(all []*quorum.Report) bool {
 				return c.converged(all) && all[i].Incarnation > before[i].Incarnation
 			})
@@ -360,7 +360,7 @@
 		l := leader(c.waitForReports("a leader", func(all []*quorum.Report) bool { return leader(all) >= 0 }))
 		for i := range 3 {
 			if i != (l+1)%3 {
-				c.inject(script.Event{Do: "kill", Name: c.names[i], For: 1500})
+				c.inject(script.Event{Kind: "kill", Name: c.names[i], Duration: 1500})
 			}
 		}
 		c.waitForReports("there is no leader", func(all []*quorum.Report) bool { return leader(all) < 0 })
@@ -372,7 +372,7 @@
 			if j.Owner == "" {
 				break
 			}
-			c.inject(script.Event{Do: "kill", Name: j.Owner, For: 150})
+			c.inject(script.Event{Kind: "kill", Name: j.Owner, Duration: 150})
 			c.waitForReports("converged after a kill", c.converged)
 		}
 		c.checkSteps(c.finishJob("twice"), "twice", 300, true)
@@ -389,11 +389,11 @@
 			c.startDrill(name, typ, 200, 3, 3)
 			j := c.waitForJob(name, "begun", func(j owner.Report) bool { return j.Done > 5 })
 			if j.Owner != "" {
-				c.inject(script.Event{Do: "delay", Name: j.Owner, For: 2500, Delay: 3000})
+				c.inject(script.Event{Kind: "delay", Name: j.Owner, Duration: 2500, Delay: 3000})
 			}
 			for range 3 {
 				if j = c.job(name); j.Owner != "" {
-					c.inject(script.Event{Do: "reset", Name: j.Owner})
+					c.inject(script.Event{Kind: "reset", Name: j.Owner})
 				}
 				time.Sleep(300 * time.Millisecond) // spaces the faults; nothing depends on it
 			}
@@ -406,7 +406,7 @@
 // Random faults from a fixed seed, one after another and some at once, while jobs of each type run: 6 rounds, or as many as
 // POPPYMILL_TEST_FAULTS says for a long run. All jobs must finish, and no step may run twice that must not.
 func TestSeededFaults(t *testing.T) {
-	faults, seed := 6, chance.Chance(77)
+	faults, seed := 6, prng.Source(77)
 	fmt.Sscan(os.Getenv("POPPYMILL_TEST_FAULTS"), &faults)
 	runCluster(t, func(s *script.Script) {
 		s.Types[0].Expiry, s.Quorum.Replace = 1000, 4000
@@ -418,32 +418,32 @@
 			name := fmt.Sprint("work-", n)
 			c.startDrill(name, types[n%3], 150, 3, 4)
 			injected, lost := fmt.Sprintf("%d:", n), -1
-			for range 1 + int(2*seed.Below()) {
-				x := int(seed.Below() * 5)
-				e := script.Event{Name: c.names[x], For: 300 + 2500*seed.Below()}
-				switch k := int(seed.Below() * 7); k {
+			for range 1 + int(2*seed.Float64()) {
+				x := int(seed.Float64() * 5)
+				e := script.Event{Name: c.names[x], Duration: 300 + 2500*seed.Float64()}
+				switch k := int(seed.Float64() * 7); k {
 				case 0:
-					e.Do = "kill"
+					e.Kind = "kill"
 				case 1:
-					e.Do = "freeze"
+					e.Kind = "freeze"
 				case 2:
-					e.Do = "part"
+					e.Kind = "part"
 				case 3:
-					e.Do, e.OneWay = "part", true
+					e.Kind, e.OneWay = "part", true
 				case 4:
-					e.Do, e.For = "restart", 100
+					e.Kind, e.Duration = "restart", 100
 				case 5:
-					e.Do, e.Disk = "kill", "lost"
+					e.Kind, e.Disk = "kill", "lost"
 				case 6:
-					c.inject(script.Event{Do: "copy", Name: e.Name})
-					e.Do, e.Disk = "kill", "old"
+					c.inject(script.Event{Kind: "copy", Name: e.Name})
+					e.Kind, e.Disk = "kill", "old"
 				}
-				injected += fmt.Sprintf(" %s %s %s %.0f ms", e.Do, e.Name, e.Disk, e.For)
+				injected += fmt.Sprintf(" %s %s %s %.0f ms", e.Kind, e.Name, e.Disk, e.Duration)
 				if c.inject(e); e.Disk != "" { // a lost disk has to be compensated before the next one is lost
 					lost = x
 					break
 				}
-				time.Sleep(time.Duration(200*seed.Below()) * time.Millisecond) // spaces the faults; nothing depends on it
+				time.Sleep(time.Duration(200*seed.Float64()) * time.Millisecond) // spaces the faults; nothing depends on it
 			}
 			t.Log(injected)
 			c.waitForReports("all converged after "+injected, func(all []*quorum.Report) bool {
@@ -454,7 +454,7 @@
 				all[lost] = nil
 				for step := range 150 {
 					if c.names[1:][step%4] == c.names[lost] {
-						all[lost] = append(all[lost], place.Entry{Effect: place.Effect{Job: name, Step: step}})
+						all[lost] = append(all[lost], effectlog.Entry{Effect: effectlog.Effect{Job: name, Step: step}})
 					}
 				}
 			}
@@ -493,7 +493,7 @@
 						}
 					}
 					at := time.Now()
-					c.inject(script.Event{Do: do, Name: j.Owner, For: 5000}) // longer than an election and a lease, otherwise the owner is not declared lost
+					c.inject(script.Event{Kind: do, Name: j.Owner, Duration: 5000}) // longer than an election and a lease, otherwise the owner is not declared lost
 					for c.job(name).Token == j.Token {
 						time.Sleep(2 * time.Millisecond)
 					}
--- a/internal/rehearsal/sockets/purges_test.go
+++ b/internal/rehearsal/sockets/purges_test.go
@@ -12,12 +12,12 @@
 	"testing"
 	"time"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/owner"
 	"poppymill/internal/purges"
-	sweep "poppymill/internal/purges/drive"
+	purgesdriver "poppymill/internal/purges/driver"
 	"poppymill/internal/quorum"
-	"poppymill/internal/quorum/drive"
+	quorumdriver "poppymill/internal/quorum/driver"
 	"poppymill/internal/rehearsal/script"
 	"poppymill/internal/rehearsal/world"
 )
@@ -50,7 +50,7 @@
 		}
 	}, func(c *cluster) {
 		pc.cluster = c
-		c.extraConfig = fmt.Sprintf("purges {\n  delay = \"%.0fms\"\n  skew = \"%.0fms\"\n  rate = %g\n  batch = %d\n  held = %d\n}\n", limits.Delay, limits.Skew, limits.Rate, limits.Batch, limits.Held)
+		c.extraConfig = fmt.Sprintf("purges {\n  delay = \"%.0fms\"\n  skew = \"%.0fms\"\n  rate = %g\n  batch = %d\n  held = %d\n}\n", limits.Delay, limits.Skew, limits.Rate, limits.Batch, limits.MaxBounds)
 		c.onFact = pc.recordFact
 	}, func(c *cluster) {
 		c.waitForReports("all converged", c.converged)
@@ -63,10 +63,10 @@
 	pc.mu.Lock()
 	defer pc.mu.Unlock()
 	switch f := f.(type) {
-	case world.Asked:
+	case world.RequestSent:
 		pc.objects[f.ID], pc.groups[f.Object], pc.gateways[f.ID] = f.Object, f.Group, f.Gateway
 	case world.Answered:
-		if words := strings.Fields(f.Copy); f.Status == 200 && !f.Still && len(words) > 3 {
+		if words := strings.Fields(f.Copy); f.Status == 200 && !f.NotModified && len(words) > 3 {
 			copiedAt, _ := strconv.ParseFloat(words[3], 64)
 			pc.responses = append(pc.responses, response{f.At, copiedAt, pc.objects[f.ID], pc.gateways[f.ID]})
 		}
@@ -105,33 +105,33 @@
 func (pc *purgeCluster) epoch() float64 { return float64(pc.stage.start.UnixMicro()) / 1000 }
 
 // acceptPurge submits a purge to a gateway until it is accepted, and passes to the auditor what has to hold from then on.
-func (pc *purgeCluster) acceptPurge(p purges.Purge, at int) sweep.Purge {
+func (pc *purgeCluster) acceptPurge(p purges.Purge, at int) purgesdriver.PurgeReport {
 	pc.t.Helper()
 	pc.waitFor("the purge "+p.ID+" is accepted", func() bool {
-		o := purges.Order{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &pc.limits}
-		r, err := pc.stage.Call(at, drive.Question{Command: &quorum.Command{Book: sweep.Book, Kind: purges.Accept, Data: canon.Encode(o)}}, 2*time.Second)
+		o := purges.CommandData{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &pc.limits}
+		r, err := pc.stage.Call(at, quorumdriver.Query{Command: &quorum.Command{StateMachine: purgesdriver.StateMachineName, Kind: purges.Accept, Data: codec.Encode(o)}}, 2*time.Second)
 		return err == nil && r.Error == ""
 	})
 	x := pc.purgeStatus(p.ID, at)
 	pc.stage.Do(func(*world.World) {
-		f := world.Purging{Group: -1, Club: p.Club, When: x.Accepted - pc.epoch(), By: x.Effective - pc.epoch()}
+		f := world.PurgeAgreed{Group: -1, Club: p.Club, When: x.Accepted - pc.epoch(), Deadline: x.Effective - pc.epoch()}
 		for _, f.Object = range p.Objects {
-			pc.audit.See(f)
+			pc.audit.Observe(f)
 		}
 		f.Object = ""
 		for _, g := range p.Groups {
 			f.Group = int(g)
-			pc.audit.See(f)
+			pc.audit.Observe(f)
 		}
 	})
 	return x
 }
 
 // purgeStatus returns the status of a purge from the first gateway that answers, starting at the given one.
-func (pc *purgeCluster) purgeStatus(id string, from int) (x sweep.Purge) {
+func (pc *purgeCluster) purgeStatus(id string, from int) (x purgesdriver.PurgeReport) {
 	pc.t.Helper()
 	for i := range pc.names {
-		if r, err := pc.stage.Call((from+i)%len(pc.names), drive.Question{About: "purge", Name: id}, 500*time.Millisecond); err == nil && r.Error == "" && json.Unmarshal(r.Body, &x) == nil {
+		if r, err := pc.stage.Call((from+i)%len(pc.names), quorumdriver.Query{Subject: "purge", Name: id}, 500*time.Millisecond); err == nil && r.Error == "" && json.Unmarshal(r.Body, &x) == nil {
 			return x
 		}
 	}
@@ -143,12 +143,12 @@
 // copy; the purge is done only once all joined gateways have acknowledged it, and gateways that could not learn of it refetch and
 // keep answering.
 func TestPurgeHoldsAtUnreachableGateways(t *testing.T) {
-	runPurgeCluster(t, nil, purges.Limits{Delay: 2500, Skew: 100, Batch: 500, Held: 1000}, func(pc *purgeCluster) {
+	runPurgeCluster(t, nil, purges.Limits{Delay: 2500, Skew: 100, Batch: 500, MaxBounds: 1000}, func(pc *purgeCluster) {
 		pc.waitFor("clients have requested enough objects", func() bool { return len(pc.requestedObjects(3)) >= 15 })
 		objects, cutOff, sendCut, frozen := pc.requestedObjects(1), 4, 3, 0
-		pc.inject(script.Event{Do: "part", Name: pc.names[cutOff], For: 9000})
-		pc.inject(script.Event{Do: "part", Name: pc.names[sendCut], For: 9000, OneWay: true})
-		pc.inject(script.Event{Do: "freeze", Name: pc.names[frozen], For: 4000})
+		pc.inject(script.Event{Kind: "part", Name: pc.names[cutOff], Duration: 9000})
+		pc.inject(script.Event{Kind: "part", Name: pc.names[sendCut], Duration: 9000, OneWay: true})
+		pc.inject(script.Event{Kind: "freeze", Name: pc.names[frozen], Duration: 4000})
 		x := pc.acceptPurge(purges.Purge{ID: "class-7", Objects: objects}, 1)
 		when, by := x.Accepted-pc.epoch(), x.Effective-pc.epoch()
 		if x.Effective != x.Accepted+pc.limits.Delay {
@@ -167,7 +167,7 @@
 		})
 		pc.waitForReports("all converged after the cuts are healed", pc.converged)
 		pc.waitFor("all have acknowledged the purge", func() bool { return pc.purgeStatus("class-7", 0).Stage == "done" })
-		for _, name := range pc.purgeStatus("class-7", 0).Without {
+		for _, name := range pc.purgeStatus("class-7", 0).Missing {
 			if name != pc.names[cutOff] && name != pc.names[sendCut] && name != pc.names[frozen] {
 				t.Errorf("done without an acknowledgement of %s, which was reachable", name)
 			}
@@ -180,41 +180,41 @@
 // covers those of the older one; a purge that is cancelled half way reports how far it got; reusing an ID with other content is
 // refused.
 func TestPurgeSurvivesFaults(t *testing.T) {
-	runPurgeCluster(t, nil, purges.Limits{Delay: 4000, Skew: 100, Rate: 4, Batch: 1, Held: 1000}, func(pc *purgeCluster) {
+	runPurgeCluster(t, nil, purges.Limits{Delay: 4000, Skew: 100, Rate: 4, Batch: 1, MaxBounds: 1000}, func(pc *purgeCluster) {
 		pc.waitFor("clients have requested enough objects", func() bool { return len(pc.requestedObjects(1)) >= 24 })
 		objects := pc.requestedObjects(1)[:24]
 		pc.acceptPurge(purges.Purge{ID: "long", Objects: objects}, 0)
-		first := pc.waitForJob(sweep.Sender, "owned", func(j owner.Report) bool { return j.Owner != "" })
-		sent := func(n int) func() bool { return func() bool { return pc.purgeStatus("long", 1).Next >= n } }
+		first := pc.waitForJob(purgesdriver.BatchJob, "owned", func(j owner.Report) bool { return j.Owner != "" })
+		sent := func(n int) func() bool { return func() bool { return pc.purgeStatus("long", 1).Published >= n } }
 		pc.waitFor("four batches are sent", sent(4))
-		pc.inject(script.Event{Do: "freeze", Name: first.Owner, For: 4000})
+		pc.inject(script.Event{Kind: "freeze", Name: first.Owner, Duration: 4000})
 		pc.waitFor("the purge continues", sent(8))
 		lost := (pc.index(first.Owner) + 1) % 5
-		pc.inject(script.Event{Do: "kill", Name: pc.names[lost], For: 300, Disk: "lost"})
+		pc.inject(script.Event{Kind: "kill", Name: pc.names[lost], Duration: 300, Disk: "lost"})
 		pc.waitFor("the purge continues without one gateway", sent(12))
 		newer := pc.acceptPurge(purges.Purge{ID: "newer", Groups: []int64{int64(pc.groups[objects[20]])}, Club: ""}, 2)
 		pc.acceptPurge(purges.Purge{ID: "stopped", Objects: objects[:6]}, 2)
 		pc.waitFor("cancelled", func() bool {
-			r, err := pc.stage.Call(2, drive.Question{Command: &quorum.Command{Book: sweep.Book, Kind: purges.Cancel, Data: canon.Encode(purges.Order{ID: "stopped"})}}, time.Second)
+			r, err := pc.stage.Call(2, quorumdriver.Query{Command: &quorum.Command{StateMachine: purgesdriver.StateMachineName, Kind: purges.Cancel, Data: codec.Encode(purges.CommandData{ID: "stopped"})}}, time.Second)
 			return err == nil && r.Error == ""
 		})
-		if x := pc.purgeStatus("stopped", 2); x.Stage != "cancelled" || x.Next == 6 {
+		if x := pc.purgeStatus("stopped", 2); x.Stage != "cancelled" || x.Published == 6 {
 			t.Errorf("cancelled purge: %+v", x)
 		}
 		for _, g := range pc.names {
-			pc.inject(script.Event{Do: "kill", Name: g, For: 300})
+			pc.inject(script.Event{Kind: "kill", Name: g, Duration: 300})
 		}
 		pc.waitForReports("all converged", pc.converged)
 		pc.waitFor("all batches are sent", sent(24))
 		for _, id := range []string{"long", "newer"} {
 			pc.waitFor(id+" is done", func() bool { return pc.purgeStatus(id, 0).Stage == "done" })
 		}
-		if newer.Place == 0 || pc.purgeStatus("long", 0).Place >= newer.Place {
-			t.Errorf("positions in the log: %d and %d", pc.purgeStatus("long", 0).Place, newer.Place)
+		if newer.LogIndex == 0 || pc.purgeStatus("long", 0).LogIndex >= newer.LogIndex {
+			t.Errorf("positions in the log: %d and %d", pc.purgeStatus("long", 0).LogIndex, newer.LogIndex)
 		}
-		o := purges.Order{Purge: &purges.Purge{ID: "long", Objects: objects[:3]}, Limits: &pc.limits}
-		r, err := pc.stage.Call(0, drive.Question{Command: &quorum.Command{Book: sweep.Book, Kind: purges.Accept, Data: canon.Encode(o)}}, 2*time.Second)
-		if err != nil || r.Error != purges.ErrOther.Error() {
+		o := purges.CommandData{Purge: &purges.Purge{ID: "long", Objects: objects[:3]}, Limits: &pc.limits}
+		r, err := pc.stage.Call(0, quorumdriver.Query{Command: &quorum.Command{StateMachine: purgesdriver.StateMachineName, Kind: purges.Accept, Data: codec.Encode(o)}}, 2*time.Second)
+		if err != nil || r.Error != purges.ErrConflict.Error() {
 			t.Errorf("the same ID with other content: %v, %q", err, r.Error)
 		}
 	})
@@ -229,7 +229,7 @@
 	}
 	for _, n := range []int{3, 9} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			runPurgeCluster(t, func(s *script.Script) { s.Gateways = n }, purges.Limits{Delay: 5000, Skew: 100, Batch: 500, Held: 20_000}, func(pc *purgeCluster) {
+			runPurgeCluster(t, func(s *script.Script) { s.Gateways = n }, purges.Limits{Delay: 5000, Skew: 100, Batch: 500, MaxBounds: 20_000}, func(pc *purgeCluster) {
 				var took []float64
 				for i := range times {
 					x := pc.acceptPurge(purges.Purge{ID: fmt.Sprint("p", i), Objects: []string{fmt.Sprintf("%016x", i)}}, i%n)
@@ -248,8 +248,8 @@
 					g.Go(func() {
 						for i := range total / 8 {
 							p := purges.Purge{ID: fmt.Sprint("q", k, "-", i), Objects: []string{fmt.Sprintf("%016x", 1000*k+i)}}
-							o := purges.Order{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &pc.limits}
-							pc.stage.Call(k%n, drive.Question{Command: &quorum.Command{Book: sweep.Book, Kind: purges.Accept, Data: canon.Encode(o)}}, 5*time.Second)
+							o := purges.CommandData{At: float64(time.Now().UnixMilli()), Purge: &p, Limits: &pc.limits}
+							pc.stage.Call(k%n, quorumdriver.Query{Command: &quorum.Command{StateMachine: purgesdriver.StateMachineName, Kind: purges.Accept, Data: codec.Encode(o)}}, 5*time.Second)
 						}
 					})
 				}
--- a/internal/rehearsal/sockets/quorum_test.go
+++ b/internal/rehearsal/sockets/quorum_test.go
@@ -80,7 +80,7 @@
 	audit := auditor.New(s, Slack)
 	c := &cluster{t: t, audit: audit, failpoints: map[int]string{}, logDir: gatewayLogDir(t)}
 	facts := func(f world.Fact) {
-		if audit.See(f); c.onFact != nil {
+		if audit.Observe(f); c.onFact != nil {
 			c.onFact(f)
 		}
 	}
@@ -116,7 +116,7 @@
 	if worst := float64(stage.lateness.Max()) / 1000; worst > maxLateness {
 		t.Skipf("the event loop was up to %.0f ms late: the outcome of downloads does not count", worst) // as for every rehearsal
 	}
-	for r := range auditor.Rules {
+	for r := range auditor.NumRules {
 		if !audit.Holds(r) {
 			t.Errorf("%v: %v", r, audit.Found[r])
 		}
@@ -150,7 +150,7 @@
 // inject injects a fault on a gateway.
 func (c *cluster) inject(e script.Event) {
 	e.On = "gateway"
-	c.stage.Do(func(w *world.World) { w.Happen(e) })
+	c.stage.Do(func(w *world.World) { w.ApplyEvent(e) })
 }
 
 // leader returns the index of the gateway that leads in the newest term; -1 if there is none.
@@ -168,7 +168,7 @@
 // may not survive another fault.
 func hasVoters(all []*quorum.Report, n int) bool {
 	l := leader(all)
-	return l >= 0 && len(all[l].Voters) == n && !all[l].Moving
+	return l >= 0 && len(all[l].Voters) == n && !all[l].JointConfig
 }
 
 // member returns the entry of a gateway in a report.
@@ -190,7 +190,7 @@
 			return false
 		}
 		for _, m := range r.Members {
-			if m.Standing != "joined" {
+			if m.State != "joined" {
 				return false
 			}
 		}
@@ -204,10 +204,10 @@
 	runCluster(t, nil, func(c *cluster) {
 		before := c.waitForReports("all converged", c.converged)
 		old := leader(before)
-		c.inject(script.Event{Do: "freeze", Name: c.names[old], For: 4000})
+		c.inject(script.Event{Kind: "freeze", Name: c.names[old], Duration: 4000})
 		c.waitForReports("another gateway leads and reports the old leader as silent", func(all []*quorum.Report) bool {
 			l := leader(all)
-			return all[old] == nil && l >= 0 && all[l].Term > before[old].Term && member(all[l], c.names[old]).Standing == "silent"
+			return all[old] == nil && l >= 0 && all[l].Term > before[old].Term && member(all[l], c.names[old]).State == "silent"
 		})
 		after := c.waitForReports("all converged again", c.converged)
 		if m := member(after[0], c.names[old]); m.Losses != 1 || m.Incarnation != before[old].Incarnation || leader(after) == old && after[old].Term == before[old].Term {
@@ -223,7 +223,7 @@
 		before := c.waitForReports("all converged", c.converged)
 		old := leader(before)
 		lost, cut := (old+1)%3, (old+2)%3
-		c.inject(script.Event{Do: "kill", Name: c.names[lost], For: 500, Disk: "lost"})
+		c.inject(script.Event{Kind: "kill", Name: c.names[lost], Duration: 500, Disk: "lost"})
 		back := c.waitForReports("the voter without its disk follows under a new identity", func(all []*quorum.Report) bool {
 			r := all[lost]
 			return r != nil && r.Identity != before[lost].Identity && r.Role == "follower" && r.Incarnation > before[lost].Incarnation
@@ -231,10 +231,10 @@
 		if back[lost].Cluster != before[lost].Cluster {
 			t.Errorf("it belongs to cluster %x instead of %x", back[lost].Cluster, before[lost].Cluster)
 		}
-		c.inject(script.Event{Do: "part", Name: c.names[cut], For: 3000, OneWay: true})
+		c.inject(script.Event{Kind: "part", Name: c.names[cut], Duration: 3000, OneWay: true})
 		c.waitForReports("no leader with two voters, one of which can't send", func(all []*quorum.Report) bool { return leader(all) < 0 })
 		c.waitForReports("all converged after the cut is healed", c.converged)
-		c.inject(script.Event{Do: "restart", Name: c.names[cut]})
+		c.inject(script.Event{Kind: "restart", Name: c.names[cut]})
 		after := c.waitForReports("all converged after a restart", func(all []*quorum.Report) bool {
 			return c.converged(all) && all[cut].Incarnation > before[cut].Incarnation
 		})
@@ -251,20 +251,20 @@
 		before := c.waitForReports("all converged", c.converged)
 		old := leader(before)
 		lost, next := (old+1)%3, (old+2)%3
-		c.inject(script.Event{Do: "kill", Name: c.names[lost], For: 50_000, Disk: "lost"})
+		c.inject(script.Event{Kind: "kill", Name: c.names[lost], Duration: 50_000, Disk: "lost"})
 		replaced := c.waitForReports("another gateway replaces the lost voter", func(all []*quorum.Report) bool {
 			n := 0
 			for i, r := range all {
-				if i != lost && r != nil && (r.Role == "leader" || r.Role == "voter") && len(r.Voters) == 3 && !r.Moving && !member(r, c.names[lost]).Votes {
+				if i != lost && r != nil && (r.Role == "leader" || r.Role == "voter") && len(r.Voters) == 3 && !r.JointConfig && !member(r, c.names[lost]).Votes {
 					n++
 				}
 			}
 			return n == 3 && leader(all) >= 0
 		})
-		c.inject(script.Event{Do: "kill", Name: c.names[next], For: 50_000})
+		c.inject(script.Event{Kind: "kill", Name: c.names[next], Duration: 50_000})
 		c.waitForReports("two of three voters commit a loss", func(all []*quorum.Report) bool {
 			l := leader(all)
-			return l >= 0 && l != next && all[l].Term >= replaced[leader(replaced)].Term && member(all[l], c.names[next]).Standing == "silent"
+			return l >= 0 && l != next && all[l].Term >= replaced[leader(replaced)].Term && member(all[l], c.names[next]).State == "silent"
 		})
 	})
 }
--- a/internal/rehearsal/sockets/sockets_test.go
+++ b/internal/rehearsal/sockets/sockets_test.go
@@ -139,8 +139,8 @@
 	}
 	audit, verdicts := auditor.New(s, Slack), map[world.Verdict]int{}
 	stage, err := New(s, Options{Binary: binary, Logs: t.TempDir(), Facts: func(f world.Fact) {
-		audit.See(f)
-		if f, ok := f.(world.Wanted); ok {
+		audit.Observe(f)
+		if f, ok := f.(world.OperationEnded); ok {
 			verdicts[f.Verdict]++
 		}
 	}})
@@ -172,7 +172,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for r := range auditor.Rules {
+	for r := range auditor.NumRules {
 		if !audit.Holds(r) {
 			t.Errorf("%v: %v", r, audit.Found[r])
 		}
--- a/internal/rehearsal/virtual/consensus_loss_test.go
+++ b/internal/rehearsal/virtual/consensus_loss_test.go
@@ -51,10 +51,10 @@
 			}
 			count, audit, outdated, checked := report.New(s), auditor.New(s, 0), 0, 0
 			o.Facts = func(f world.Fact) {
-				audit.See(f)
-				count.See(f)
+				audit.Observe(f)
+				count.Observe(f)
 				if f, is := f.(world.Answered); is && delay > 0 && f.At > blindFrom+delay && f.At < blindFrom+blindFor {
-					if fields := strings.Fields(f.Copy); f.Status == 200 && !f.Still && len(fields) > 3 {
+					if fields := strings.Fields(f.Copy); f.Status == 200 && !f.NotModified && len(fields) > 3 {
 						if createdAt, err := strconv.ParseFloat(fields[3], 64); err == nil {
 							if checked++; createdAt < f.At-delay {
 								outdated++
@@ -74,7 +74,7 @@
 			if outdated > 0 || delay > 0 && checked < 500 {
 				t.Errorf("delay %.0f: %d older copies of %d answered while all were blind", delay, outdated, checked)
 			}
-			for rule := range auditor.Rules {
+			for rule := range auditor.NumRules {
 				if !audit.Holds(rule) {
 					t.Errorf("delay %.0f: %v: %v", delay, rule, audit.Found[rule])
 				}
--- a/internal/rehearsal/virtual/replicated_log.go
+++ b/internal/rehearsal/virtual/replicated_log.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"poppymill/internal/canon"
+	"poppymill/internal/codec"
 	"poppymill/internal/gateway"
 	"poppymill/internal/owner"
 	"poppymill/internal/rehearsal/world"
@@ -33,7 +33,7 @@
 	kind   string
 	data   []byte
 	name   string // member that the entry is about; empty for a command
-	worker owner.Worker
+	worker owner.Member
 }
 
 // logMember is one gateway's view of the log.
@@ -71,7 +71,7 @@
 
 // propose commits an entry after a delay and lets all running members apply it.
 func (l *replicatedLog) propose(entry logEntry) {
-	l.d.agenda.Add(l.d.now+commitDelay, func() {
+	l.d.queue.Add(l.d.now+commitDelay, func() {
 		l.entries = append(l.entries, entry)
 		upTo := len(l.entries)
 		for i, m := range l.members {
@@ -83,7 +83,7 @@
 				delay = followerDelay * float64(i%16) / 16
 			}
 			process := m.process
-			l.d.agenda.Add(l.d.now+delay, func() {
+			l.d.queue.Add(l.d.now+delay, func() {
 				if m.process == process {
 					m.follow(upTo)
 				}
@@ -97,15 +97,15 @@
 	m.consensus.incarnations++
 	m.process++
 	m.incarnation, m.applied = m.consensus.incarnations, 0
-	m.zone, _ = m.g.config.Footprint["zone"].(string)
+	m.zone, _ = m.g.config.RouterSettings["zone"].(string)
 	limits := owner.DefaultLimits()
 	limits.WarmRounds, limits.WarmEach = m.consensus.d.script.Quorum.Warm, 24
 	m.agent = owner.NewAgent(limits)
-	m.timer = m.consensus.d.agenda.Add(math.Inf(1), func() { m.handle(nil) })
-	m.consensus.propose(logEntry{name: m.name, worker: owner.Worker{Incarnation: m.incarnation, There: true, Losses: m.losses, Zone: m.zone}})
-	m.g.core.Boots(func(n router.Entry) {
-		if remaining := gateway.ColdFor(m.g.config, n, m.consensus.d.unix()); remaining > 0 {
-			m.handle(owner.Booted{Node: n.Node, Zone: n.Zone, Start: uint64(n.Booted), Left: remaining})
+	m.timer = m.consensus.d.queue.Add(math.Inf(1), func() { m.handle(nil) })
+	m.consensus.propose(logEntry{name: m.name, worker: owner.Member{Incarnation: m.incarnation, Present: true, Losses: m.losses, Zone: m.zone}})
+	m.g.core.OnNodeListed(func(n router.Entry) {
+		if remaining := gateway.ColdRemaining(m.g.config, n, m.consensus.d.unix()); remaining > 0 {
+			m.handle(owner.NodeStarted{Node: n.Node, Zone: n.Zone, Start: uint64(n.StartedAt), ColdFor: remaining})
 		}
 	})
 }
@@ -117,7 +117,7 @@
 	}
 	m.agent = nil
 	m.process++
-	m.consensus.d.agenda.Move(m.timer, math.Inf(1))
+	m.consensus.d.queue.Move(m.timer, math.Inf(1))
 	incarnation, delay := m.incarnation, silenceTimeout
 	if announced {
 		delay = 0
@@ -125,9 +125,9 @@
 		m.losses++
 	}
 	losses := m.losses
-	m.consensus.d.agenda.Add(m.consensus.d.now+delay, func() {
+	m.consensus.d.queue.Add(m.consensus.d.now+delay, func() {
 		if m.incarnation == incarnation {
-			m.consensus.propose(logEntry{name: m.name, worker: owner.Worker{Incarnation: incarnation, Losses: losses, Zone: m.zone}})
+			m.consensus.propose(logEntry{name: m.name, worker: owner.Member{Incarnation: incarnation, Losses: losses, Zone: m.zone}})
 		}
 	})
 }
@@ -135,12 +135,12 @@
 func (m *logMember) follow(upTo int) {
 	for ; m.applied < upTo; m.applied++ {
 		if entry := m.consensus.entries[m.applied]; entry.name != "" {
-			m.agent.Book.Member(uint64(m.applied+1), entry.name, entry.worker)
+			m.agent.State.ApplyMember(uint64(m.applied+1), entry.name, entry.worker)
 		} else {
-			m.agent.Book.Apply(uint64(m.applied+1), entry.kind, entry.data)
+			m.agent.State.Apply(uint64(m.applied+1), entry.kind, entry.data)
 		}
 	}
-	m.handle(owner.Followed{Name: m.name, Incarnation: m.incarnation, Leads: m.consensus.leader() == m})
+	m.handle(owner.LogApplied{Name: m.name, Incarnation: m.incarnation, Leads: m.consensus.leader() == m})
 }
 
 func (m *logMember) handle(e any) {
@@ -150,34 +150,34 @@
 	d := m.consensus.d
 	for _, x := range m.agent.Handle(d.now, e) {
 		switch x := x.(type) {
-		case owner.Ask:
-			data := canon.Encode(x.Claim)
+		case owner.Propose:
+			data := codec.Encode(x.Claim)
 			if x.Job != nil {
-				data = canon.Encode(x.Job)
+				data = codec.Encode(x.Job)
 			}
 			m.consensus.propose(logEntry{kind: x.Kind, data: data})
-		case owner.Do:
+		case owner.SendEffect:
 			m.runStep(x)
 		}
 	}
 	if m.agent != nil {
-		d.agenda.Move(m.timer, max(d.now, m.agent.Next()))
+		d.queue.Move(m.timer, max(d.now, m.agent.NextDeadline()))
 	}
 }
 
 // runStep runs a job's step on this gateway's own core.
-func (m *logMember) runStep(step owner.Do) {
-	var warming owner.Warming
-	if canon.Decode(step.Job.Data, &warming) != nil {
+func (m *logMember) runStep(step owner.SendEffect) {
+	var warming owner.WarmData
+	if codec.Decode(step.Job.Data, &warming) != nil {
 		return
 	}
 	d, process := m.consensus.d, m.process
 	d.runNext(func() {
-		m.g.handle(gateway.Ahead{Node: warming.Node, Most: warming.Each, At: d.unix(), Done: func(filled, refused int) {
+		m.g.handle(gateway.Prefetch{Node: warming.Node, Limit: warming.Each, At: d.unix(), Done: func(filled, refused int) {
 			d.stats.Prefilled += filled
 			d.runNext(func() {
 				if m.process == process {
-					m.handle(owner.Ended{Job: step.Job.Name, Token: step.Token, Step: step.Step, End: gateway.WarmEnd(filled, refused)})
+					m.handle(owner.StepEnded{Job: step.Job.Name, Token: step.Token, Step: step.Step, End: gateway.WarmResult(filled, refused)})
 				}
 			})
 		}})
--- a/internal/rehearsal/virtual/virtual.go
+++ b/internal/rehearsal/virtual/virtual.go
@@ -20,10 +20,10 @@
 	"poppymill/internal/channel"
 	"poppymill/internal/clients"
 	"poppymill/internal/fair"
-	"poppymill/internal/footprint"
 	"poppymill/internal/gateway"
+	"poppymill/internal/gatewayconfig"
 	"poppymill/internal/links"
-	"poppymill/internal/links/drive"
+	linksdriver "poppymill/internal/links/driver"
 	"poppymill/internal/purges"
 	"poppymill/internal/rehearsal/resp"
 	"poppymill/internal/rehearsal/script"
@@ -44,7 +44,7 @@
 
 // Faults are injected into the gateways to test that the auditor finds them. The zero value injects none.
 type Faults struct {
-	News     func(channel.News) bool                    // false: the gateways never receive this event
+	News     func(channel.Event) bool                   // false: the gateways never receive this event
 	Answers  func(world.Answer) []world.Answer          // replaces an answer to a client
 	Reply    func(world.Reply) world.Reply              // replaces a box's reply before the gateway reads it
 	Links    func(*links.Settings) bool                 // changes how gateways check links; false: they don't check them
@@ -74,14 +74,14 @@
 	Options
 	script       *script.Script
 	world        *world.World
-	agenda       world.Agenda
+	queue        world.EventQueue
 	now          float64
 	gateways     []*gatewayProcess
 	wires        map[int64]*wire
 	conns        int64
 	buffers      *buffer.Pool
 	channelState world.ChannelState
-	published    []channel.News
+	published    []channel.Event
 	stats        Stats
 
 	consensus *replicatedLog // nil: the gateways have no consensus group
@@ -98,8 +98,8 @@
 	cursor       int
 	callers      map[string]*caller
 	tidiedAt     float64
-	block        drive.Block
-	config       *footprint.Config
+	block        linksdriver.Block
+	config       *gatewayconfig.Config
 	log          logrus.FieldLogger
 	terminatedAt float64 // when it was told to terminate; negative: it was not
 	answerWithin float64 // ms from then until it has answered all open requests
@@ -114,31 +114,31 @@
 // Run plays a script to its end.
 func Run(s *script.Script, o Options) (Stats, error) {
 	if slices.ContainsFunc(s.Events, func(e script.Event) bool {
-		return slices.Contains([]string{"freeze", "part", "copy", "fill_disk", "delay", "reset"}, e.Do) || e.Disk != ""
+		return slices.Contains([]string{"freeze", "part", "copy", "fill_disk", "delay", "reset"}, e.Kind) || e.Disk != ""
 	}) || len(s.Jobs) > 0 || s.Quorum.On && s.Quorum.Warm == 0 {
 		return Stats{}, errors.New("consensus groups, jobs, gateway freezes, network and disk faults can be rehearsed on sockets only")
 	}
 	d := &driver{Options: o, script: s, wires: map[int64]*wire{}, buffers: buffer.NewPool(1 << 34)}
-	d.world = world.New(s, world.Options{Epoch: epoch, Facts: o.Facts})
+	d.world = world.New(s, world.Options{Epoch: epoch, OnFact: o.Facts})
 	for i := range s.Gateways {
 		d.gateways = append(d.gateways, &gatewayProcess{d: d, number: i})
 	}
 	if s.Quorum.On {
 		d.consensus = newReplicatedLog(d)
 	}
-	end := s.Length() + 2*s.Longest() + 10_000
-	for !d.world.Over() && d.now < end {
-		at, ok := d.agenda.Next()
+	end := s.Length() + 2*s.LongestExpiry() + 10_000
+	for !d.world.Done() && d.now < end {
+		at, ok := d.queue.Next()
 		worldDue, worldOK := d.world.Next()
 		switch {
 		case worldOK && (!ok || worldDue < at):
 			d.now = worldDue
-			if err := d.execute(d.world.Ring(worldDue)); err != nil {
+			if err := d.execute(d.world.RunUntil(worldDue)); err != nil {
 				return d.stats, err
 			}
 		case ok:
 			d.now = max(d.now, at)
-			d.agenda.Step()
+			d.queue.Step()
 		default:
 			return d.stats, fmt.Errorf("nothing is due at %.1f ms", d.now)
 		}
@@ -153,7 +153,7 @@
 func (d *driver) unix() float64 { return epoch + d.now }
 
 // runNext schedules a callback at the present time, after the current one: a core must not be called from within itself.
-func (d *driver) runNext(do func()) { d.agenda.Add(d.now, do) }
+func (d *driver) runNext(do func()) { d.queue.Add(d.now, do) }
 
 // post passes an event to the world and executes the resulting actions.
 func (d *driver) post(e world.Event) {
@@ -182,12 +182,12 @@
 				return err
 			}
 		case world.Channel:
-			d.channelState = a.How
-		case world.Ask:
+			d.channelState = a.State
+		case world.SendRequest:
 			d.gateways[a.Gateway].sendRequest(a.Request)
 		case world.Abort:
 			if g := d.gateways[a.Gateway]; g.core != nil && g.callers[a.ID] != nil {
-				g.handle(gateway.Aborted{Client: g.callers[a.ID], ID: 1, At: d.unix()})
+				g.handle(gateway.RequestAborted{Client: g.callers[a.ID], ID: 1, At: d.unix()})
 			}
 		case world.Start:
 			if err := d.gateways[a.Gateway].start(); err != nil {
@@ -202,9 +202,9 @@
 			for _, g := range d.gateways {
 				d.updateKeys(g, a)
 			}
-		case world.Term:
+		case world.Terminate:
 			if g := d.gateways[a.Gateway]; g.core != nil {
-				g.core.Leave()
+				g.core.StartShutdown()
 				g.terminatedAt = d.now
 				if d.consensus != nil {
 					d.consensus.members[a.Gateway].stop(true)
@@ -221,13 +221,13 @@
 	if err != nil {
 		return err
 	}
-	news, err := channel.Parse(text)
+	event, err := channel.Parse(text)
 	if err != nil {
 		return fmt.Errorf("event %d: %w", a.Cursor, err)
 	}
-	d.published = append(d.published, news)
+	d.published = append(d.published, event)
 	takes := channelDelay
-	if d.channelState == world.Muted {
+	if d.channelState == world.Silent {
 		takes = mutedChannelDelay
 	}
 	for _, g := range d.gateways {
@@ -235,7 +235,7 @@
 			continue
 		}
 		core := g.core
-		d.agenda.Add(d.now+takes, func() {
+		d.queue.Add(d.now+takes, func() {
 			if g.core == core {
 				g.deliver(a.Cursor)
 			}
@@ -248,26 +248,26 @@
 func (g *gatewayProcess) deliver(cursor int) {
 	for ; g.cursor < cursor; g.cursor++ {
 		if n := g.d.published[g.cursor]; g.d.Faults.News == nil || g.d.Faults.News(n) {
-			g.handle(gateway.Told{News: n, At: g.d.unix()})
+			g.handle(gateway.ChannelEvent{News: n, At: g.d.unix()})
 		}
 	}
-	g.d.post(world.Heard{Gateway: g.number, Cursor: cursor})
+	g.d.post(world.Delivered{Gateway: g.number, Cursor: cursor})
 }
 
 func (g *gatewayProcess) start() error {
 	d := g.d
-	text, err := d.world.Configuration(g.number, "127.0.0.1:1", "127.0.0.1:2", d.world.Known, d.Faults.Settings)
+	text, err := d.world.Configuration(g.number, "127.0.0.1:1", "127.0.0.1:2", d.world.ChannelEvents, d.Faults.Settings)
 	if err != nil {
 		return err
 	}
-	c, err := footprint.Parse(text, func(string) string { return "" })
+	c, err := gatewayconfig.Parse(text, func(string) string { return "" })
 	if err != nil {
 		return err
 	}
-	cursor, _ := d.world.Known()
-	budget := gateway.Share(c)
-	g.pool = caches.NewPool(caches.Limits{Streams: c.Streams, Idle: c.Idle, Conns: budget.Caches, Reports: c.Reports,
-		Checks: c.Probing, Answer: c.Connect, Names: footprint.Report}, g.dial(c.Connect))
+	cursor, _ := d.world.ChannelEvents()
+	budget := gateway.NewBudget(c)
+	g.pool = caches.NewPool(caches.Limits{PullsPerConn: c.StreamsPerConn, IdleTimeout: c.IdleTimeout, Conns: budget.Caches, RequestLoad: c.Reports,
+		HealthChecks: c.Probing, AnswerTimeout: c.ConnectTimeout, GaugeName: gatewayconfig.LoadValueName}, g.dial(c.ConnectTimeout))
 	g.log = discardLog
 	if d.Log != nil {
 		g.log = d.Log(g.number)
@@ -275,38 +275,38 @@
 	g.core = gateway.NewCore(c, g.pool, g.log, d.unix())
 	if f := d.script.Fair; f.On {
 		set := fair.Defaults()
-		set.Longest = f.Longest
+		set.MaxWait = f.Longest
 		var ahead []string
 		for _, t := range d.script.Types {
 			if t.Write {
 				ahead = append(ahead, t.Name)
 			}
 		}
-		g.core.Share(fair.New(set, c.Seed, d.unix()), gateway.Fairness{On: true, Club: "header X-Club", Client: "header X-Client", Ahead: ahead, Settings: set})
+		g.core.EnableFairAdmission(fair.New(set, c.Seed, d.unix()), gateway.Fairness{On: true, Club: "header X-Club", Client: "header X-Client", PriorityTypes: ahead, Settings: set})
 	}
 	if s := d.world.LinkSettings(); s.Base != "" {
 		s.Audience = append(s.Audience, c.Name)
-		g.block = drive.Block{On: true, From: "query", Name: "URISigningPackage", Settings: s}
-		ring, err := links.NewRing(d.world.LinkKeys(), nil)
+		g.block = linksdriver.Block{On: true, From: "query", Name: "URISigningPackage", Settings: s}
+		keySet, err := links.NewKeySet(d.world.LinkKeys(), nil)
 		if err != nil {
 			return err
 		}
 		if d.Faults.Links == nil || d.Faults.Links(&s) {
-			g.core.Guard(links.New(s, ring, []byte(c.Name), d.unix()), g.block, nil, nil, d.unix)
+			g.core.RequireSignedLinks(links.New(s, keySet, []byte(c.Name), d.unix()), g.block, nil, nil, d.unix)
 		}
 	}
 	if d.AgreedUntil != nil {
-		zone, _ := c.Footprint["zone"].(string)
-		g.core.Purges(zone, d.PurgeLimits, true, func() float64 { return epoch + d.AgreedUntil(d.now) }, d.unix)
+		zone, _ := c.RouterSettings["zone"].(string)
+		g.core.EnablePurges(zone, d.PurgeLimits, true, func() float64 { return epoch + d.AgreedUntil(d.now) }, d.unix)
 	}
 	if d.consensus != nil {
 		g.config = c
 		d.consensus.members[g.number].start()
 	}
-	answered, _ := gateway.AnswerBy(c)
+	answered, _ := gateway.ShutdownDeadlines(c)
 	g.cursor, g.callers, g.terminatedAt, g.answerWithin = cursor, map[string]*caller{}, -1, float64(answered)/float64(time.Millisecond)
-	g.coreTimer = d.agenda.Add(math.Inf(1), func() { g.handle(nil) })
-	g.watchTimer = d.agenda.Add(d.now+watchInterval, g.watch)
+	g.coreTimer = d.queue.Add(math.Inf(1), func() { g.handle(nil) })
+	g.watchTimer = d.queue.Add(d.now+watchInterval, g.watch)
 	g.handle(nil)
 	d.post(world.Ready{Gateway: g.number})
 	return nil
@@ -322,9 +322,9 @@
 // updateKeys makes a gateway load changed link keys after the delay of its file watch.
 func (d *driver) updateKeys(g *gatewayProcess, a world.Keys) {
 	core := g.core
-	d.agenda.Add(d.now+d.world.LinkTakes(g.number), func() {
-		if ring, err := links.NewRing(a.Keys, nil); err == nil && g.core == core && core != nil {
-			g.handle(gateway.Rekeyed{Ring: ring, Block: g.block})
+	d.queue.Add(d.now+d.world.KeyReloadDelay(g.number), func() {
+		if keySet, err := links.NewKeySet(a.Keys, nil); err == nil && g.core == core && core != nil {
+			g.handle(gateway.KeysReloaded{Ring: keySet, Block: g.block})
 		}
 	})
 }
@@ -335,14 +335,14 @@
 		return
 	}
 	if e == nil {
-		g.core.Ring(g.d.unix())
+		g.core.Advance(g.d.unix())
 	} else {
 		g.core.Handle(e)
 	}
 	if at, ok := g.core.Next(); ok {
-		g.d.agenda.Move(g.coreTimer, max(g.d.now, at-epoch))
+		g.d.queue.Move(g.coreTimer, max(g.d.now, at-epoch))
 	} else {
-		g.d.agenda.Move(g.coreTimer, math.Inf(1))
+		g.d.queue.Move(g.coreTimer, math.Inf(1))
 	}
 }
 
@@ -351,15 +351,15 @@
 	if g.core == nil {
 		return
 	}
-	g.core.Watch(d.unix())
+	g.core.RunChecks(d.unix())
 	if d.now >= g.tidiedAt+tidyInterval {
 		g.tidiedAt = d.now
-		g.pool.Tidy(d.unix())
-		beliefs, drifts := g.core.Drift()
+		g.pool.CloseIdle(d.unix())
+		beliefs, drifts := g.core.RouterDrift()
 		if drifts {
 			d.stats.Drifts++
 		}
-		if shares := g.core.Shares(); shares != "" {
+		if shares := g.core.FairStats(); shares != "" {
 			g.log.WithField("at", math.Round(d.now)).WithField("shares", shares).Info("fair door")
 		}
 		if beliefs != "" {
@@ -370,13 +370,13 @@
 	crashes := d.Faults.Crash != nil && d.Faults.Crash(g.number, d.now)
 	if g.terminatedAt >= 0 && (d.now >= g.terminatedAt+g.answerWithin || d.now >= g.terminatedAt+700 && g.core.Open() == 0) || crashes {
 		if !crashes {
-			g.core.End(d.unix())
+			g.core.Shutdown(d.unix())
 		}
 		g.close()
 		d.post(world.Exited{Gateway: g.number, Crashed: crashes})
 		return
 	}
-	d.agenda.Move(g.watchTimer, d.now+watchInterval)
+	d.queue.Move(g.watchTimer, d.now+watchInterval)
 }
 
 // close ends a gateway's process and all its connections.
@@ -388,40 +388,40 @@
 	d.stats.Downloads += g.core.Taken
 	d.stats.Overdue += g.core.Overdue
 	d.stats.Panics += g.core.Panics
-	d.agenda.Remove(g.coreTimer)
-	d.agenda.Remove(g.watchTimer)
+	d.queue.Remove(g.coreTimer)
+	d.queue.Remove(g.watchTimer)
 	g.core = nil
 	for _, id := range slices.Sorted(maps.Keys(d.wires)) {
 		if w := d.wires[id]; w.g == g {
 			w.release()
-			d.post(world.Hung{Conn: id})
+			d.post(world.ConnClosed{Conn: id})
 		}
 	}
 }
 
 func (g *gatewayProcess) sendRequest(r world.Request) {
 	if g.core == nil {
-		g.d.post(world.Unanswered{ID: r.ID, Refused: true})
+		g.d.post(world.RequestFailed{ID: r.ID, Refused: true})
 		return
 	}
 	c := &caller{g: g, id: r.ID}
 	g.callers[r.ID] = c
-	var body *buffer.Chain
+	var body *buffer.Body
 	if r.Body > 0 {
 		body = buffer.NewChain(g.d.buffers)
 		body.Append(make([]byte, r.Body))
 	}
-	g.handle(gateway.Asked{Client: c, ID: 1, Params: world.Params(r), Body: body, At: g.d.unix()})
+	g.handle(gateway.RequestReceived{Client: c, ID: 1, Params: world.Params(r), Body: body, At: g.d.unix()})
 }
 
 // Answer receives the core's answer to a client.
 func (c *caller) Answer(_ uint16, a clients.Answer) {
 	d := c.g.d
 	delete(c.g.callers, c.id)
-	if a.None {
+	if a.NoResponse {
 		return
 	}
-	got := world.Answer{Gateway: c.g.number, ID: c.id, Status: a.Status, Wait: a.Wait, Still: a.Still, Copy: Head(a.Body.Parts())}
+	got := world.Answer{Gateway: c.g.number, ID: c.id, Status: a.Status, Wait: a.RetryAfter, NotModified: a.NotModified, Copy: Head(a.Body.Parts())}
 	if a.Link != nil {
 		got.Token, got.Ticket = a.Link.Token, a.Link.Ticket
 	}
@@ -454,8 +454,8 @@
 	id           int64
 	connected    bool
 	closed       bool
-	queue        []*caches.Item // sent while connecting
-	unsent       []*caches.Item // queued items of a closed connection
+	queue        []*caches.Command // sent while connecting
+	unsent       []*caches.Command // queued items of a closed connection
 	commands     resp.Reader
 	answers      *caches.Parser
 	lastHeard    float64
@@ -469,10 +469,10 @@
 		w := &wire{g: g, id: d.conns, answers: caches.NewParser(d.buffers)}
 		d.wires[w.id] = w
 		d.post(world.Dialled{Conn: w.id, Address: address})
-		w.connectTimer = d.agenda.Add(d.now+within, func() {
+		w.connectTimer = d.queue.Add(d.now+within, func() {
 			if !w.connected && !w.closed {
 				w.fail()
-				d.post(world.Hung{Conn: w.id})
+				d.post(world.ConnClosed{Conn: w.id})
 			}
 		})
 		return w
@@ -484,7 +484,7 @@
 		return
 	}
 	w.connected = true
-	w.g.d.agenda.Remove(w.connectTimer)
+	w.g.d.queue.Remove(w.connectTimer)
 	w.g.handle(caches.Up{Wire: w, At: w.g.d.unix()})
 	queue := w.queue
 	w.queue = nil
@@ -493,9 +493,9 @@
 	}
 }
 
-func (w *wire) Send(item *caches.Item) bool {
+func (w *wire) Send(item *caches.Command) bool {
 	if w.closed {
-		item.Wrote(false)
+		item.MarkWritten(false)
 		return false
 	}
 	if w.connected {
@@ -506,24 +506,24 @@
 	return true
 }
 
-func (w *wire) write(item *caches.Item) {
-	item.Take()
+func (w *wire) write(item *caches.Command) {
+	item.MarkWriting()
 	var bytes []byte
 	for _, p := range item.Pieces(nil) {
 		bytes = append(bytes, p...)
 	}
-	item.Wrote(true)
+	item.MarkWritten(true)
 	found, err := w.commands.Feed(bytes)
 	for _, c := range found {
 		w.g.d.post(world.Command{Conn: w.id, Verb: c.Verb, ID: c.ID, Fields: c.Fields, Body: c.Body})
 	}
 	if err != nil { // a box closes a connection on which it cannot parse a command
-		w.g.d.post(world.Hung{Conn: w.id})
+		w.g.d.post(world.ConnClosed{Conn: w.id})
 		w.g.d.runNext(w.fail)
 	}
 }
 
-func (w *wire) Remove(item *caches.Item) bool {
+func (w *wire) Remove(item *caches.Command) bool {
 	if slices.Contains(w.unsent, item) {
 		return true
 	}
@@ -532,17 +532,17 @@
 		return false
 	}
 	w.queue = slices.Delete(w.queue, index, index+1)
-	item.Wrote(false)
+	item.MarkWritten(false)
 	return true
 }
 
-func (w *wire) Stuck() bool            { return false }
-func (w *wire) Heard() (float64, bool) { return w.lastHeard, false }
+func (w *wire) Stuck() bool               { return false }
+func (w *wire) LastRead() (float64, bool) { return w.lastHeard, false }
 
 func (w *wire) Close() {
 	if !w.closed {
 		w.release()
-		w.g.d.post(world.Hung{Conn: w.id})
+		w.g.d.post(world.ConnClosed{Conn: w.id})
 		w.notifyDown(w.connected)
 	}
 }
@@ -551,9 +551,9 @@
 func (w *wire) release() {
 	w.closed = true
 	delete(w.g.d.wires, w.id)
-	w.g.d.agenda.Remove(w.connectTimer)
+	w.g.d.queue.Remove(w.connectTimer)
 	for _, i := range w.queue {
-		i.Wrote(false)
+		i.MarkWritten(false)
 	}
 	w.unsent, w.queue = w.queue, nil
 	w.answers.Release()
@@ -571,7 +571,7 @@
 	d, core := w.g.d, w.g.core
 	d.runNext(func() {
 		if w.g.core == core {
-			w.g.handle(caches.Down{Wire: w, Up: up, At: d.unix()})
+			w.g.handle(caches.Down{Wire: w, WasUp: up, At: d.unix()})
 		}
 	})
 }
@@ -597,7 +597,7 @@
 	w.lastHeard = d.unix()
 	found, err := w.answers.Feed(bytes, nil)
 	for _, reply := range found {
-		w.g.handle(caches.Answered{Wire: w, Reply: reply, At: d.unix()})
+		w.g.handle(caches.Replied{Wire: w, Reply: reply, At: d.unix()})
 	}
 	if err != nil || r.Cut {
 		w.fail()
--- a/internal/rehearsal/world/box.go
+++ b/internal/rehearsal/world/box.go
@@ -103,12 +103,12 @@
 	} else if r == core {
 		slots, maxPerJob = 0, fillSpeedup
 	}
-	b.cpu = newSharedResource(&w.agenda, w.clock, cores, maxPerJob, slots)
+	b.cpu = newSharedResource(&w.queue, w.clock, cores, maxPerJob, slots)
 	if r == core {
-		b.cpu.crowding = w.script.Core.Crowded
+		b.cpu.crowding = w.script.Core.Congestion
 	}
 	b.store = newStore(spec.Store)
-	b.sentWork, b.informedWork = newRecentSum(spec.FallFor), newRecentSum(spec.FallFor)
+	b.sentWork, b.informedWork = newRecentSum(spec.OverloadWindow), newRecentSum(spec.OverloadWindow)
 	w.boxes[id] = b
 	w.boxOrder = append(w.boxOrder, b)
 	return b
@@ -160,7 +160,7 @@
 		return
 	}
 	b.up = false
-	b.w.emit(Shut{Address: b.addr})
+	b.w.emit(Close{Address: b.addr})
 	for _, c := range slices.Sorted(maps.Keys(b.conns)) {
 		b.w.emit(Reset{Conn: c})
 		b.w.closeConn(c)
@@ -170,14 +170,14 @@
 	b.updateCapacity()
 }
 
-// countWork adds requested work and brings the box down when the recent sum exceeds its limit. If the box was still warming
-// up and the work from senders that knew of this start exceeds the limit on its own, it also reports Pushed: the gateways
-// should not have sent that much.
+// countWork adds requested work and brings the box down when the recent sum exceeds its limit. If the box was still
+// warming up and the work from senders that knew of this start exceeds the limit on its own, it also reports
+// ColdOverload: the gateways should not have sent that much.
 func (b *box) countWork(work float64, senderKnows bool) {
 	w := b.w
-	multiple, span := b.spec.FallMultiple, b.spec.FallFor
+	multiple, span := b.spec.OverloadMultiple, b.spec.OverloadWindow
 	if b.role == core {
-		multiple, span = w.script.Core.StopsAt, w.script.Core.StopsPush
+		multiple, span = w.script.Core.OverloadMultiple, w.script.Core.OverloadWindow
 	}
 	b.sentWork.Add(w.now, work)
 	if senderKnows {
@@ -188,15 +188,15 @@
 		return
 	}
 	if informedSum := b.informedWork.Sum(w.now); b.role != core && b.warmFraction() < 1 && informedSum > limit {
-		w.report(Pushed{At: w.now, Box: b.id, Sent: informedSum, Allowed: limit})
+		w.report(ColdOverload{At: w.now, Box: b.id, Sent: informedSum, Allowed: limit})
 	}
-	w.report(Fell{At: w.now, Box: b.id})
+	w.report(Overloaded{At: w.now, Box: b.id})
 	b.sentWork.Clear()
 	b.informedWork.Clear()
 	b.stop()
-	restartDelay := b.spec.FallenFor
+	restartDelay := b.spec.RestartDelay
 	if b.role == core {
-		restartDelay = w.script.Core.StopsFor
+		restartDelay = w.script.Core.RestartDelay
 	}
 	if restartDelay > 0 {
 		w.scheduleRestart(b, restartDelay)
@@ -257,8 +257,8 @@
 		b.requested[r.key] = true
 		seldom := strings.HasPrefix(r.key.object, largeMark) || strings.HasPrefix(r.key.object, onceMark)
 		c := w.random.generator("held", b.zone, r.key.object, r.key.part)
-		if c.Below() < b.spec.Held && !seldom {
-			m := objectCopy{key: r.key, group: r.typ.group(w, r.key.object), typ: r.typ, createdAt: -cmp.Or(r.typ.Fresh, 60_000) * c.Below(), size: r.bytes}
+		if c.Float64() < b.spec.Held && !seldom {
+			m := objectCopy{key: r.key, group: r.typ.group(w, r.key.object), typ: r.typ, createdAt: -cmp.Or(r.typ.Fresh, 60_000) * c.Float64(), size: r.bytes}
 			m.tag = w.tag(m.key, m.group, m.createdAt)
 			b.store.put(m, 1)
 		}
@@ -297,7 +297,7 @@
 		}
 		ended = true
 		b.activeFills--
-		w.agenda.Remove(r.timer)
+		w.queue.Remove(r.timer)
 		if !r.done && b.up {
 			done(m, word)
 		}
@@ -397,7 +397,7 @@
 // produce is the core's side of a fill: it makes the object in its present version.
 func (b *box) produce(r *request, done func(*objectCopy)) {
 	w := b.w
-	w.report(Made{At: w.now})
+	w.report(ObjectProduced{At: w.now})
 	b.countWork(r.expectedWork(), true)
 	if !b.up || b.vanished || b.silent {
 		if b.up {
@@ -408,7 +408,7 @@
 	}
 	m := &objectCopy{key: r.key, group: r.typ.group(w, r.key.object), typ: r.typ, createdAt: w.now, size: r.bytes}
 	m.tag = w.tag(m.key, m.group, m.createdAt)
-	b.cpu.add(r.work, func() { w.scheduleAfter(w.script.Core.Answers, func() { done(m) }) })
+	b.cpu.add(r.work, func() { w.scheduleAfter(w.script.Core.Latency, func() { done(m) }) })
 }
 
 // transferFill sends a fill over the link into a club.
@@ -446,21 +446,21 @@
 		if to.countWork(r.expectedWork(), true); !to.up {
 			w.scheduleAfter(hop, func() {
 				if !timedOut && b.up {
-					w.agenda.Remove(r.timer)
+					w.queue.Remove(r.timer)
 					b.answerBriefly(r, "BROKE")
 				}
 			})
 			return
 		}
 		to.cpu.add(r.work, func() {
-			w.report(Ran{At: w.now, ID: r.id})
+			w.report(WriteRan{At: w.now, ID: r.id})
 			w.writeRuns[r.id]++
 			if w.random.uniform("lost", r.id, to.id) < to.loseShare {
 				return
 			}
-			w.scheduleAfter(hop+w.script.Core.Answers, func() {
+			w.scheduleAfter(hop+w.script.Core.Latency, func() {
 				if !timedOut && b.up {
-					w.agenda.Remove(r.timer)
+					w.queue.Remove(r.timer)
 					j := b.cpu.add(r.work, func() {
 						b.answer(r, "DONE", "fill", &objectCopy{key: r.key, tag: w.random.id("ran", r.id), createdAt: w.now, size: 64})
 					})
@@ -479,12 +479,12 @@
 	}
 	r.done = true
 	delete(r.conn.requests, r.id)
-	w.agenda.Remove(r.timer)
+	w.queue.Remove(r.timer)
 	a := Reply{Conn: r.conn.id, Tag: r.id, Word: word, Fields: "gauges=" + b.loadReport()}
 	f := Served{At: w.now, ID: r.id, Box: b.id, Word: word, Note: note}
 	if m != nil {
 		a.Fields = fmt.Sprintf("res=%s,sum=%s,t0=%.0f,%s", note, m.tag, w.epoch+m.createdAt, a.Fields)
-		if f.Born, f.Copy = m.createdAt, !r.typ.Write; r.cachedTag != "" && r.cachedTag == m.tag {
+		if f.CreatedAt, f.Copy = m.createdAt, !r.typ.Write; r.cachedTag != "" && r.cachedTag == m.tag {
 			a.Word, f.Word = "KEEP", "KEEP"
 		} else {
 			a.Body = w.copyBody(m, r)
--- a/internal/rehearsal/world/clients.go
+++ b/internal/rehearsal/world/clients.go
@@ -72,7 +72,7 @@
 func (w *World) startTraffic() {
 	factor := 1.0
 	for _, e := range w.script.Events {
-		if e.Do == "traffic" {
+		if e.Kind == "traffic" {
 			factor *= max(1, e.Factor)
 		}
 	}
@@ -114,7 +114,7 @@
 	t := w.types[typ]
 	admit := func() {
 		share := w.rate(max(0, at)) * t.Share / float64(t.Parts) / 1000 / peak
-		if c.Below() < share {
+		if c.Float64() < share {
 			w.startDownload(typ, n, at)
 		}
 	}
@@ -135,7 +135,7 @@
 func (w *World) startDownload(typ, n int, at float64) {
 	t := w.types[typ]
 	c := w.random.generator("visit", typ, n)
-	club := w.script.Clubs[int(c.Below()*float64(len(w.script.Clubs)))]
+	club := w.script.Clubs[int(c.Float64()*float64(len(w.script.Clubs)))]
 	object, member := w.pickObject(t, typ, n, club, &c), club
 	if names := w.script.Clients.Members; len(names) > 0 {
 		member = names[w.random.hash("member", typ, n)%uint64(len(names))]
@@ -164,7 +164,7 @@
 }
 
 func (w *World) pickObject(t *contentType, typ, n int, club string, c *randomSource) string {
-	once, big, local, rank := c.Below(), c.Below(), c.Below(), c.Below()
+	once, big, local, rank := c.Float64(), c.Float64(), c.Float64(), c.Float64()
 	switch {
 	case w.large != nil && big < w.large.share:
 		return largeMark + w.random.id("large", typ, n)[len(largeMark):]
@@ -189,7 +189,7 @@
 func (w *World) largestFactor() float64 {
 	largest := 1.0
 	for _, e := range w.script.Events {
-		if e.Do == "large" {
+		if e.Kind == "large" {
 			largest = max(largest, e.Factor)
 		}
 	}
@@ -252,11 +252,11 @@
 		return
 	}
 	a := &openRequest{op: op, gateway: g.number, sentAt: w.now, Request: Request{ID: w.random.id("id", typ.Name, op.number, op.attempts, int(op.startedAt*1000)), Type: typ.Name,
-		Object: op.object, Part: op.part, Group: typ.group(w, op.object), Allow: allow, Club: op.member, Client: op.clientName(), Ticket: op.ticket}}
+		Object: op.object, Part: op.part, Group: typ.group(w, op.object), Timeout: allow, Club: op.member, Client: op.clientName(), Ticket: op.ticket}}
 	if typ.Write {
 		a.Body = 100
-	} else if c.Below() < clients.Holds {
-		a.Mine = w.tag(key{op.object, op.part}, a.Group, w.now)
+	} else if c.Float64() < clients.Holds {
+		a.HeldTag = w.tag(key{op.object, op.part}, a.Group, w.now)
 	}
 	w.attachLink(op, &a.Request, g)
 	if !g.up { // the front end still routes to it, and the connection is refused
@@ -264,8 +264,8 @@
 		return
 	}
 	w.sendRequest(a, g, first)
-	if !op.kiosk && c.Below() < clients.Impatient {
-		a.leaveTimer = w.scheduleAfter(allow*c.Below(), func() {
+	if !op.kiosk && c.Float64() < clients.Impatient {
+		a.leaveTimer = w.scheduleAfter(allow*c.Float64(), func() {
 			w.closeRequest(a)
 			w.report(Ended{At: w.now, ID: a.ID, Why: "left"})
 			w.emit(Abort{Gateway: a.gateway, ID: a.ID})
@@ -289,14 +289,14 @@
 		g.openRequests = map[string]*openRequest{}
 	}
 	g.openRequests[a.ID] = a
-	w.report(Asked{At: w.now, Expiry: w.now + a.Allow, Gateway: g.number, Repeat: a.op.typ.Repeat, First: first, Request: a.Request})
-	w.emit(Ask{Gateway: g.number, Request: a.Request})
-	a.expiryTimer = w.scheduleAfter(a.Allow+clientSlack, func() { w.requestFailed(a, "expired") })
+	w.report(RequestSent{At: w.now, Expiry: w.now + a.Timeout, Gateway: g.number, Repeat: a.op.typ.Repeat, First: first, Request: a.Request})
+	w.emit(SendRequest{Gateway: g.number, Request: a.Request})
+	a.expiryTimer = w.scheduleAfter(a.Timeout+clientSlack, func() { w.requestFailed(a, "expired") })
 }
 
 func (w *World) closeRequest(a *openRequest) {
-	w.agenda.Remove(a.expiryTimer)
-	w.agenda.Remove(a.leaveTimer)
+	w.queue.Remove(a.expiryTimer)
+	w.queue.Remove(a.leaveTimer)
 	delete(w.openRequests, a.ID)
 	delete(w.gateways[a.gateway].openRequests, a.ID)
 }
@@ -340,7 +340,7 @@
 		w.finish(op, verdict)
 	case answer.Status == 429 || answer.Status == 503:
 		wait := w.script.Clients.Wait
-		if w.random.uniform("heeds", op.typ.Name, op.number, op.attempts) < w.script.Clients.Heeds {
+		if w.random.uniform("heeds", op.typ.Name, op.number, op.attempts) < w.script.Clients.HonorRetryAfter {
 			wait = max(wait, answer.Wait)
 		}
 		w.retry(op, Throttled, wait, true)
@@ -376,7 +376,7 @@
 		}
 		return
 	}
-	w.report(Wanted{At: w.now, Asked: op.startedAt, Type: op.typ.Name, Member: op.member, Verdict: v, Tries: op.attempts})
+	w.report(OperationEnded{At: w.now, Asked: op.startedAt, Type: op.typ.Name, Member: op.member, Verdict: v, Tries: op.attempts})
 }
 
 // gatewayReady adds a gateway to the front end's routing.
@@ -394,7 +394,7 @@
 	w.report(Down{At: w.now, Gateway: g.number, Crashed: crashed})
 	terminated := g.ending
 	if g.routedUntil = 0; !terminated {
-		g.routedUntil = w.now + w.script.Clients.Notices
+		g.routedUntil = w.now + w.script.Clients.DetectionDelay
 	}
 	g.up, g.ready, g.ending = false, false, false
 	var open []*openRequest
--- a/internal/rehearsal/world/signed_links.go
+++ b/internal/rehearsal/world/signed_links.go
@@ -14,10 +14,10 @@
 
 // issuer signs the members' links and rotates its keys.
 type issuer struct {
-	keys     []links.Key
-	ring     *links.Ring
-	boxRing  *links.Ring // the boxes' keys, which change after the gateways' keys
-	keysMade int
+	keys      []links.Key
+	keySet    *links.KeySet
+	boxKeySet *links.KeySet // the boxes' keys, which change after the gateways' keys
+	keysMade  int
 }
 
 // The gateways share no state, so the link of a write names the only gateway that may accept it: its audience is that gateway's
@@ -31,8 +31,8 @@
 	}
 	s := links.Defaults()
 	s.Audience = []string{"club"}
-	s.Boxes = l.Boxes
-	s.Base, s.Checks, s.AllChecks, s.RenewIn = LinkBase, l.Checks, 20*l.Checks, l.Life/2
+	s.NodeLinkLifetime = l.Boxes
+	s.Base, s.ChecksPerSource, s.ChecksTotal, s.RenewWithin = LinkBase, l.Checks, 20*l.Checks, l.Life/2
 	return s
 }
 
@@ -47,15 +47,15 @@
 
 func (w *World) setKeys(keys ...links.Key) {
 	w.issuer.keys = keys
-	ring, err := links.NewRing(keys, nil)
+	keySet, err := links.NewKeySet(keys, nil)
 	if err != nil {
 		panic(err) // keys made here are always valid
 	}
-	w.issuer.ring = ring
-	if w.issuer.boxRing == nil {
-		w.issuer.boxRing = ring
+	w.issuer.keySet = keySet
+	if w.issuer.boxKeySet == nil {
+		w.issuer.boxKeySet = keySet
 	}
-	w.scheduleAfter(1000, func() { w.issuer.boxRing = ring })
+	w.scheduleAfter(1000, func() { w.issuer.boxKeySet = keySet })
 }
 
 // rotateKeys starts signing with the upcoming key and gives the present one the state old; a withdrawn key stays in the file.
@@ -94,20 +94,20 @@
 			Audience: []string{"club"}, URI: "regex:" + LinkBase + "/" + op.typ.Name + "/" + op.object + "/[0-9]+"}
 		c.Expires = c.Issued + l.Life/1000
 		if l.Renew > 0 {
-			c.Renew, c.Transport = l.Renew/1000, 1
+			c.RenewSeconds, c.Transport = l.Renew/1000, 1
 		}
 		if op.typ.Write {
 			name, _, _ := w.Config(g.number)
 			c.Audience = []string{name}
 			c.Write, c.Critical, c.URI = true, links.CriticalWrite, links.Hash(links.URI(LinkBase, op.typ.Name, op.object, int64(op.part)))
 		}
-		token, err := w.issuer.ring.Sign(c)
+		token, err := w.issuer.keySet.Sign(c)
 		if err != nil {
 			panic(err)
 		}
 		op.link = &heldLink{gateway: g.number, token: token, chain: c.ID, expiresAt: 1000*c.Expires - w.epoch - 100}
 	}
-	r.Token, r.Chain, r.Source = op.link.token, op.link.chain, "10.0.0."+string(rune('0'+op.number%10))
+	r.Token, r.LinkID, r.Source = op.link.token, op.link.chain, "10.0.0."+string(rune('0'+op.number%10))
 }
 
 // acceptsLink reports whether a GET carries a gateway's link that is valid for this box and part.
@@ -117,10 +117,10 @@
 		return true
 	}
 	s := w.LinkSettings()
-	s.Audience, s.Stored = []string{b.id}, true
+	s.Audience, s.HasStore = []string{b.id}, true
 	s.Memory = 1 << 10
-	a := links.Ask{At: w.epoch + w.now, Token: token, ID: r.id, Type: r.typ.Name, Object: r.key.object, Part: int64(r.key.part), Write: r.typ.Write}
-	return links.New(s, w.issuer.boxRing, []byte(b.id), 0).Admit(a).Reason == links.Admitted
+	a := links.Request{At: w.epoch + w.now, Token: token, ID: r.id, Type: r.typ.Name, Object: r.key.object, Part: int64(r.key.part), Write: r.typ.Write}
+	return links.New(s, w.issuer.boxKeySet, []byte(b.id), 0).Admit(a).Reason == links.Admitted
 }
 
 // heldLink is a signed link that a client holds for all parts of an object.
@@ -150,13 +150,13 @@
 }
 
 func (w *World) sendForged(n int, c *randomSource) {
-	t := w.types[int(c.Below()*float64(len(w.types)))]
+	t := w.types[int(c.Float64()*float64(len(w.types)))]
 	op := &operation{number: -n - 1, typ: t, object: w.random.id("object", 0, n%50), club: w.script.Clubs[n%len(w.script.Clubs)], startedAt: w.now, attempts: 1, duplicate: true}
 	g := w.chooseGateway(op)
 	if g == nil || !g.up {
 		return
 	}
-	r := Request{ID: w.random.id("forged", n), Type: t.Name, Object: op.object, Group: t.group(w, op.object), Allow: t.Expiry, Forged: true}
+	r := Request{ID: w.random.id("forged", n), Type: t.Name, Object: op.object, Group: t.group(w, op.object), Timeout: t.Expiry, Forged: true}
 	w.attachLink(op, &r, g)
 	parts := strings.Split(r.Token, ".")
 	switch n % 4 {
@@ -180,8 +180,8 @@
 	w.sendRequest(&openRequest{op: op, gateway: g.number, sentAt: w.now, Request: r}, g, false)
 }
 
-// LinkTakes is the time in ms until a gateway has loaded changed keys.
-func (w *World) LinkTakes(gateway int) float64 {
+// KeyReloadDelay is the time in ms until a gateway has loaded changed keys.
+func (w *World) KeyReloadDelay(gateway int) float64 {
 	c := w.random.generator("keys", gateway, w.issuer.keysMade)
-	return cmp.Or(c.Below()*500, 1)
+	return cmp.Or(c.Float64()*500, 1)
 }
